--- a/packages/claims/src/claim/common/answerCodec.ts
+++ b/packages/claims/src/claim/common/answerCodec.ts
@@ -1,13 +1,13 @@
 /** Answers as they are recorded in rows and objects and sent between nodes. */
 import type { ResultCode } from '@parsleymux/base';
 import { RunState } from '@parsleymux/base';
-import type { Header, IAnswer } from '@parsleymux/routing';
+import type { Header, IResponse } from '@parsleymux/routing';
 
 /** Marks an answer that was recorded earlier, so that callers can tell a replay from a run. */
 export const REPLAY_HEADER = 'idempotency-replayed';
 
 /** A whole answer in memory. */
-export interface IWholeAnswer extends IAnswer {
+export interface IWholeAnswer extends IResponse {
   readonly body: Uint8Array;
 }
 
--- a/packages/claims/src/guard/common/claimGuard.ts
+++ b/packages/claims/src/guard/common/claimGuard.ts
@@ -7,7 +7,7 @@
  * not run is released; one whose outcome nobody knows is never run again.
  */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
-import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
+import type { IResponse, IGuardedAttempt } from '@parsleymux/routing';
 import { DispatchGuard } from '@parsleymux/routing';
 import type { IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { AttemptEnd, AttemptRegistry } from '../../attempt/common/attemptRegistry.js';
@@ -84,7 +84,7 @@
     });
   }
 
-  override async execute(guarded: IGuardedAttempt, signal: AbortSignal): Promise<IAnswer> {
+  override async execute(guarded: IGuardedAttempt, signal: AbortSignal): Promise<IResponse> {
     const identity = getClaimIdentity(guarded.request);
     const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
     let known: IVersionedClaim | undefined;
@@ -122,7 +122,7 @@
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
     outcome: IAttemptOutcome,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     if (outcome.answer !== undefined) return outcome.answer;
     const error = outcome.error ?? makeOutcomeUnknown(true);
     const isUnknown = outcome.end === AttemptEnd.Unknown;
@@ -139,7 +139,7 @@
     throw error;
   }
 
-  private replay(guarded: IGuardedAttempt, answer: IAnswer): IAnswer {
+  private replay(guarded: IGuardedAttempt, answer: IResponse): IResponse {
     this.metrics.replays.inc({ member: guarded.request.member });
     return answer;
   }
@@ -188,7 +188,7 @@
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
     known: IVersionedClaim,
-  ): Promise<IAnswer | number> {
+  ): Promise<IResponse | number> {
     const { request } = guarded;
     const followed = await this.follower.resolve(request, identity, known);
     return followed.answer ?? followed.claimableVersion;
@@ -199,7 +199,7 @@
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
     rowKey: string,
-  ): Promise<IAnswer | undefined> {
+  ): Promise<IResponse | undefined> {
     const attempt = this.registry.findByRow(rowKey);
     if (attempt === undefined || isNotRun(attempt.getOutcome())) return undefined;
     if (attempt.digest !== identity.digest) throw makeKeyConflict();
@@ -216,7 +216,7 @@
     identity: IClaimIdentity,
     rowKey: string,
     outcome: IAttemptOutcome,
-  ): Promise<IAnswer | undefined> {
+  ): Promise<IResponse | undefined> {
     if (outcome.end === AttemptEnd.RanNotKept) throw makeAnswerNotKept();
     const checked = await this.store.check(rowKey, 0).catch(() => undefined);
     const known = checked?.current;
--- a/packages/claims/src/guard/common/claimRunner.ts
+++ b/packages/claims/src/guard/common/claimRunner.ts
@@ -2,7 +2,7 @@
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { MuxError, RunState } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
-import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
+import type { IResponse, IGuardedAttempt } from '@parsleymux/routing';
 import type { AttemptRegistry, IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { Attempt, AttemptEnd } from '../../attempt/common/attemptRegistry.js';
 import type { IStoredAnswer, IWholeAnswer } from '../../claim/common/answerCodec.js';
@@ -152,7 +152,7 @@
     }
   }
 
-  private async readOutcome(answer: IAnswer): Promise<IAttemptOutcome> {
+  private async readOutcome(answer: IResponse): Promise<IAttemptOutcome> {
     const body = await readWholeBody(answer.body, this.options.maxAnswerBytes);
     if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeAnswerNotKept() };
     // A target's own refusal is passed on as it is and leaves the key free.
--- a/packages/claims/src/guard/common/wholeBody.ts
+++ b/packages/claims/src/guard/common/wholeBody.ts
@@ -1,6 +1,6 @@
 /** Holds an answer until it is whole. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
-import type { AnswerBody } from '@parsleymux/routing';
+import type { ResponseBody } from '@parsleymux/routing';
 
 /**
  * The whole body, or undefined when it is larger than `maxBytes`. Rejects with a MuxError when
@@ -10,7 +10,7 @@
  * const body = await readWholeBody(answer.body, 1 << 20);
  */
 export async function readWholeBody(
-  body: AnswerBody,
+  body: ResponseBody,
   maxBytes: number,
 ): Promise<Uint8Array | undefined> {
   if (body instanceof Uint8Array) return body.length <= maxBytes ? body : undefined;
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import type { IRoutedRequest, ITargetAnswer, ITargetRequest } from '@parsleymux/routing';
+import type { IRoutedRequest, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport } from '@parsleymux/routing';
 import { RouteSchema } from '@parsleymux/schema';
 import { LookUpResult } from './outcomeLookUp.js';
@@ -10,11 +10,11 @@
 class FakeTransport extends TargetTransport {
   readonly paths: string[] = [];
 
-  constructor(private readonly answers: Readonly<Record<string, Partial<ITargetAnswer>>>) {
+  constructor(private readonly answers: Readonly<Record<string, Partial<ITargetResponse>>>) {
     super();
   }
 
-  override send(request: ITargetRequest): Promise<ITargetAnswer> {
+  override send(request: ITargetRequest): Promise<ITargetResponse> {
     this.paths.push(request.path);
     const answer = this.answers[request.target];
     if (answer === undefined) return Promise.reject(new Error('silent'));
@@ -37,7 +37,7 @@
 }
 
 async function lookUp(
-  answers: Readonly<Record<string, Partial<ITargetAnswer>>>,
+  answers: Readonly<Record<string, Partial<ITargetResponse>>>,
   targets: readonly string[] = ['x', 'y', 'z'],
 ) {
   const transport = new FakeTransport(answers);
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
@@ -1,6 +1,6 @@
 /** Sends a route's look-up request to the targets of its service. */
 import { ResultCode, RunState } from '@parsleymux/base';
-import type { IRoutedRequest, ITargetAnswer, TargetTransport } from '@parsleymux/routing';
+import type { IRoutedRequest, ITargetResponse, TargetTransport } from '@parsleymux/routing';
 import { readWholeBody } from '../../guard/common/wholeBody.js';
 import type { ITargetOutcome } from './outcomeLookUp.js';
 import { LookUpResult, OutcomeLookUp } from './outcomeLookUp.js';
@@ -74,7 +74,7 @@
           body: new Uint8Array(),
           timeoutMs: this.timeoutMs,
         },
-        { signal, maxAnswerBytes: this.maxAnswerBytes, freshConnection: true },
+        { signal, maxResponseBytes: this.maxAnswerBytes, freshConnection: true },
       );
       return await this.readResult(answer);
     } catch {
@@ -82,7 +82,7 @@
     }
   }
 
-  private async readResult(answer: ITargetAnswer): Promise<ITargetOutcome> {
+  private async readResult(answer: ITargetResponse): Promise<ITargetOutcome> {
     const { status, headers, notRun } = answer;
     const body = await readWholeBody(answer.body, this.maxAnswerBytes);
     // A target that sheds the look-up itself has said nothing about the key.
--- a/packages/claims/src/test/claimWorld.ts
+++ b/packages/claims/src/test/claimWorld.ts
@@ -10,7 +10,7 @@
   RunState,
   SeededRandom,
 } from '@parsleymux/base';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { RouteSchema } from '@parsleymux/schema';
 import { REPLAY_HEADER } from '../claim/common/answerCodec.js';
 import type { IClaimGuardOptions } from '../guard/common/claimGuardOptions.js';
@@ -48,7 +48,7 @@
   readonly request: IRoutedRequest;
   readonly startMs: number;
   readonly done: Promise<void>;
-  result: PromiseSettledResult<IAnswer> | undefined;
+  result: PromiseSettledResult<IResponse> | undefined;
   endMs: number;
 }
 
--- a/packages/claims/src/test/fakeTarget.ts
+++ b/packages/claims/src/test/fakeTarget.ts
@@ -1,7 +1,7 @@
 /** A target that counts executions and misbehaves as told. For tests. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import type { ITargetOutcome } from '../outcome/common/outcomeLookUp.js';
 import { LookUpResult, OutcomeLookUp } from '../outcome/common/outcomeLookUp.js';
 import type { ProcessGate } from './processGate.js';
@@ -54,7 +54,7 @@
     request: IRoutedRequest,
     behavior: TargetBehavior,
     gate?: ProcessGate,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     await gate?.advance();
     if (this.clock.getMonotonicTime() >= request.deadlineMs) {
       throw makeError(ResultCode.QueueTimeout, RunState.NotRun);
@@ -76,7 +76,7 @@
     return Promise.resolve({ result: LookUpResult.Ran, answer: { ...makeAnswer(''), body } });
   }
 
-  private async executeAs(request: IRoutedRequest, behavior: TargetBehavior): Promise<IAnswer> {
+  private async executeAs(request: IRoutedRequest, behavior: TargetBehavior): Promise<IResponse> {
     if (behavior === TargetBehavior.ExecuteLate) {
       this.clock.startTimer(LATE_MS, () => this.execute(request));
       await this.clock.sleep(SILENCE_MS);
@@ -107,7 +107,7 @@
 }
 
 /** An answer of a target that executed. */
-export function makeAnswer(text: string): IAnswer {
+export function makeAnswer(text: string): IResponse {
   return {
     status: 201,
     headers: [['content-type', 'text/plain']],
--- a/packages/dispatch/src/entry/common/attemptOutcome.ts
+++ b/packages/dispatch/src/entry/common/attemptOutcome.ts
@@ -1,5 +1,5 @@
 /** Judges what came of sending a request to a target. */
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import { TransportError, TransportFailure } from '@parsleymux/routing';
 import { GrantOutcome } from '../../grants/common/grant.js';
 
@@ -7,7 +7,7 @@
 const MISDIRECTED = 421;
 
 /** Tells whether an answer with a good status really comes whole from a target. */
-export type AnswerCheck = (answer: ITargetAnswer) => boolean;
+export type AnswerCheck = (answer: ITargetResponse) => boolean;
 
 /** The judgement. */
 export interface IAttemptResult {
@@ -15,7 +15,7 @@
   /** Whether the target may have run the request. */
   readonly mayHaveRun: boolean;
   /** The answer, if it may be handed to the caller. */
-  readonly answer: ITargetAnswer | undefined;
+  readonly answer: ITargetResponse | undefined;
   /** Requests a second that the target takes, if its own answer named a limit. */
   readonly rateLimit?: number | undefined;
 }
@@ -33,7 +33,7 @@
  * const { outcome } = decideAnswerOutcome(answer, isAuthentic);
  */
 export function decideAnswerOutcome(
-  answer: ITargetAnswer,
+  answer: ITargetResponse,
   isAuthentic: AnswerCheck,
 ): IAttemptResult {
   const { rateLimit } = answer;
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -70,7 +70,7 @@
           timeoutMs: remainingMs,
           targetTimeoutMs: Math.max(1, remainingMs - TARGET_MARGIN_MS),
         },
-        { signal, maxAnswerBytes: MAX_ANSWER_BYTES, freshConnection },
+        { signal, maxResponseBytes: MAX_ANSWER_BYTES, freshConnection },
       );
       const result = decideAnswerOutcome(answer, isAuthentic);
       // What is not the target's own answer may bear anything.
--- a/packages/dispatch/src/entry/common/entryAnswer.ts
+++ b/packages/dispatch/src/entry/common/entryAnswer.ts
@@ -1,6 +1,6 @@
 /** Makes final answers: a target's own, or the node's. */
 import { MS_PER_SECOND, ResultCode, RunState, getResultInfo } from '@parsleymux/base';
-import type { Header, ITargetAnswer } from '@parsleymux/routing';
+import type { Header, ITargetResponse } from '@parsleymux/routing';
 import type { IAttemptRecord, IEntryAnswer } from './entryRequest.js';
 
 const NO_BODY = new Uint8Array();
@@ -21,7 +21,7 @@
  * const answer = makeTargetAnswer(targetAnswer, attempts);
  */
 export function makeTargetAnswer(
-  answer: ITargetAnswer,
+  answer: ITargetResponse,
   attempts: readonly IAttemptRecord[],
 ): IEntryAnswer {
   if (!(answer.body instanceof Uint8Array)) throw new TypeError('answers are held until whole');
--- a/packages/dispatch/src/entry/common/requestRun.test.ts
+++ b/packages/dispatch/src/entry/common/requestRun.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock, ResultCode, RunState } from '@parsleymux/base';
-import type { ISendOptions, ITargetAnswer, ITargetRequest } from '@parsleymux/routing';
+import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import type { GrantOutcome } from '../../grants/common/grant.js';
@@ -14,7 +14,7 @@
 import { RequestRunner } from './requestRun.js';
 import { TargetNotices } from './targetNotices.js';
 
-type Reply = ITargetAnswer | TransportError | (() => Promise<ITargetAnswer>);
+type Reply = ITargetResponse | TransportError | (() => Promise<ITargetResponse>);
 
 /** Replies in turn, and remembers what it was sent. */
 class ScriptedTransport extends TargetTransport {
@@ -25,7 +25,7 @@
     super();
   }
 
-  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const reply = this.replies[this.sent.length];
     this.sent.push(request);
     this.options.push(options);
@@ -75,7 +75,7 @@
   }
 }
 
-function makeAnswer(status: number, fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
+function makeAnswer(status: number, fields: Partial<ITargetResponse> = {}): ITargetResponse {
   const body = Buffer.from('body');
   return { status, headers: [], body, notRun: false, draining: false, latencyMs: 1, ...fields };
 }
@@ -194,7 +194,7 @@
   // Symptom: reads time out while most targets answer at once. Sequence: a target accepts a request
   // and never answers. Cause: the second target was asked only after the first had failed.
   const clock = new ManualClock();
-  const hang = (): Promise<ITargetAnswer> => new Promise(() => undefined);
+  const hang = (): Promise<ITargetResponse> => new Promise(() => undefined);
   const running = run([hang, makeAnswer(200)], true, undefined, clock);
   await clock.advanceBy(700);
   const { answer, transport } = await running;
@@ -223,7 +223,7 @@
   // waited for the question.
   const clock = new ManualClock();
   const selector = new QueueingSelector();
-  const late = async (): Promise<ITargetAnswer> => {
+  const late = async (): Promise<ITargetResponse> => {
     await clock.sleep(800);
     return makeAnswer(200);
   };
@@ -239,7 +239,7 @@
 
 test('a booking waits for the one target that it was sent to', async () => {
   const clock = new ManualClock();
-  const late = async (): Promise<ITargetAnswer> => {
+  const late = async (): Promise<ITargetResponse> => {
     await clock.sleep(1500);
     return makeAnswer(200);
   };
--- a/packages/dispatch/src/entry/common/requestRun.ts
+++ b/packages/dispatch/src/entry/common/requestRun.ts
@@ -1,7 +1,7 @@
 /** One request from its first attempt to its final answer. */
 import type { Clock } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
 import { GrantOutcome } from '../../grants/common/grant.js';
@@ -46,7 +46,7 @@
   /** Whether any target was reached. */
   hasArrived: boolean;
   /** The last failure that a target itself answered with. */
-  lastAnswer: ITargetAnswer | undefined;
+  lastAnswer: ITargetResponse | undefined;
   lastOutcome: GrantOutcome | undefined;
 }
 
@@ -300,7 +300,7 @@
 }
 
 /** Streamed bodies have no size yet; answers here are held until whole. */
-function countBodyBytes(answer: ITargetAnswer | undefined): number {
+function countBodyBytes(answer: ITargetResponse | undefined): number {
   return answer?.body instanceof Uint8Array ? answer.body.byteLength : 0;
 }
 
--- a/packages/dispatch/src/entry/common/targetNotices.test.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '@parsleymux/base';
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import { makeTarget } from '../../test/builders.js';
 import { parseRetryAfterMs } from './retryAfter.js';
 import { TargetNotices } from './targetNotices.js';
 
 const TARGET = makeTarget('i-1', { bornMs: 1000 });
 
-function makeAnswer(fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
+function makeAnswer(fields: Partial<ITargetResponse> = {}): ITargetResponse {
   const body = new Uint8Array();
   return {
     status: 200,
@@ -21,7 +21,7 @@
   };
 }
 
-function makeShed(retryAfter: string): ITargetAnswer {
+function makeShed(retryAfter: string): ITargetResponse {
   return makeAnswer({ status: 503, notRun: true, headers: [['retry-after', retryAfter]] });
 }
 
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -1,6 +1,6 @@
 /** What targets have told this node in their answers about being sent more. */
 import type { Clock } from '@parsleymux/base';
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
@@ -36,7 +36,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Takes a whole answer of the target itself. */
-  record(target: ITargetRecord, answer: ITargetAnswer): void {
+  record(target: ITargetRecord, answer: ITargetResponse): void {
     const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
     const { draining, rateLimit: ratePerS } = answer;
     const known = this.notices.get(formatLife(target));
@@ -75,7 +75,7 @@
     return notice.isLeaving || this.clock.getMonotonicTime() < notice.waitUntilMs;
   }
 
-  private getWaitMs({ headers }: ITargetAnswer): number | undefined {
+  private getWaitMs({ headers }: ITargetResponse): number | undefined {
     const text = findHeader(headers, RETRY_AFTER);
     if (text === undefined) return undefined;
     const waitMs = parseRetryAfterMs(text, this.clock.getWallTime());
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,9 +1,9 @@
 /** The nodes acting together: membership, placement, control traffic between peers. */
 export * from './membership/common/listedMembershipService.js';
 export * from './membership/common/membershipService.js';
-export * from './membership/common/peerExperience.js';
+export * from './membership/common/peerHealth.js';
 export * from './neighbours/common/neighbourSet.js';
-export * from './pacing/common/sharedPace.js';
+export * from './polling/common/sharedInterval.js';
 export * from './peers/node/controlHandler.js';
 export * from './peers/node/peerAuthenticator.js';
 export * from './peers/node/peerClients.js';
--- a/packages/fleet/src/membership/common/listedMembershipService.test.ts
+++ b/packages/fleet/src/membership/common/listedMembershipService.test.ts
@@ -137,7 +137,7 @@
   // Sequence: b says that it is leaving and stops; a new process starts there; the list never
   // noticed. Cause: waiting for the list, or remembering the word for ever.
   const { clock, vms, membership, getLive } = await startMembership(context, ['b:1', 'c:1']);
-  membership.recordLeaving('b:1');
+  membership.recordShutdown('b:1');
   assert.deepEqual(getLive(), ['a:1', 'c:1']);
   await clock.advanceBy(10_000);
   assert.deepEqual(getLive(), ['a:1', 'b:1', 'c:1']);
@@ -177,7 +177,7 @@
   membership.onDidChange(() => (fired += 1));
   await clock.advanceBy(60_000);
   assert.equal(fired, 0);
-  membership.recordLeaving('b:1');
+  membership.recordShutdown('b:1');
   assert.equal(fired, 1);
 });
 
--- a/packages/fleet/src/membership/common/listedMembershipService.ts
+++ b/packages/fleet/src/membership/common/listedMembershipService.ts
@@ -5,9 +5,9 @@
 import { VmState } from '@parsleymux/store';
 import type { INode } from './membershipService.js';
 import { MembershipService } from './membershipService.js';
-import { computeSharedInterval } from '../../pacing/common/sharedPace.js';
-import type { ISuspicionOptions } from './peerExperience.js';
-import { PeerExperience } from './peerExperience.js';
+import { computeSharedInterval } from '../../polling/common/sharedInterval.js';
+import type { ISuspicionOptions } from './peerHealth.js';
+import { PeerHealth } from './peerHealth.js';
 
 const DEFAULT_POLL_MS = 2000;
 const DEFAULT_MAX_POLL_MS = 60_000;
@@ -50,11 +50,11 @@
 export class ListedMembershipService extends MembershipService implements IDisposable {
   private readonly options: IListedMembershipOptions;
   private readonly didChange = new Emitter<readonly INode[]>();
-  private readonly experiences = new Map<string, PeerExperience>();
+  private readonly healthByAddress = new Map<string, PeerHealth>();
   private listed: readonly INode[] = [];
   private listedAddresses: ReadonlySet<string> | undefined;
   private live: readonly INode[];
-  private returnTimer: IDisposable | undefined;
+  private expiryTimer: IDisposable | undefined;
   private readonly counters = { polls: 0, failedPolls: 0, suspicions: 0, changes: 0 };
 
   constructor(options: IListedMembershipOptions) {
@@ -75,19 +75,19 @@
   }
 
   override recordContact(address: string): void {
-    this.experiences.get(address)?.recordContact(this.getNow());
+    this.healthByAddress.get(address)?.recordContact(this.getNow());
   }
 
   override recordFailure(address: string): void {
     if (address === this.options.self.address) return;
-    if (!this.getExperience(address).recordFailure(this.getNow())) return;
+    if (!this.getPeerHealth(address).recordFailure(this.getNow())) return;
     this.counters.suspicions += 1;
     this.updateLiveNodes();
   }
 
-  override recordLeaving(address: string): void {
+  override recordShutdown(address: string): void {
     if (address === this.options.self.address) return;
-    this.getExperience(address).recordLeaving(this.getNow());
+    this.getPeerHealth(address).recordShutdown(this.getNow());
     this.updateLiveNodes();
   }
 
@@ -112,17 +112,17 @@
   /** Polls the list until `signal` aborts. While it can't be read, the last one stays in force. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.options;
-    let failedInRow = 0;
+    let consecutiveFailures = 0;
     while (!signal.aborted) {
       const isRead = await this.tryPoll(signal);
-      failedInRow = isRead ? 0 : failedInRow + 1;
-      const delayMs = this.getPollDelay(failedInRow);
+      consecutiveFailures = isRead ? 0 : consecutiveFailures + 1;
+      const delayMs = this.getPollDelay(consecutiveFailures);
       await clock.sleep(random.getJittered(delayMs, 0.5), signal).catch(() => undefined);
     }
   }
 
   dispose(): void {
-    void this.returnTimer?.dispose();
+    void this.expiryTimer?.dispose();
     this.didChange.dispose();
   }
 
@@ -130,14 +130,14 @@
    * A list that comes back after hours would meet the polls of the whole fleet at once, just when
    * it is weakest; slower, jittered polls while it is out spread them.
    */
-  private getPollDelay(failedInRow: number): number {
+  private getPollDelay(consecutiveFailures: number): number {
     const { pollMs = DEFAULT_POLL_MS, maxPollMs = DEFAULT_MAX_POLL_MS } = this.options;
     const intervalMs = computeSharedInterval({
       baseMs: pollMs,
       nodes: this.listed.length,
       fleetPerSecond: this.options.fleetPollsPerSecond ?? DEFAULT_FLEET_POLLS_PER_SECOND,
     });
-    const grownMs = intervalMs * 2 ** Math.min(failedInRow, 10);
+    const grownMs = intervalMs * 2 ** Math.min(consecutiveFailures, 10);
     return Math.min(grownMs, Math.max(intervalMs, maxPollMs));
   }
 
@@ -163,8 +163,8 @@
     this.listed = vms.filter((vm) => vm.state === VmState.Live).map(toNode);
     const addresses = new Set(vms.map((vm) => vm.address));
     this.listedAddresses = addresses;
-    for (const address of this.experiences.keys()) {
-      if (!addresses.has(address)) this.experiences.delete(address);
+    for (const address of this.healthByAddress.keys()) {
+      if (!addresses.has(address)) this.healthByAddress.delete(address);
     }
     this.updateLiveNodes();
   }
@@ -175,7 +175,7 @@
     const peers = this.listed.filter((node) => {
       return node.address !== self.address && this.isUsable(node.address, nowMs);
     });
-    this.startReturnTimer(nowMs);
+    this.startExpiryTimer(nowMs);
     const live = [...peers, self].sort(compareAddresses);
     if (isSameSet(live, this.live)) return;
     this.live = live;
@@ -184,29 +184,29 @@
   }
 
   private isUsable(address: string, nowMs: number): boolean {
-    return this.experiences.get(address)?.isUsable(nowMs) ?? true;
+    return this.healthByAddress.get(address)?.isUsable(nowMs) ?? true;
   }
 
   /** Brings peers back when their time is over, without a timer for each of them. */
-  private startReturnTimer(nowMs: number): void {
-    void this.returnTimer?.dispose();
+  private startExpiryTimer(nowMs: number): void {
+    void this.expiryTimer?.dispose();
     let earliestMs = Infinity;
-    for (const experience of this.experiences.values()) {
+    for (const experience of this.healthByAddress.values()) {
       const fromMs = experience.getUsableFrom();
       if (fromMs > nowMs) earliestMs = Math.min(earliestMs, fromMs);
     }
     if (earliestMs === Infinity) return;
     const delayMs = earliestMs - nowMs;
-    this.returnTimer = this.options.clock.startTimer(delayMs, () => {
+    this.expiryTimer = this.options.clock.startTimer(delayMs, () => {
       this.updateLiveNodes();
     });
   }
 
-  private getExperience(address: string): PeerExperience {
-    const known = this.experiences.get(address);
+  private getPeerHealth(address: string): PeerHealth {
+    const known = this.healthByAddress.get(address);
     if (known !== undefined) return known;
-    const experience = new PeerExperience(this.options.suspicion);
-    this.experiences.set(address, experience);
+    const experience = new PeerHealth(this.options.suspicion);
+    this.healthByAddress.set(address, experience);
     return experience;
   }
 
--- a/packages/fleet/src/membership/common/membershipService.ts
+++ b/packages/fleet/src/membership/common/membershipService.ts
@@ -23,5 +23,5 @@
   abstract recordFailure(address: string): void;
 
   /** The peer said that it is leaving. */
-  abstract recordLeaving(address: string): void;
+  abstract recordShutdown(address: string): void;
 }
--- a/packages/fleet/src/membership/common/peerExperience.ts
+++ b/packages/fleet/src/membership/common/peerHealth.ts
@@ -9,14 +9,14 @@
   /** Longest suspicion. Default 30,000. */
   readonly maxMs?: number;
   /** Time that a peer's word that it is leaving is believed. Default 10,000. */
-  readonly leavingMs?: number;
+  readonly shutdownHoldMs?: number;
 }
 
 const DEFAULTS: Required<ISuspicionOptions> = {
   failuresToSuspect: 2,
   firstMs: 1000,
   maxMs: 30_000,
-  leavingMs: 10_000,
+  shutdownHoldMs: 10_000,
 };
 
 /** Growth stops here; by then the bound of the length has long been reached. */
@@ -36,13 +36,13 @@
  * experience.recordFailure(10); // true
  * experience.isUsable(500); // false
  */
-export class PeerExperience {
+export class PeerHealth {
   private readonly options: Required<ISuspicionOptions>;
   private failures = 0;
   private level = 0;
   private lastLengthMs = 0;
   private suspectUntilMs = 0;
-  private leavingUntilMs = 0;
+  private shutdownUntilMs = 0;
   private inContactSinceMs: number | undefined;
 
   constructor(options: ISuspicionOptions = {}) {
@@ -69,18 +69,18 @@
   }
 
   /** The peer said that it is leaving. The word expires, because its address may be used again. */
-  recordLeaving(nowMs: number): void {
-    this.leavingUntilMs = nowMs + this.options.leavingMs;
+  recordShutdown(nowMs: number): void {
+    this.shutdownUntilMs = nowMs + this.options.shutdownHoldMs;
   }
 
   /** Whether the peer may be given work. */
   isUsable(nowMs: number): boolean {
-    return nowMs >= this.suspectUntilMs && nowMs >= this.leavingUntilMs;
+    return nowMs >= this.suspectUntilMs && nowMs >= this.shutdownUntilMs;
   }
 
   /** Instant from which the peer may be given work again, unless something new is learnt. */
   getUsableFrom(): number {
-    return Math.max(this.suspectUntilMs, this.leavingUntilMs);
+    return Math.max(this.suspectUntilMs, this.shutdownUntilMs);
   }
 
   private startSuspicion(nowMs: number): void {
--- a/packages/fleet/src/peers/node/peerClients.test.ts
+++ b/packages/fleet/src/peers/node/peerClients.test.ts
@@ -32,7 +32,7 @@
     this.seen.push('failure');
   }
 
-  override recordLeaving(): void {
+  override recordShutdown(): void {
     this.seen.push('leaving');
   }
 }
--- a/packages/fleet/src/peers/node/peerClients.ts
+++ b/packages/fleet/src/peers/node/peerClients.ts
@@ -19,7 +19,7 @@
 const MAX_CONNECTIONS = 4;
 
 /** Codes with which connect-es reports that no whole answer came. */
-const NO_ANSWER_CODES: ReadonlySet<Code> = new Set([
+const NO_RESPONSE_CODES: ReadonlySet<Code> = new Set([
   Code.Unavailable,
   Code.DeadlineExceeded,
   Code.Aborted,
@@ -66,7 +66,7 @@
   readonly agent: Agent;
   lastUsedMs: number;
   callsInFlight: number;
-  hasAnswered: boolean;
+  hasResponded: boolean;
 }
 
 /**
@@ -89,17 +89,17 @@
   /** Runs one call. Rejects with a ConnectError when it brings no answer. */
   async execute<T>(address: string, call: PeerCall<T>, limits: IPeerCallLimits = {}): Promise<T> {
     const entry = this.getEntry(address);
-    const wasProved = entry.hasAnswered;
+    const hadResponded = entry.hasResponded;
     const timeoutMs = limits.timeoutMs ?? this.options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
     const callOptions: IPeerCallOptions =
       limits.signal === undefined ? { timeoutMs } : { timeoutMs, signal: limits.signal };
     entry.callsInFlight += 1;
     try {
       const answer = await call(entry.client, callOptions);
-      this.recordAnswer(address, entry);
+      this.recordResponse(address, entry);
       return answer;
     } catch (error) {
-      if (limits.signal?.aborted !== true) this.recordError(address, entry, error, wasProved);
+      if (limits.signal?.aborted !== true) this.recordError(address, entry, error, hadResponded);
       throw error;
     } finally {
       entry.callsInFlight -= 1;
@@ -119,8 +119,8 @@
     this.entries.clear();
   }
 
-  private recordAnswer(address: string, entry: IPeerEntry): void {
-    entry.hasAnswered = true;
+  private recordResponse(address: string, entry: IPeerEntry): void {
+    entry.hasResponded = true;
     this.options.membership.recordContact(address);
   }
 
@@ -128,17 +128,17 @@
     address: string,
     entry: IPeerEntry,
     error: unknown,
-    wasProved: boolean,
+    hadResponded: boolean,
   ): void {
-    if (!NO_ANSWER_CODES.has(ConnectError.from(error).code)) {
-      this.recordAnswer(address, entry);
+    if (!NO_RESPONSE_CODES.has(ConnectError.from(error).code)) {
+      this.recordResponse(address, entry);
       return;
     }
     // A connection that the far end has lost track of stays silent while new ones work. The
     // connections are blamed first: they are dropped, and only a call on new ones that fails as
     // well counts against the peer.
     if (this.entries.get(address) === entry) this.closeEntry(address);
-    if (!wasProved) this.options.membership.recordFailure(address);
+    if (!hadResponded) this.options.membership.recordFailure(address);
   }
 
   private getEntry(address: string): IPeerEntry {
@@ -166,7 +166,7 @@
       interceptors: [makeProofInterceptor(authenticator, address)],
     });
     const client = createClient(ControlService, transport);
-    return { client, agent, lastUsedMs: 0, callsInFlight: 0, hasAnswered: false };
+    return { client, agent, lastUsedMs: 0, callsInFlight: 0, hasResponded: false };
   }
 
   private closeSurplus(): void {
--- a/packages/fleet/src/placement/common/rendezvousPlacement.ts
+++ b/packages/fleet/src/placement/common/rendezvousPlacement.ts
@@ -87,7 +87,7 @@
   private computeRanking(shard: IShard, count: number): readonly INode[] {
     const shardHash = hashToInteger(shard.id);
     const ranked: INode[] = [];
-    const preferred = shard.failureDomains.filter((domain) => this.isCarrying(domain));
+    const preferred = shard.failureDomains.filter((domain) => this.isLargeEnough(domain));
     for (const domain of preferred) {
       if (ranked.length >= count) return ranked;
       const tier = this.nodesByDomain.get(domain) ?? [];
@@ -105,7 +105,7 @@
    * be overloaded, seen as refusals for full queues on just these nodes. Below a share of the
    * average domain's size its shards therefore go to all nodes alike.
    */
-  private isCarrying(domain: string): boolean {
+  private isLargeEnough(domain: string): boolean {
     const size = this.nodesByDomain.get(domain)?.length ?? 0;
     const average = this.nodes.length / Math.max(1, this.nodesByDomain.size);
     return size > 0 && size >= average * this.minDomainShare;
--- a/packages/fleet/src/pacing/common/sharedPace.ts
+++ b/packages/fleet/src/polling/common/sharedInterval.ts
@@ -1,7 +1,7 @@
 /** Intervals that grow with the fleet, so that its polls together stay within the platform's rates. */
 
 /** Options of {@link computeSharedInterval}. */
-export interface ISharedPace {
+export interface ISharedIntervalOptions {
   /** Shortest interval of one node, in ms. */
   readonly baseMs: number;
   /** Nodes that poll. */
@@ -19,6 +19,6 @@
  * computeSharedInterval({ baseMs: 2000, nodes: 48, fleetPerSecond: 200 }); // 2000
  * computeSharedInterval({ baseMs: 2000, nodes: 2100, fleetPerSecond: 200 }); // 10500
  */
-export function computeSharedInterval(pace: ISharedPace): number {
+export function computeSharedInterval(pace: ISharedIntervalOptions): number {
   return Math.max(pace.baseMs, (pace.nodes * 1000) / pace.fleetPerSecond);
 }
--- a/packages/lab/src/badInput/node/fuzz.test.ts
+++ b/packages/lab/src/badInput/node/fuzz.test.ts
@@ -123,7 +123,7 @@
     fc.asyncProperty(damaged, async (text) => {
       answer = text;
       const outcome = await transport
-        .send(request, { signal, maxAnswerBytes: 1000 })
+        .send(request, { signal, maxResponseBytes: 1000 })
         .catch((error: unknown) => error);
       if (outcome instanceof TransportError) return;
       const { headers, body } = outcome as Awaited<ReturnType<typeof transport.send>>;
--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -5,7 +5,7 @@
 import type { IClaimLookUpAnswer } from '@parsleymux/claims';
 import { ClaimGuard, ClaimPeer, GroupCommitter } from '@parsleymux/claims';
 import type { IPlatform } from '@parsleymux/store';
-import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
+import type { IResponse, IGuardedAttempt } from '@parsleymux/routing';
 import type { Route } from '@parsleymux/schema';
 import { RouteSchema } from '@parsleymux/schema';
 import type { Histogram } from 'hdr-histogram-js';
@@ -140,7 +140,7 @@
     }
   }
 
-  private makeAttempt(run: () => Promise<IAnswer>): IGuardedAttempt {
+  private makeAttempt(run: () => Promise<IResponse>): IGuardedAttempt {
     return {
       request: {
         member: this.setting.member,
@@ -158,7 +158,7 @@
     };
   }
 
-  private makeAnswer(): IAnswer {
+  private makeAnswer(): IResponse {
     return {
       status: 201,
       headers: [
--- a/packages/lab/src/bench/control/node/callCost.ts
+++ b/packages/lab/src/bench/control/node/callCost.ts
@@ -35,7 +35,7 @@
     return;
   }
 
-  override recordLeaving(): void {
+  override recordShutdown(): void {
     return;
   }
 }
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -1,12 +1,12 @@
 /** A home with the real transport on the real clock, and what its callers see. */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
-import type { ISendOptions, ITargetAnswer, ITargetRequest } from '@parsleymux/routing';
+import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import {
   HttpTargetTransport,
   LocalHomeService,
   PassThroughGuard,
-  Standing,
+  HealthStatus,
   TableEjectionLedger,
 } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
@@ -44,7 +44,7 @@
 class RecordingTransport extends HttpTargetTransport {
   readonly dispatches: { readonly target: string; readonly atMs: number }[] = [];
 
-  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     if (options.onDispatch !== undefined) {
       this.dispatches.push({ target: request.target, atMs: performance.now() });
     }
@@ -84,7 +84,7 @@
       invariants,
       createDetector: () => createPolicy(options.policy, 'fast'),
       onStandingChange: (change) => {
-        if (change.standing === Standing.Ejected) this.ejected.push(change.target);
+        if (change.standing === HealthStatus.Ejected) this.ejected.push(change.target);
       },
     });
   }
--- a/packages/lab/src/bench/routing/node/homeCost.ts
+++ b/packages/lab/src/bench/routing/node/homeCost.ts
@@ -1,7 +1,7 @@
 /** What a home costs on a real clock, and what one member's flood does to another's latency. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import {
   LocalHomeService,
   PassThroughGuard,
@@ -31,7 +31,7 @@
     super();
   }
 
-  override async send(): Promise<ITargetAnswer> {
+  override async send(): Promise<ITargetResponse> {
     if (this.workMs > 0) await delay(this.workMs);
     const body = new Uint8Array();
     const latencyMs = this.workMs;
--- a/packages/lab/src/experiment/common/modelledTransport.ts
+++ b/packages/lab/src/experiment/common/modelledTransport.ts
@@ -1,6 +1,6 @@
 /** The connections of one node to modelled targets. */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
-import type { Header, ISendOptions, ITargetAnswer, ITargetRequest } from '@parsleymux/routing';
+import type { Header, ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { FleetObserver } from './fleetObserver.js';
 import type { ICrashingRequest } from './scenario.js';
@@ -51,7 +51,7 @@
     this.startedMs = options.clock.getMonotonicTime();
   }
 
-  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const { clock, targets } = this.options;
     const target = targets.get(request.target);
     if (target === undefined) throw new Error(`there is no target ${request.target}`);
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -1,7 +1,7 @@
 /** Collects figures while a trace is replayed. */
 import { MuxError } from '@parsleymux/base';
-import type { IAnswer, IStandingChange } from '@parsleymux/routing';
-import { Standing } from '@parsleymux/routing';
+import type { IResponse, IStandingChange } from '@parsleymux/routing';
+import { HealthStatus } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
 import type { ITrace, ITraceFault, ITraceRequest } from '../../trace/common/trace.js';
 import { FLOODER } from '../../trace/common/traceGenerator.js';
@@ -10,7 +10,7 @@
 const FIRST_SERVER_ERROR = 500;
 /** What was under way when a fault ended can still lead to an ejection, for so long. */
 const FAULT_TAIL_MS = 2000;
-const AGAINST: ReadonlySet<Standing> = new Set([Standing.Suspect, Standing.Ejected]);
+const AGAINST: ReadonlySet<HealthStatus> = new Set([HealthStatus.Suspect, HealthStatus.Ejected]);
 const PROLONGING: ReadonlySet<string> = new Set(['failed its trial']);
 /**
  * Without a dispatch for this long a target counts as given no work, in ms: longer than any
@@ -38,7 +38,7 @@
 
   constructor(private readonly trace: ITrace) {}
 
-  recordAnswer(request: ITraceRequest, answer: IAnswer, latencyMs: number): void {
+  recordAnswer(request: ITraceRequest, answer: IResponse, latencyMs: number): void {
     const isError = answer.status >= FIRST_SERVER_ERROR;
     this.count(request, isError);
     if (isError) this.countRefusal(String(answer.code));
@@ -129,7 +129,7 @@
     let count = 0;
     const demoted = new Set<string>();
     for (const change of this.changes) {
-      const isDemotion = change.standing === Standing.Suspect;
+      const isDemotion = change.standing === HealthStatus.Suspect;
       if (isDemotion && !demoted.has(change.target) && this.isFalse(change)) count += 1;
       if (isDemotion) demoted.add(change.target);
       else demoted.delete(change.target);
@@ -152,7 +152,8 @@
     const out = new Set<string>();
     let lowest = targets.length;
     for (const change of this.changes) {
-      const isOut = change.standing === Standing.Ejected || change.standing === Standing.Trial;
+      const isOut =
+        change.standing === HealthStatus.Ejected || change.standing === HealthStatus.Trial;
       if (isOut) out.add(change.target);
       else out.delete(change.target);
       lowest = Math.min(lowest, targets.length - out.size);
@@ -183,6 +184,6 @@
 
 /** Out of use: ejected, or known to be beyond this home's reach. */
 function isRemoval(change: IStandingChange): boolean {
-  if (change.standing === Standing.Ejected) return true;
-  return change.standing === Standing.Suspect && change.reason.startsWith('cut off');
+  if (change.standing === HealthStatus.Ejected) return true;
+  return change.standing === HealthStatus.Suspect && change.reason.startsWith('cut off');
 }
--- a/packages/lab/src/replay/common/simulatedObserver.ts
+++ b/packages/lab/src/replay/common/simulatedObserver.ts
@@ -31,7 +31,7 @@
   private async sendProbe(request: IObservationRequest): Promise<IObservation> {
     const headers = [[WORK_HEADER, String(USUAL_WORK_MS)]] as const;
     const signal = new AbortController().signal;
-    const options = { signal, freshConnection: true, maxAnswerBytes: MAX_ANSWER_BYTES };
+    const options = { signal, freshConnection: true, maxResponseBytes: MAX_ANSWER_BYTES };
     try {
       const sent = { ...request, headers, body: new Uint8Array() };
       const { status, latencyMs } = await this.transport.send(sent, options);
--- a/packages/lab/src/replay/common/simulatedTransport.ts
+++ b/packages/lab/src/replay/common/simulatedTransport.ts
@@ -1,6 +1,6 @@
 /** The network between homes and targets on the replay's clock. */
 import type { Clock, RandomSource } from '@parsleymux/base';
-import type { ISendOptions, ITargetAnswer, ITargetRequest } from '@parsleymux/routing';
+import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { IFaultEffect } from '../../trace/common/trace.js';
 import type { IWorkResult, SimulatedTarget } from './simulatedTarget.js';
@@ -47,7 +47,7 @@
     super();
   }
 
-  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const target = this.options.targets.get(request.target);
     if (target === undefined) throw new Error(`unknown target ${request.target}`);
     return this.sendOver(request, options, target);
@@ -72,7 +72,7 @@
     request: ITargetRequest,
     options: ISendOptions,
     target: SimulatedTarget,
-  ): Promise<ITargetAnswer> {
+  ): Promise<ITargetResponse> {
     const connection = this.takeConnection(request.target, options.freshConnection === true);
     return new Promise((resolve, reject) => {
       const dropped = new AbortController();
@@ -143,7 +143,7 @@
     connection: IConnection,
     fail: Reject,
     signal: AbortSignal,
-  ): Promise<Omit<ITargetAnswer, 'latencyMs'> | undefined> {
+  ): Promise<Omit<ITargetResponse, 'latencyMs'> | undefined> {
     const { clock, random } = this.options;
     const delayMs = this.options.delays.get(request.target) ?? 0;
     const silenceMs = target.getSilenceStart();
--- a/packages/node/src/entry/common/homeRouter.test.ts
+++ b/packages/node/src/entry/common/homeRouter.test.ts
@@ -7,7 +7,7 @@
 import { ConfigService } from '@parsleymux/config';
 import type { INode, IShard } from '@parsleymux/fleet';
 import { MembershipService, Placement } from '@parsleymux/fleet';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { HomeService } from '@parsleymux/routing';
 import { MemberConfigSchema, RouteSchema } from '@parsleymux/schema';
 import { HopError, HopFailure } from '../../hop/common/hopError.js';
@@ -16,7 +16,7 @@
 
 const SELF = 'self:1';
 const ROUTE = create(RouteSchema, { name: 'book', host: 'h', service: 'booking' });
-const ANSWER: IAnswer = {
+const ANSWER: IResponse = {
   status: 200,
   headers: [],
   body: new Uint8Array(),
@@ -50,7 +50,7 @@
     this.seen.push(`failure ${address}`);
   }
 
-  override recordLeaving(address: string): void {
+  override recordShutdown(address: string): void {
     this.seen.push(`leaving ${address}`);
   }
 }
@@ -69,7 +69,7 @@
   }
 }
 
-type Reaction = IAnswer | Error;
+type Reaction = IResponse | Error;
 
 class ScriptedHop extends HopTransport {
   readonly sent: string[] = [];
@@ -79,7 +79,7 @@
     super();
   }
 
-  override send(peer: string): Promise<IAnswer> {
+  override send(peer: string): Promise<IResponse> {
     const index = this.sent.filter((sent) => sent === peer).length;
     this.sent.push(peer);
     const reactions = this.reactions[peer] ?? [];
@@ -100,7 +100,7 @@
     super();
   }
 
-  override handle(): Promise<IAnswer> {
+  override handle(): Promise<IResponse> {
     this.served += 1;
     return this.reaction instanceof Error
       ? Promise.reject(this.reaction)
--- a/packages/node/src/entry/common/homeRouter.ts
+++ b/packages/node/src/entry/common/homeRouter.ts
@@ -3,7 +3,7 @@
 import { MuxError } from '@parsleymux/base';
 import type { ConfigService } from '@parsleymux/config';
 import type { MembershipService, Placement } from '@parsleymux/fleet';
-import type { HomeService, IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { HomeService, IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { HopError, HopFailure } from '../../hop/common/hopError.js';
 import type { HopTransport } from '../../hop/common/hopTransport.js';
 import { describeShard } from './shards.js';
@@ -48,7 +48,7 @@
    * Goes through the candidates in their order, the last being this node itself. Trying another
    * home is safe: reads may run twice, and everything else is claimed before it is dispatched.
    */
-  async serve(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  async serve(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     let mayHaveReached = false;
     for (const candidate of this.listCandidates(request)) {
       if (candidate === this.options.self) {
@@ -78,7 +78,7 @@
     request: IRoutedRequest,
     signal: AbortSignal,
     hasReachedOther: boolean,
-  ): Promise<IAnswer | HopError> {
+  ): Promise<IResponse | HopError> {
     let mayHaveReached = hasReachedOther;
     let last: HopError | undefined;
     for (let attempt = 0; attempt < TRIES_PER_PEER; attempt += 1) {
@@ -100,7 +100,7 @@
     request: IRoutedRequest,
     signal: AbortSignal,
     mayHaveReached: boolean,
-  ): Promise<IAnswer | HopError> {
+  ): Promise<IResponse | HopError> {
     try {
       const memberRevision = this.getMemberRevision(request.member);
       const answer = await this.options.hop.send(peer, { request, memberRevision }, signal);
@@ -122,7 +122,7 @@
   }
 
   private recordOutcome(peer: string, error: HopError): void {
-    if (error.failure === HopFailure.Leaving) this.options.membership.recordLeaving(peer);
+    if (error.failure === HopFailure.Leaving) this.options.membership.recordShutdown(peer);
     else if (error.failure === HopFailure.Behind) this.options.membership.recordContact(peer);
     else this.options.membership.recordFailure(peer);
   }
@@ -131,7 +131,7 @@
     request: IRoutedRequest,
     signal: AbortSignal,
     mayHaveReached: boolean,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     try {
       return await this.options.home.handle(request, signal);
     } catch (error) {
--- a/packages/node/src/entry/node/callerServer.test.ts
+++ b/packages/node/src/entry/node/callerServer.test.ts
@@ -16,7 +16,7 @@
 } from '@parsleymux/base';
 import type { IFleetConfigChange } from '@parsleymux/config';
 import { ConfigService } from '@parsleymux/config';
-import type { AnswerBody, IAnswer } from '@parsleymux/routing';
+import type { ResponseBody, IResponse } from '@parsleymux/routing';
 import { LimitsSchema, MemberConfigSchema, TimingSchema } from '@parsleymux/schema';
 import { NodeStage, NodeState } from '../../app/common/nodeState.js';
 import { NodeMetrics } from '../../metrics/node/nodeMetrics.js';
@@ -58,12 +58,12 @@
 
 async function openBench(
   t: TestContext,
-  makeBody: () => AnswerBody,
+  makeBody: () => ResponseBody,
   stage: NodeStage = NodeStage.Serving,
 ): Promise<IBench> {
   const state = new NodeState();
   state.setStage(stage);
-  const serve = (): Promise<IAnswer> => {
+  const serve = (): Promise<IResponse> => {
     const answer = { status: 200, headers: [], code: ResultCode.Ok, runState: RunState.Ran };
     return Promise.resolve({ ...answer, body: makeBody() });
   };
--- a/packages/node/src/entry/node/callerServer.ts
+++ b/packages/node/src/entry/node/callerServer.ts
@@ -4,7 +4,7 @@
 import { closeServer, listenOn, MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { ConfigService, IRouteMatch } from '@parsleymux/config';
 import { RouteTable } from '@parsleymux/config';
-import type { Header, IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { Header, IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { discardBody } from '@parsleymux/routing';
 import type { Limits, Timing } from '@parsleymux/schema';
 import type { NodeState } from '../../app/common/nodeState.js';
@@ -197,7 +197,7 @@
   private async writeAnswer(
     request: IncomingMessage,
     response: ServerResponse,
-    answer: IAnswer,
+    answer: IResponse,
   ): Promise<void> {
     this.watchStalls(response);
     await checkFraming(request, answer);
@@ -242,7 +242,7 @@
  * HTTP/1.0 knows no chunks: a streamed answer of unknown length would end where its connection
  * ends, and one that broke off would look whole.
  */
-async function checkFraming(request: IncomingMessage, answer: IAnswer): Promise<void> {
+async function checkFraming(request: IncomingMessage, answer: IResponse): Promise<void> {
   const isFramed =
     request.httpVersion !== '1.0' ||
     answer.body instanceof Uint8Array ||
--- a/packages/node/src/entry/test/failoverFleet.ts
+++ b/packages/node/src/entry/test/failoverFleet.ts
@@ -7,7 +7,7 @@
 import { ListedMembershipService, RendezvousPlacement } from '@parsleymux/fleet';
 import type { IVm } from '@parsleymux/store';
 import { VmList, VmState } from '@parsleymux/store';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { HomeService } from '@parsleymux/routing';
 import { MemberConfigSchema, RouteSchema } from '@parsleymux/schema';
 import { HomeRouter } from '../common/homeRouter.js';
@@ -60,7 +60,7 @@
 class CountingHome extends HomeService {
   served = 0;
 
-  override handle(): Promise<IAnswer> {
+  override handle(): Promise<IResponse> {
     this.served += 1;
     const body = new Uint8Array();
     const { Ok: code } = ResultCode;
@@ -191,7 +191,7 @@
   async serve(entry: FailoverNode): Promise<IServed> {
     const startMs = this.clock.getMonotonicTime();
     this.tried = [];
-    let answer: IAnswer | undefined;
+    let answer: IResponse | undefined;
     const done = entry.router.serve(makeRequest(), new AbortController().signal).then((value) => {
       answer = value;
     });
@@ -215,7 +215,7 @@
     super();
   }
 
-  override async send(peer: string): Promise<IAnswer> {
+  override async send(peer: string): Promise<IResponse> {
     const { clock, cuts, random } = this.fleet;
     this.fleet.tried.push(peer);
     const node = this.fleet.getNode(peer);
--- a/packages/node/src/hop/common/hopTransport.ts
+++ b/packages/node/src/hop/common/hopTransport.ts
@@ -1,5 +1,5 @@
 /** Sending of requests to homes. The node uses HTTP; tests use fakes. */
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 
 /** What a request carries over the hop beside itself. */
 export interface IHopRequest {
@@ -11,7 +11,7 @@
 /** The entry's side of the hop. */
 export abstract class HopTransport {
   /** Rejects with a HopError when no home answered, with a MuxError when the home refused. */
-  abstract send(peer: string, hop: IHopRequest, signal: AbortSignal): Promise<IAnswer>;
+  abstract send(peer: string, hop: IHopRequest, signal: AbortSignal): Promise<IResponse>;
 
   /**
    * Stops using the connections to a peer that are open now. A connection whose far end has lost
--- a/packages/node/src/hop/node/hopClient.test.ts
+++ b/packages/node/src/hop/node/hopClient.test.ts
@@ -6,7 +6,7 @@
 import { create } from '@bufbuild/protobuf';
 import { listenOn, SystemClock } from '@parsleymux/base';
 import { PeerAuthenticator } from '@parsleymux/fleet';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { RouteSchema } from '@parsleymux/schema';
 import { HopError, HopFailure } from '../common/hopError.js';
 import { HopHeader, HopKind } from '../common/hopProtocol.js';
@@ -24,7 +24,7 @@
     server.closeAllConnections();
     server.close();
   });
-  return (path: string): Promise<IAnswer> => {
+  return (path: string): Promise<IResponse> => {
     return client.send(
       peer,
       { request: makeRequest(path), memberRevision: 1 },
--- a/packages/node/src/hop/node/hopClient.ts
+++ b/packages/node/src/hop/node/hopClient.ts
@@ -4,7 +4,7 @@
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { PeerAuthenticator } from '@parsleymux/fleet';
 import { PROOF_HEADER } from '@parsleymux/fleet';
-import type { Header, IAnswer } from '@parsleymux/routing';
+import type { Header, IResponse } from '@parsleymux/routing';
 import { watchBodyEnd } from '@parsleymux/routing';
 import type { Dispatcher } from 'undici';
 import { Pool } from 'undici';
@@ -67,7 +67,7 @@
     this.firstHeartbeatMs = options.firstHeartbeatMs ?? DEFAULT_FIRST_HEARTBEAT_MS;
   }
 
-  override async send(peer: string, hop: IHopRequest, signal: AbortSignal): Promise<IAnswer> {
+  override async send(peer: string, hop: IHopRequest, signal: AbortSignal): Promise<IResponse> {
     const watch = new HeartbeatWatch(this.clock, this.firstHeartbeatMs, signal);
     const exchange = `${this.exchangePrefix}-${this.exchanges++}`;
     try {
@@ -154,7 +154,7 @@
   private async readAnswer(
     answer: Dispatcher.ResponseData,
     watch: HeartbeatWatch,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     const code = answer.headers[HopHeader.Code];
     if (typeof code !== 'string') {
       await answer.body.dump();
--- a/packages/node/src/hop/node/hopServer.ts
+++ b/packages/node/src/hop/node/hopServer.ts
@@ -3,7 +3,7 @@
 import type { Clock, IDisposable, MuxError } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { ConfigService } from '@parsleymux/config';
-import type { Header, HomeService, IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { Header, HomeService, IResponse, IRoutedRequest } from '@parsleymux/routing';
 import type { Route } from '@parsleymux/schema';
 import type { NodeState } from '../../app/common/nodeState.js';
 import { listEndToEndHeaders } from '../../http/common/headers.js';
@@ -138,7 +138,7 @@
 
 async function writeHomeAnswer(
   response: ServerResponse,
-  answer: IAnswer,
+  answer: IResponse,
   echo: readonly Header[],
 ): Promise<void> {
   const headers: Header[] = [
--- a/packages/node/src/http/common/headers.ts
+++ b/packages/node/src/http/common/headers.ts
@@ -1,6 +1,6 @@
 /** Header names of the project, and which headers travel end to end. */
 import type { Header } from '@parsleymux/routing';
-import { removeHopByHopHeaders, removeOwnHeaders } from '@parsleymux/routing';
+import { removeHopByHopHeaders, removeFleetHeaders } from '@parsleymux/routing';
 
 /** Headers that callers, targets and nodes exchange. */
 export const HeaderName = {
@@ -29,7 +29,7 @@
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     headers.push([(rawHeaders[index] ?? '').toLowerCase(), rawHeaders[index + 1] ?? '']);
   }
-  const passed = removeOwnHeaders(removeHopByHopHeaders(headers));
+  const passed = removeFleetHeaders(removeHopByHopHeaders(headers));
   return passed.filter(([name]) => name !== CONTENT_LENGTH);
 }
 
--- a/packages/node/src/http/node/bodyWriter.ts
+++ b/packages/node/src/http/node/bodyWriter.ts
@@ -1,7 +1,7 @@
 /** Writing of answers, whole or streamed with back-pressure. */
 import type { ServerResponse } from 'node:http';
 import { once } from 'node:events';
-import type { AnswerBody, Header } from '@parsleymux/routing';
+import type { ResponseBody, Header } from '@parsleymux/routing';
 import { discardBody } from '@parsleymux/routing';
 import { toRawHeaders } from '../common/headers.js';
 
@@ -13,7 +13,7 @@
 export interface IOutgoing {
   readonly status: number;
   readonly headers: readonly Header[];
-  readonly body: AnswerBody;
+  readonly body: ResponseBody;
   /** The request was HEAD: the answer has no body, but may declare the length of one. */
   readonly isHead?: boolean;
 }
--- a/packages/node/src/peer/node/targetObservation.ts
+++ b/packages/node/src/peer/node/targetObservation.ts
@@ -45,7 +45,7 @@
         body: new Uint8Array(),
         timeoutMs: Math.min(request.timeoutMs, MAX_TIMEOUT_MS),
       },
-      { signal, freshConnection: true, maxAnswerBytes: options.maxAnswerBytes },
+      { signal, freshConnection: true, maxResponseBytes: options.maxAnswerBytes },
     );
     const succeeded = answer.status < FIRST_FAILURE_STATUS && !answer.notRun;
     return { succeeded, status: answer.status, latencyMs: answer.latencyMs };
--- a/packages/routing/src/attempt/common/attemptOutcome.ts
+++ b/packages/routing/src/attempt/common/attemptOutcome.ts
@@ -1,8 +1,8 @@
 /** What came of sending a request to one target, and what a caller is told of it. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
-import { discardBody } from '../../request/common/answerBody.js';
-import type { IAnswer } from '../../request/common/request.js';
-import type { ITargetAnswer } from '../../transport/common/targetTransport.js';
+import { discardBody } from '../../request/common/responseBody.js';
+import type { IResponse } from '../../request/common/request.js';
+import type { ITargetResponse } from '../../transport/common/targetTransport.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
 
 const FIRST_SERVER_ERROR = 500;
@@ -11,7 +11,7 @@
 export interface IAnsweredAttempt {
   readonly kind: 'answered';
   readonly target: string;
-  readonly answer: ITargetAnswer;
+  readonly response: ITargetResponse;
 }
 
 /** An attempt that ended without a whole answer. */
@@ -24,35 +24,35 @@
 export type AttemptOutcome = IAnsweredAttempt | IFailedAttempt;
 
 /** True when the caller can be given this outcome as a success. */
-export function isGood(outcome: AttemptOutcome): boolean {
+export function isSuccessful(outcome: AttemptOutcome): boolean {
   return (
     outcome.kind === 'answered' &&
-    !outcome.answer.notRun &&
-    outcome.answer.status < FIRST_SERVER_ERROR
+    !outcome.response.notRun &&
+    outcome.response.status < FIRST_SERVER_ERROR
   );
 }
 
 /** True when it is certain that the target executed nothing. */
 export function isProvablyNotRun(outcome: AttemptOutcome): boolean {
-  return outcome.kind === 'answered' ? outcome.answer.notRun : !outcome.error.mayHaveRun;
+  return outcome.kind === 'answered' ? outcome.response.notRun : !outcome.error.mayHaveRun;
 }
 
 /** True when another target might do better. */
-export function isWorthRetrying(outcome: AttemptOutcome): boolean {
-  if (outcome.kind === 'answered') return !isGood(outcome);
+export function isRetryable(outcome: AttemptOutcome): boolean {
+  if (outcome.kind === 'answered') return !isSuccessful(outcome);
   const { failure } = outcome.error;
   return failure !== TransportFailure.Cancelled && failure !== TransportFailure.TooLarge;
 }
 
 /** Lets go of an outcome that nobody is given, with the connection and slot that it may hold. */
 export function discardOutcome(outcome: AttemptOutcome | undefined): void {
-  if (outcome?.kind === 'answered') void discardBody(outcome.answer.body);
+  if (outcome?.kind === 'answered') void discardBody(outcome.response.body);
 }
 
 /** The answer to give, or the refusal to throw, for the last outcome of a request. */
-export function toAnswer(outcome: AttemptOutcome, retryAfterMs: number): IAnswer {
+export function toResponse(outcome: AttemptOutcome, retryAfterMs: number): IResponse {
   if (outcome.kind === 'failed') throw toMuxError(outcome.error);
-  const { answer } = outcome;
+  const { response: answer } = outcome;
   if (answer.notRun) {
     throw new MuxError({
       code: ResultCode.TargetShed,
--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -2,14 +2,14 @@
 import { InvariantName } from '@parsleymux/base';
 import type { IHomeContext } from '../../home/common/homeOptions.js';
 import type { ISlot } from '../../home/common/slotPool.js';
-import { watchBodyEnd } from '../../request/common/answerBody.js';
+import { watchBodyEnd } from '../../request/common/responseBody.js';
 import type { IRoutedRequest } from '../../request/common/request.js';
-import type { ISendOptions, ITargetAnswer } from '../../transport/common/targetTransport.js';
+import type { ISendOptions, ITargetResponse } from '../../transport/common/targetTransport.js';
 import type { AttemptOutcome } from './attemptOutcome.js';
 import { isProvablyNotRun, toFailedAttempt } from './attemptOutcome.js';
 
 /** Work handed out this long after a target was known to be leaving is a broken promise. */
-const LEAVING_GRACE_MS = 3000;
+const DRAINING_GRACE_MS = 3000;
 const MIN_TIMEOUT_MS = 1;
 
 /** What was dispatched for one request so far. */
@@ -18,7 +18,7 @@
   provablyNotRun = 0;
 
   /** True when some target may have executed the request. */
-  isMaybeRun(): boolean {
+  hasPossiblyRun(): boolean {
     return this.dispatched > this.provablyNotRun;
   }
 }
@@ -54,7 +54,7 @@
       const outcome: AttemptOutcome = {
         kind: 'answered',
         target,
-        answer: reserveSlot(answer, slot),
+        response: releaseSlotAtEnd(answer, slot),
       };
       if (mark.isDispatched && isProvablyNotRun(outcome)) count.provablyNotRun += 1;
       return outcome;
@@ -67,7 +67,7 @@
     }
   }
 
-  private send(attempt: IAttempt, onDispatch: () => void): Promise<ITargetAnswer> {
+  private send(attempt: IAttempt, onDispatch: () => void): Promise<ITargetResponse> {
     const { request, slot } = attempt;
     const leftMs = request.deadlineMs - this.context.clock.getMonotonicTime();
     return this.context.transport.send(
@@ -88,7 +88,7 @@
     return {
       signal: attempt.signal,
       freshConnection: attempt.isFresh,
-      maxAnswerBytes: this.context.maxAnswerBytes,
+      maxResponseBytes: this.context.maxAnswerBytes,
       streamLarge: attempt.request.route.streamLargeAnswers,
       onDispatch,
     };
@@ -100,20 +100,20 @@
     const { invariants, clock } = this.context;
     invariants.check(
       InvariantName.AtMostOnce,
-      request.route.idempotent || !count.isMaybeRun(),
+      request.route.idempotent || !count.hasPossiblyRun(),
       () => `${this.member}/${request.route.service}: second dispatch of one attempt`,
     );
-    const leavingMs = slot.handle.getLeavingMs(clock.getWallTime(), clock.getMonotonicTime());
+    const leavingMs = slot.handle.getDrainingMs(clock.getWallTime(), clock.getMonotonicTime());
     invariants.check(
       InvariantName.LeavingTarget,
-      leavingMs < LEAVING_GRACE_MS,
+      leavingMs < DRAINING_GRACE_MS,
       () => `${this.member}/${request.route.service}: ${slot.handle.address} has left`,
     );
   }
 }
 
 /** Gives the slot back at once for a whole answer, or when a streamed one has passed or broken. */
-function reserveSlot(answer: ITargetAnswer, slot: ISlot): ITargetAnswer {
+function releaseSlotAtEnd(answer: ITargetResponse, slot: ISlot): ITargetResponse {
   if (answer.body instanceof Uint8Array) {
     slot.release();
     return answer;
--- a/packages/routing/src/attempt/common/hedgedAttempt.ts
+++ b/packages/routing/src/attempt/common/hedgedAttempt.ts
@@ -1,7 +1,7 @@
 /** An attempt that, when overdue, gets a second one beside it; the first good answer wins. */
 import type { Clock } from '@parsleymux/base';
 import type { AttemptOutcome } from './attemptOutcome.js';
-import { discardOutcome, isGood } from './attemptOutcome.js';
+import { discardOutcome, isSuccessful } from './attemptOutcome.js';
 
 /** An attempt under way. */
 export interface IRunningAttempt {
@@ -14,14 +14,14 @@
   readonly clock: Clock;
   readonly first: IRunningAttempt;
   /** Time after which the first attempt is overdue, in ms; undefined for never. */
-  readonly stallMs: number | undefined;
+  readonly hedgeDelayMs: number | undefined;
   /** Called when the first attempt is overdue; starts the second, or not. */
-  onStall(): IRunningAttempt | undefined;
+  onOverdue(): IRunningAttempt | undefined;
 }
 
 /** The first good outcome, or the last one if none is good. */
 export function runHedged(options: IHedgeOptions): Promise<AttemptOutcome> {
-  const { clock, first, stallMs } = options;
+  const { clock, first, hedgeDelayMs: stallMs } = options;
   if (stallMs === undefined) return first.outcome;
   return new Promise((resolve) => {
     let running = 1;
@@ -29,7 +29,7 @@
     let second: IRunningAttempt | undefined;
     const settle = (outcome: AttemptOutcome, other: IRunningAttempt | undefined) => {
       running -= 1;
-      if (isSettled || (running > 0 && !isGood(outcome))) {
+      if (isSettled || (running > 0 && !isSuccessful(outcome))) {
         discardOutcome(outcome);
         return;
       }
@@ -39,7 +39,7 @@
       resolve(outcome);
     };
     const timer = clock.startTimer(stallMs, () => {
-      second = options.onStall();
+      second = options.onOverdue();
       if (second === undefined) return;
       running += 1;
       void second.outcome.then((outcome) => {
--- a/packages/routing/src/ejection/common/copySender.test.ts
+++ b/packages/routing/src/ejection/common/copySender.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { buildAnswer, buildRequest, buildRoute } from '../../test/common/builders.js';
+import { buildResponse, buildRequest, buildRoute } from '../../test/common/builders.js';
 import { createHomeFixture } from '../../test/common/homeFixture.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
 
@@ -12,14 +12,14 @@
   // Sequence: a booking is overdue; the check sends a copy of a read; its answer exceeds what is
   // held whole, so the exchange fails.
   // Cause: a failed exchange was taken for silence, though the target had answered.
-  const { home, transport, clock, standings, answerAfter } = createHomeFixture(4, () => {
-    return Promise.resolve(buildAnswer());
+  const { home, transport, clock, standings, respondAfter } = createHomeFixture(4, () => {
+    return Promise.resolve(buildResponse());
   });
   let number = 0;
   transport.respond = async (request, options) => {
     const isCopy = options.onDispatch === undefined;
     number += 1;
-    if (!isCopy) return answerAfter(number % 50 === 0 ? 500 : 10)(request, options);
+    if (!isCopy) return respondAfter(number % 50 === 0 ? 500 : 10)(request, options);
     await clock.sleep(5);
     throw new TransportError({
       failure: TransportFailure.TooLarge,
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -4,7 +4,7 @@
 import { TargetObserver } from '../../detection/common/targetObserver.js';
 import type { IObservation } from '../../detection/common/targetObserver.js';
 import type { Respond } from '../../test/common/builders.js';
-import { buildAnswer, buildRequest, buildRoute } from '../../test/common/builders.js';
+import { buildResponse, buildRequest, buildRoute } from '../../test/common/builders.js';
 import type { IHomeFixtureOptions } from '../../test/common/homeFixture.js';
 import { createHomeFixture } from '../../test/common/homeFixture.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
@@ -27,7 +27,7 @@
   const state = { isBroken: false, bookings: 0 };
   const fixture = createHomeFixture(
     4,
-    () => Promise.resolve(buildAnswer()),
+    () => Promise.resolve(buildResponse()),
     { floorSlots },
     options,
   );
@@ -35,7 +35,7 @@
   transport.respond = async (request, sendOptions) => {
     if (request.target === 't0' && request.method === 'POST') state.bookings += 1;
     if (request.target === 't0' && state.isBroken) return broken(request, sendOptions);
-    return fixture.answerAfter(10)(request, sendOptions);
+    return fixture.respondAfter(10)(request, sendOptions);
   };
   let number = 0;
   /** One request every 5 ms; every third must not run twice. */
@@ -60,7 +60,7 @@
 
 const fail: Respond = (_request, options) => {
   options.onDispatch?.();
-  return Promise.resolve(buildAnswer({ status: 500 }));
+  return Promise.resolve(buildResponse({ status: 500 }));
 };
 
 function makeSilence(fixture: () => ReturnType<typeof setUp>): Respond {
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -6,7 +6,7 @@
 import type { IDisposable } from '@parsleymux/base';
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
 import { EjectionDecision } from '../../ledger/common/ejectionLedger.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { IEjectionSurroundings } from './ejectionSurroundings.js';
 import { sendEvidenceCopy } from './evidenceCopy.js';
@@ -56,8 +56,8 @@
 
   /** The target said that it is draining. */
   handleDraining(handle: TargetHandle): void {
-    if (handle.standing === Standing.Draining) return;
-    this.back.setStanding(handle, Standing.Draining, 'says that it is draining');
+    if (handle.standing === HealthStatus.Draining) return;
+    this.back.setStanding(handle, HealthStatus.Draining, 'says that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
@@ -71,7 +71,7 @@
     for (const address of this.back.listInLedger()) {
       const handle = this.surroundings.pool.handles.get(address);
       if (handle === undefined || this.tasks.has(address)) continue;
-      this.back.setStanding(handle, Standing.Ejected, 'ejected in the ledger');
+      this.back.setStanding(handle, HealthStatus.Ejected, 'ejected in the ledger');
       const suspicion = { ...TAKEN_OVER, target: address };
       this.startTask(handle, () => this.waitAndReturn(handle, suspicion));
     }
@@ -88,7 +88,7 @@
       .catch((error: unknown) => {
         // Without a task the target would keep its standing for ever; serving is the safe end.
         if (this.abort.signal.aborted) return;
-        this.back.setStanding(handle, Standing.Serving, `task failed: ${String(error)}`);
+        this.back.setStanding(handle, HealthStatus.Serving, `task failed: ${String(error)}`);
       })
       .finally(() => {
         this.tasks.delete(address);
@@ -96,7 +96,7 @@
         this.surroundings.pool.serveWaiting();
         // It said so while another task had it in hand.
         const isOurs = this.back.isConfigured(handle) && !this.abort.signal.aborted;
-        if (handle.standing === Standing.Draining && isOurs) {
+        if (handle.standing === HealthStatus.Draining && isOurs) {
           this.startTask(handle, () => this.waitWhileDraining(handle));
         }
       });
@@ -105,11 +105,11 @@
 
   private async runSuspicion(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     const { traits } = this.detector;
-    this.back.setStanding(handle, Standing.Suspect, suspicion.reason);
+    this.back.setStanding(handle, HealthStatus.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
       // The evidence is kept: should it grow again, less of it is needed.
-      this.back.setStanding(handle, Standing.Serving, '');
+      this.back.setStanding(handle, HealthStatus.Serving, '');
       return;
     }
     if (
@@ -117,7 +117,7 @@
       suspicion.isPathPossible &&
       (await this.checkPath(handle, suspicion))
     ) {
-      this.back.setStanding(handle, Standing.Suspect, `path fault: ${suspicion.reason}`);
+      this.back.setStanding(handle, HealthStatus.Suspect, `path fault: ${suspicion.reason}`);
       return this.waitForPath(handle, suspicion);
     }
     return this.eject(handle, suspicion);
@@ -137,7 +137,7 @@
     for (;;) {
       const decision = await this.requestEjection(handle);
       if (decision === EjectionDecision.Granted) break;
-      this.back.setStanding(handle, Standing.Suspect, `${decision}: ${suspicion.reason}`);
+      this.back.setStanding(handle, HealthStatus.Suspect, `${decision}: ${suspicion.reason}`);
       this.detector.reset(handle.address);
       await this.back.sleep(RETRY_LEDGER_MS);
       if (!this.back.isConfigured(handle)) return;
@@ -146,7 +146,7 @@
         return;
       }
     }
-    this.back.setStanding(handle, Standing.Ejected, suspicion.reason);
+    this.back.setStanding(handle, HealthStatus.Ejected, suspicion.reason);
     return this.waitAndReturn(handle, suspicion);
   }
 
@@ -164,10 +164,10 @@
       if (!this.back.listInLedger().has(handle.address)) {
         // Someone else gave it back. The ledger counts its slots as healthy, so it may be left out
         // only when the ledger agrees again; kept ejected here, the floor would break unseen.
-        this.back.setStanding(handle, Standing.Suspect, reason);
+        this.back.setStanding(handle, HealthStatus.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
-      this.back.setStanding(handle, Standing.Ejected, reason);
+      this.back.setStanding(handle, HealthStatus.Ejected, reason);
     }
     await this.back.returnToLedger(handle);
   }
@@ -186,11 +186,11 @@
       if (isWell) break;
       // One dead trial may be the tail of a burst of losses; until the second it is last choice.
       deadTrials = goodCopies === 0 ? deadTrials + 1 : 0;
-      if (deadTrials >= DEAD_TRIALS && !handle.isCutOff) {
-        handle.isCutOff = true;
-        this.back.setStanding(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
+      if (deadTrials >= DEAD_TRIALS && !handle.isLocallyUnreachable) {
+        handle.isLocallyUnreachable = true;
+        this.back.setStanding(handle, HealthStatus.Suspect, `cut off: ${suspicion.reason}`);
       }
-      await this.back.sleep(handle.isCutOff ? RETRY_PATH_MS : SECOND_TRIAL_MS);
+      await this.back.sleep(handle.isLocallyUnreachable ? RETRY_PATH_MS : SECOND_TRIAL_MS);
       if (!this.back.isConfigured(handle)) return;
     }
     this.back.serve(handle);
@@ -213,8 +213,12 @@
   private requestEjection(handle: TargetHandle): Promise<EjectionDecision> {
     const others = [...this.surroundings.pool.handles.values()];
     const unhealthy = others.filter((other) => {
-      const isOut = other.standing === Standing.Cold || other.standing === Standing.Draining;
-      return other !== handle && (isOut || other.standing === Standing.Trial || other.isCutOff);
+      const isOut =
+        other.standing === HealthStatus.Cold || other.standing === HealthStatus.Draining;
+      return (
+        other !== handle &&
+        (isOut || other.standing === HealthStatus.Trial || other.isLocallyUnreachable)
+      );
     });
     const addresses = unhealthy.map((other) => other.address);
     return this.surroundings.requestEjection(handle, addresses, this.abort.signal);
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -1,6 +1,6 @@
 /** How an ejected, cold or cut-off target comes back: waiting, trial, ramp, and the ledger. */
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { EjectionBackoff } from './ejectionBackoff.js';
 import type { IEjectionSurroundings } from './ejectionSurroundings.js';
@@ -61,7 +61,8 @@
   async tryOut(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
     const { clock, sender, samples } = this.surroundings;
     const before = handle.standing;
-    if (before === Standing.Ejected) this.setStanding(handle, Standing.Trial, handle.evidence);
+    if (before === HealthStatus.Ejected)
+      this.setStanding(handle, HealthStatus.Trial, handle.evidence);
     const result = await runTrial({
       clock,
       sender,
@@ -82,16 +83,16 @@
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setStanding(handle, Standing.Cold, 'has just started or returned');
+    this.setStanding(handle, HealthStatus.Cold, 'has just started or returned');
     const endMs = this.getNow() + COLD_MS;
     for (const ramp of RAMP_STEPS) {
-      handle.ramp = ramp;
+      handle.warmUpFactor = ramp;
       this.surroundings.pool.serveWaiting();
       const stepEndMs = this.getNow() + RAMP_STEP_MS;
       await this.sleepUnlessRelapsed(handle, stepEndMs);
     }
     await this.sleepUnlessRelapsed(handle, endMs);
-    handle.ramp = 1;
+    handle.warmUpFactor = 1;
     this.detector.setCold(handle.address, false);
     if (!this.relapsed.has(handle.address)) this.serve(handle);
   }
@@ -99,12 +100,12 @@
   /** The target serves like any other from here on. */
   serve(handle: TargetHandle): void {
     // A target that said meanwhile that it is draining is believed.
-    if (handle.standing === Standing.Draining) return;
-    handle.isCutOff = false;
+    if (handle.standing === HealthStatus.Draining) return;
+    handle.isLocallyUnreachable = false;
     // What came in while the target was left out must not count against it from here on.
     this.detector.reset(handle.address);
     this.getBackoff(handle).recordReturn(this.getNow());
-    this.setStanding(handle, Standing.Serving, '');
+    this.setStanding(handle, HealthStatus.Serving, '');
   }
 
   /** Serving an ejected target never breaks the floor, so a ledger that is out delays nothing. */
@@ -139,8 +140,8 @@
   }
 
   /** Changes how the target stands, and tells whoever wants to know. */
-  setStanding(handle: TargetHandle, standing: Standing, reason: string): void {
-    handle.setStanding(standing, reason, this.getNow());
+  setStanding(handle: TargetHandle, standing: HealthStatus, reason: string): void {
+    handle.setHealthStatus(standing, reason, this.getNow());
     this.surroundings.notifyStanding(handle);
   }
 
--- a/packages/routing/src/guard/common/dispatchGuard.ts
+++ b/packages/routing/src/guard/common/dispatchGuard.ts
@@ -1,6 +1,6 @@
 /** Stands between the arrival of a non-idempotent request at its home and its dispatch. */
 import type { MuxError } from '@parsleymux/base';
-import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
+import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
 
 /** The attempt that the guard decides on. */
 export interface IGuardedAttempt {
@@ -11,11 +11,11 @@
    * Queues and dispatches, once at most. Rejects with a MuxError whose run state is the truth:
    * NotRun only if no byte left or the target said so.
    */
-  run(signal: AbortSignal): Promise<IAnswer>;
+  run(signal: AbortSignal): Promise<IResponse>;
 }
 
 /** Lets a non-idempotent request run at most once across the whole fleet. */
 export abstract class DispatchGuard {
   /** Gives the answer of the one execution, be it this one or an earlier. */
-  abstract execute(attempt: IGuardedAttempt, signal: AbortSignal): Promise<IAnswer>;
+  abstract execute(attempt: IGuardedAttempt, signal: AbortSignal): Promise<IResponse>;
 }
--- a/packages/routing/src/home/common/evidenceIntake.ts
+++ b/packages/routing/src/home/common/evidenceIntake.ts
@@ -3,7 +3,7 @@
 import type { IDisposable } from '@parsleymux/base';
 import type { Service } from '@parsleymux/schema';
 import type { AttemptOutcome } from '../../attempt/common/attemptOutcome.js';
-import { isGood } from '../../attempt/common/attemptOutcome.js';
+import { isSuccessful } from '../../attempt/common/attemptOutcome.js';
 import type { FailureDetector, IEvidence } from '../../detection/common/failureDetector.js';
 import { Evidence } from '../../detection/common/failureDetector.js';
 import { ConnectionCheck } from '../../ejection/common/connectionCheck.js';
@@ -11,7 +11,7 @@
 import { EjectionController } from '../../ejection/common/ejectionController.js';
 import { SampleKeeper } from '../../ejection/common/requestSample.js';
 import type { IRoutedRequest } from '../../request/common/request.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { TransportFailure } from '../../transport/common/targetTransport.js';
 import { buildSurroundings } from './ejectionWiring.js';
@@ -92,8 +92,8 @@
     wasStalled: boolean,
   ): void {
     if (outcome.kind === 'answered') {
-      if (outcome.answer.draining) this.controller.handleDraining(handle);
-      if (isGood(outcome)) this.samples.record(request);
+      if (outcome.response.draining) this.controller.handleDraining(handle);
+      if (isSuccessful(outcome)) this.samples.record(request);
     }
     if (wasStalled) return;
     if (this.isConnectionSuspect(outcome)) {
@@ -128,9 +128,9 @@
     };
     if (outcome.kind === 'answered') {
       // Shedding is honest: it lowers the concurrency limit, and says nothing of failing.
-      if (outcome.answer.notRun) return undefined;
-      if (!isGood(outcome)) return { ...common, kind: Evidence.Failure };
-      return { ...common, kind: Evidence.Success, latencyMs: outcome.answer.latencyMs };
+      if (outcome.response.notRun) return undefined;
+      if (!isSuccessful(outcome)) return { ...common, kind: Evidence.Failure };
+      return { ...common, kind: Evidence.Success, latencyMs: outcome.response.latencyMs };
     }
     const { failure } = outcome.error;
     const isOurs =
@@ -142,7 +142,7 @@
 
   private recordEvidence(handle: TargetHandle, evidence: IEvidence): void {
     // What was under way when the target was ejected says nothing about its return.
-    if (handle.standing === Standing.Ejected || handle.standing === Standing.Trial) return;
+    if (handle.standing === HealthStatus.Ejected || handle.standing === HealthStatus.Trial) return;
     const suspicion = this.detector.recordEvidence(evidence);
     if (suspicion !== undefined) this.controller.handleSuspicion(handle, suspicion);
   }
@@ -161,14 +161,14 @@
       clock: context.clock,
       tryFresh: async () => {
         // Until it is known who is silent, further requests would only join those that wait.
-        handle.isUnderCheck = true;
+        handle.isBeingProbed = true;
         const isAnswered = await this.tryFresh(handle);
-        handle.isUnderCheck = false;
+        handle.isBeingProbed = false;
         this.options.pool.serveWaiting();
         return isAnswered;
       },
       retireConnections: () => {
-        context.metrics.connectionsAccused.inc(this.getLabels());
+        context.metrics.silentConnections.inc(this.getLabels());
         context.transport.retireConnections(member, handle.address);
       },
       chargeTarget: (silences) => {
@@ -221,7 +221,7 @@
     const sample = this.samples.getHealth();
     const copy = { handle, sample, timeoutMs: PROBE_TIMEOUT_MS, signal };
     const result = await this.sender.send(copy);
-    if (result === undefined || handle.standing !== Standing.Serving) return;
+    if (result === undefined || handle.standing !== HealthStatus.Serving) return;
     const suspicion = this.detector.recordProbe(handle.address, result.succeeded);
     if (suspicion !== undefined) this.controller.handleSuspicion(handle, suspicion);
   }
--- a/packages/routing/src/home/common/homeOptions.ts
+++ b/packages/routing/src/home/common/homeOptions.ts
@@ -10,7 +10,7 @@
 import type { TargetObserver } from '../../detection/common/targetObserver.js';
 import { AbsentObserver } from '../../detection/common/targetObserver.js';
 import { HomeMetrics } from '../../metrics/common/homeMetrics.js';
-import type { Standing } from '../../target/common/targetHandle.js';
+import type { HealthStatus } from '../../target/common/targetHandle.js';
 import type { DispatchGuard } from '../../guard/common/dispatchGuard.js';
 import type { EjectionLedger } from '../../ledger/common/ejectionLedger.js';
 import type { TargetTransport } from '../../transport/common/targetTransport.js';
@@ -32,7 +32,7 @@
   readonly member: string;
   readonly service: string;
   readonly target: string;
-  readonly standing: Standing;
+  readonly standing: HealthStatus;
   readonly reason: string;
   /** Instant on the monotonic clock. */
   readonly atMs: number;
--- a/packages/routing/src/home/common/localHomeService.test.ts
+++ b/packages/routing/src/home/common/localHomeService.test.ts
@@ -5,7 +5,7 @@
 import { TargetState } from '@parsleymux/schema';
 import type { Respond } from '../../test/common/builders.js';
 import {
-  buildAnswer,
+  buildResponse,
   buildRequest,
   buildRoute,
   buildService,
@@ -27,10 +27,10 @@
 }
 
 test('an idempotent request that failed is tried on another target', async () => {
-  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(true)(request, options);
-    return Promise.resolve(buildAnswer());
+    return Promise.resolve(buildResponse());
   };
   const answer = await home.handle(buildRequest(), signal);
   assert.equal(answer.runState, RunState.Ran);
@@ -54,7 +54,7 @@
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(false)(request, options);
     options.onDispatch?.();
-    return Promise.resolve(buildAnswer());
+    return Promise.resolve(buildResponse());
   };
   const request = buildRequest({ route: buildRoute(false), idempotencyKey: 'k' });
   const answer = await home.handle(request, signal);
@@ -63,7 +63,7 @@
 
 test('a target past its leaving instant or draining gets nothing new', async () => {
   const { home, transport, configService } = createHomeFixture(3, () =>
-    Promise.resolve(buildAnswer()),
+    Promise.resolve(buildResponse()),
   );
   await home.handle(buildRequest(), signal);
   const service = buildService(3);
@@ -76,14 +76,14 @@
 });
 
 test('no request exceeds the slots, and the full queue refuses truthfully with when to come back', async () => {
-  const { home, transport, clock, answerAfter } = createHomeFixture(
+  const { home, transport, clock, respondAfter } = createHomeFixture(
     1,
-    () => Promise.resolve(buildAnswer()),
+    () => Promise.resolve(buildResponse()),
     {
       queueFactor: 1,
     },
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const requests = Array.from({ length: 9 }, () => home.handle(buildRequest(), signal));
   const settled = Promise.allSettled(requests);
   await clock.advanceBy(50);
@@ -99,10 +99,10 @@
 });
 
 test('a caller that hangs up cancels a read but not a booking', async () => {
-  const { home, transport, clock, answerAfter } = createHomeFixture(1, () =>
-    Promise.resolve(buildAnswer()),
+  const { home, transport, clock, respondAfter } = createHomeFixture(1, () =>
+    Promise.resolve(buildResponse()),
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const abort = new AbortController();
   const booking = home.handle(
     buildRequest({ route: buildRoute(false), idempotencyKey: 'k' }),
@@ -122,13 +122,13 @@
   // Symptom: a member's requests are refused while another floods the same node.
   // Sequence: the flood fills the node's places; the quiet member comes too late.
   // Cause: places went to whoever came first.
-  const { home, transport, clock, answerAfter } = createHomeFixture(
+  const { home, transport, clock, respondAfter } = createHomeFixture(
     4,
-    () => Promise.resolve(buildAnswer()),
+    () => Promise.resolve(buildResponse()),
     { queueFactor: 10 },
     { maxInFlight: 20 },
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const quiet = home.handle(buildRequest({ member: OTHER_MEMBER }), signal);
   const flood = Array.from({ length: 40 }, () => home.handle(buildRequest(), signal));
   const settled = Promise.allSettled(flood);
@@ -143,7 +143,7 @@
 });
 
 test('a home without requests is closed, and made again when one comes', async () => {
-  const { home, clock } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, clock } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   await home.handle(buildRequest(), signal);
   assert.equal(home.getStatus().length, 1);
   await clock.advanceBy(200_000);
--- a/packages/routing/src/home/common/localHomeService.ts
+++ b/packages/routing/src/home/common/localHomeService.ts
@@ -1,7 +1,7 @@
 /** All services that this node is home of, made on demand from the configuration in force. */
 import type { IDisposable } from '@parsleymux/base';
 import type { Service, ShardStatus } from '@parsleymux/schema';
-import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
+import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
 import { FairShares } from '../../limits/common/fairShares.js';
 import { makeMemberLimit, makeNoTarget } from '../../refusal/common/refusals.js';
 import type { IHomeContext, IHomeOptions } from './homeOptions.js';
@@ -42,7 +42,7 @@
     void this.closeIdle().catch(() => undefined);
   }
 
-  override async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  override async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     const home = this.findHome(request.member, request.route.service);
     if (home === undefined) throw makeNoTarget(this.context.random.getJittered(RETRY_AFTER_MS));
     const release = this.shares.reserve(request.member, 1);
--- a/packages/routing/src/home/common/serviceHome.ts
+++ b/packages/routing/src/home/common/serviceHome.ts
@@ -5,17 +5,17 @@
 import type { AttemptOutcome } from '../../attempt/common/attemptOutcome.js';
 import {
   discardOutcome,
-  isGood,
+  isSuccessful,
   isProvablyNotRun,
-  isWorthRetrying,
-  toAnswer,
+  isRetryable,
+  toResponse,
 } from '../../attempt/common/attemptOutcome.js';
 import type { IRunningAttempt } from '../../attempt/common/hedgedAttempt.js';
 import { runHedged } from '../../attempt/common/hedgedAttempt.js';
 import { makeDeadlinePassed } from '../../refusal/common/refusals.js';
 import { AttemptRunner, DispatchCount } from '../../attempt/common/attemptRunner.js';
 import { RetryBudget } from '../../budget/common/retryBudget.js';
-import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
+import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
 import { EvidenceIntake } from './evidenceIntake.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { ISlot } from './slotPool.js';
@@ -90,7 +90,7 @@
   }
 
   /** Serves one request. Rejects with a MuxError. */
-  async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     this.inFlight += 1;
     this.lastUsedMs = this.context.clock.getMonotonicTime();
     try {
@@ -109,7 +109,7 @@
   }
 
   /** Attempts on one target after another, as far as that is safe and the budget allows. */
-  private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     const passage: IPassage = { request, signal, count: new DispatchCount(), tried: new Set() };
     try {
       return await this.tryTargets(passage);
@@ -118,7 +118,7 @@
     }
   }
 
-  private async tryTargets(passage: IPassage): Promise<IAnswer> {
+  private async tryTargets(passage: IPassage): Promise<IResponse> {
     let last: AttemptOutcome | undefined;
     for (;;) {
       const slot = await this.waitForSlot(passage, last);
@@ -133,7 +133,7 @@
       if (!this.isRetryAllowed(passage, last)) break;
     }
     if (last === undefined) throw new Error('no attempt was made');
-    return toAnswer(last, this.pool.computeRetryAfter());
+    return toResponse(last, this.pool.computeRetryAfter());
   }
 
   private hasPassed(deadlineMs: number): boolean {
@@ -162,8 +162,8 @@
     const outcome = await runHedged({
       clock: this.context.clock,
       first: this.startAttempt(passage, slot, mark),
-      stallMs: this.intake.getStallLimit(request, slot.handle),
-      onStall: () => {
+      hedgeDelayMs: this.intake.getStallLimit(request, slot.handle),
+      onOverdue: () => {
         mark.isStalled = this.intake.recordStall(request, slot.handle, isFresh);
         return this.startHedge(passage);
       },
@@ -219,18 +219,18 @@
     outcome: AttemptOutcome,
     durationMs: number,
   ): void {
-    if (isGood(outcome)) {
+    if (isSuccessful(outcome)) {
       this.budget.recordSuccess();
       this.pool.recordServiceTime(route, durationMs);
       slot.handle.recordAccepted();
-    } else if (outcome.kind === 'answered' && outcome.answer.notRun) {
+    } else if (outcome.kind === 'answered' && outcome.response.notRun) {
       this.context.metrics.sheds.inc(this.labels);
       slot.handle.recordShed();
     }
   }
 
   private isRetryAllowed(passage: IPassage, outcome: AttemptOutcome): boolean {
-    if (passage.signal.aborted || !isWorthRetrying(outcome)) return false;
+    if (passage.signal.aborted || !isRetryable(outcome)) return false;
     if (!passage.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
     if (!this.budget.spend()) return false;
     this.context.metrics.retries.inc(this.labels);
@@ -240,7 +240,7 @@
   /** A refusal is truthful only if it reckons with every attempt of the request. */
   private checkRefusal(passage: IPassage, error: unknown): unknown {
     if (!(error instanceof MuxError)) return error;
-    const mayHaveRun = passage.count.isMaybeRun();
+    const mayHaveRun = passage.count.hasPossiblyRun();
     const truthful = mayHaveRun ? error.toMayHaveRun() : error;
     this.context.invariants.check(
       InvariantName.TruthfulRefusal,
--- a/packages/routing/src/home/common/shardStatus.ts
+++ b/packages/routing/src/home/common/shardStatus.ts
@@ -3,7 +3,7 @@
 import type { ShardStatus, TargetStatus } from '@parsleymux/schema';
 import { ShardStatusSchema, TargetStatusSchema } from '@parsleymux/schema';
 import { isConfiguredServing } from '../../ledger/common/floorArithmetic.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { ServiceHome } from './serviceHome.js';
@@ -27,7 +27,7 @@
   const ageMs = context.clock.getMonotonicTime() - handle.sinceMs;
   return create(TargetStatusSchema, {
     address: handle.address,
-    verdict: isServing ? handle.standing : Standing.Draining,
+    verdict: isServing ? handle.standing : HealthStatus.Draining,
     evidence: handle.evidence,
     slotsUsed: handle.inUse,
     connections: context.transport.getConnectionCount(member, handle.address),
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -254,12 +254,12 @@
   private getAllowed(): number {
     return Math.max(
       1,
-      this.countUsable((handle) => handle.getAllowed()),
+      this.countUsable((handle) => handle.getEffectiveLimit()),
     );
   }
 
   private getFree(): number {
-    return this.countUsable((handle) => Math.max(0, handle.getAllowed() - handle.inUse));
+    return this.countUsable((handle) => Math.max(0, handle.getEffectiveLimit() - handle.inUse));
   }
 
   private hasUsable(excluded: ReadonlySet<string>): boolean {
--- a/packages/routing/src/home/common/streamedAnswers.test.ts
+++ b/packages/routing/src/home/common/streamedAnswers.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MuxError, RunState } from '@parsleymux/base';
-import type { AnswerBody } from '../../request/common/request.js';
-import { discardBody } from '../../request/common/answerBody.js';
-import { buildAnswer, buildRequest, MEMBER, SERVICE } from '../../test/common/builders.js';
+import type { ResponseBody } from '../../request/common/request.js';
+import { discardBody } from '../../request/common/responseBody.js';
+import { buildResponse, buildRequest, MEMBER, SERVICE } from '../../test/common/builders.js';
 import { createHomeFixture } from '../../test/common/homeFixture.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
 
@@ -29,7 +29,7 @@
   }
 }
 
-async function readAll(body: AnswerBody): Promise<number> {
+async function readAll(body: ResponseBody): Promise<number> {
   if (body instanceof Uint8Array) return body.length;
   let length = 0;
   for await (const chunk of body) length += chunk.length;
@@ -38,7 +38,7 @@
 
 test('a streamed answer holds its slot until it was read to its end', async () => {
   const { home } = createHomeFixture(1, () =>
-    Promise.resolve(buildAnswer({ body: new OpenBody() })),
+    Promise.resolve(buildResponse({ body: new OpenBody() })),
   );
   const answer = await home.handle(buildRequest(), signal);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 3);
@@ -51,7 +51,7 @@
   // Sequence: the target's answer begins; the caller hangs up before its first byte is written.
   // Cause: a generator that was never started runs no finally block when it is given up.
   const body = new OpenBody();
-  const { home } = createHomeFixture(1, () => Promise.resolve(buildAnswer({ body })));
+  const { home } = createHomeFixture(1, () => Promise.resolve(buildResponse({ body })));
   const answer = await home.handle(buildRequest(), signal);
   await discardBody(answer.body);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 4);
@@ -61,10 +61,10 @@
 test('a large error answer that is tried again elsewhere gives slot and connection back', async () => {
   // Symptom and cause as above. Sequence: a target answers 500 with a page above the limit.
   const body = new OpenBody();
-  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   transport.respond = () => {
     const isFirst = transport.sent.length === 1;
-    return Promise.resolve(isFirst ? buildAnswer({ status: 500, body }) : buildAnswer());
+    return Promise.resolve(isFirst ? buildResponse({ status: 500, body }) : buildResponse());
   };
   const answer = await home.handle(buildRequest(), signal);
   assert.equal(answer.status, 200);
@@ -77,7 +77,7 @@
   // Sequence: the first target's connection breaks after dispatch; the second refuses connections.
   // Cause: the failure to connect was counted as the proof that the first dispatch did not run.
   const { home, transport, invariants } = createHomeFixture(2, () =>
-    Promise.resolve(buildAnswer()),
+    Promise.resolve(buildResponse()),
   );
   transport.respond = (_request, options) => {
     const mayHaveRun = transport.sent.length === 1;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -15,7 +15,7 @@
 export * from './ledger/common/tableEjectionLedger.js';
 export * from './limits/common/fairShares.js';
 export * from './metrics/common/homeMetrics.js';
-export * from './request/common/answerBody.js';
+export * from './request/common/responseBody.js';
 export * from './request/common/request.js';
 export * from './shard/common/shardPlan.js';
 export * from './target/common/targetHandle.js';
--- a/packages/routing/src/metrics/common/homeMetrics.ts
+++ b/packages/routing/src/metrics/common/homeMetrics.ts
@@ -11,7 +11,7 @@
   readonly retries: ServiceCounter;
   readonly hedges: ServiceCounter;
   readonly sheds: ServiceCounter;
-  readonly connectionsAccused: ServiceCounter;
+  readonly silentConnections: ServiceCounter;
   readonly pathFaults: ServiceCounter;
   readonly ejections: Counter<'member' | 'service' | 'decision'>;
   readonly trials: Counter<'member' | 'service' | 'result'>;
@@ -21,7 +21,7 @@
     this.retries = this.createCounter('retries', 'Attempts after a failed one.');
     this.hedges = this.createCounter('hedges', 'Second attempts beside an overdue one.');
     this.sheds = this.createCounter('sheds', 'Answers by which targets refused to run a request.');
-    this.connectionsAccused = this.createCounter(
+    this.silentConnections = this.createCounter(
       'connections_accused',
       'Times that connections, not their target, were found to be silent.',
     );
--- a/packages/routing/src/request/common/request.ts
+++ b/packages/routing/src/request/common/request.ts
@@ -25,13 +25,13 @@
 }
 
 /** Bytes at hand, or bytes that are still arriving; an iteration that throws is a broken answer. */
-export type AnswerBody = Uint8Array | AsyncIterable<Uint8Array>;
+export type ResponseBody = Uint8Array | AsyncIterable<Uint8Array>;
 
 /** The whole answer to one request. Refusals are thrown as MuxError instead. */
-export interface IAnswer {
+export interface IResponse {
   readonly status: number;
   readonly headers: readonly Header[];
-  readonly body: AnswerBody;
+  readonly body: ResponseBody;
   readonly code: ResultCode;
   readonly runState: RunState;
 }
--- a/packages/routing/src/request/common/answerBody.ts
+++ b/packages/routing/src/request/common/responseBody.ts
@@ -2,7 +2,7 @@
  * Care for bodies that are still arriving. Each holds a connection and a slot until it ends, so
  * whoever lets go of an answer without reading it has to say so.
  */
-import type { AnswerBody } from './request.js';
+import type { ResponseBody } from './request.js';
 
 /**
  * Gives a body up: its connection is closed. Harmless for whole bodies and for ended ones.
@@ -10,7 +10,7 @@
  * @example
  * if (response.destroyed) await discardBody(answer.body);
  */
-export async function discardBody(body: AnswerBody): Promise<void> {
+export async function discardBody(body: ResponseBody): Promise<void> {
   if (body instanceof Uint8Array) return;
   await body[Symbol.asyncIterator]().return?.();
 }
--- a/packages/routing/src/target/common/targetHandle.test.ts
+++ b/packages/routing/src/target/common/targetHandle.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { TargetState } from '@parsleymux/schema';
 import { buildService } from '../../test/common/builders.js';
-import { Standing, TargetHandle } from './targetHandle.js';
+import { HealthStatus, TargetHandle } from './targetHandle.js';
 
 const START_MS = 1000;
 const WALL_MS = 5_000_000;
@@ -18,15 +18,15 @@
   // Sequence: a plan drains a target, and a home with a fault goes on dispatching to it. Cause:
   // the invariant knew leaving instants only.
   const handle = new TargetHandle(makeTarget(), START_MS);
-  assert.equal(handle.getLeavingMs(WALL_MS, START_MS + 9000), 0);
+  assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 9000), 0);
   handle.update(makeTarget(TargetState.DRAINING), START_MS + 1000);
   handle.update(makeTarget(TargetState.DRAINING), START_MS + 2000);
-  assert.equal(handle.getLeavingMs(WALL_MS, START_MS + 5000), 4000);
+  assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 5000), 4000);
   handle.update(makeTarget(TargetState.SERVING, BigInt(WALL_MS)), START_MS + 5000);
-  assert.equal(handle.getLeavingMs(WALL_MS + 700, START_MS + 6000), 700);
+  assert.equal(handle.getDrainingMs(WALL_MS + 700, START_MS + 6000), 700);
   handle.update(makeTarget(), START_MS + 6000);
-  handle.setStanding(Standing.Draining, 'says that it is draining', START_MS + 6000);
-  assert.equal(handle.getLeavingMs(WALL_MS, START_MS + 6300), 300);
-  handle.setStanding(Standing.Serving, '', START_MS + 7000);
-  assert.equal(handle.getLeavingMs(WALL_MS, START_MS + 9000), 0);
+  handle.setHealthStatus(HealthStatus.Draining, 'says that it is draining', START_MS + 6000);
+  assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 6300), 300);
+  handle.setHealthStatus(HealthStatus.Serving, '', START_MS + 7000);
+  assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 9000), 0);
 });
--- a/packages/routing/src/target/common/targetPicker.ts
+++ b/packages/routing/src/target/common/targetPicker.ts
@@ -1,6 +1,6 @@
 /** Chooses among the targets of a service. */
 import type { RandomSource } from '@parsleymux/base';
-import { Standing } from './targetHandle.js';
+import { HealthStatus } from './targetHandle.js';
 import type { TargetHandle } from './targetHandle.js';
 
 /** What a request asks of a target. */
@@ -24,20 +24,20 @@
   const usable = [...options.handles].filter((handle) => {
     return handle.isUsable(options.wallTimeMs) && !options.excluded.has(handle.address);
   });
-  const trusted = usable.filter((handle) => !isDoubtful(handle));
+  const trusted = usable.filter((handle) => !isSuspected(handle));
   const best = pickLeastLoaded(trusted, options.random);
   if (best !== undefined) return best;
-  const suspects = usable.filter(isDoubtful);
+  const suspects = usable.filter(isSuspected);
   if (trusted.length === 0) return pickLeastLoaded(suspects, options.random);
   if (!options.isIdempotent) return undefined;
   return pickLeastLoaded(
-    suspects.filter((handle) => !handle.isCutOff),
+    suspects.filter((handle) => !handle.isLocallyUnreachable),
     options.random,
   );
 }
 
-function isDoubtful(handle: TargetHandle): boolean {
-  return handle.standing === Standing.Suspect || handle.isUnderCheck;
+function isSuspected(handle: TargetHandle): boolean {
+  return handle.standing === HealthStatus.Suspect || handle.isBeingProbed;
 }
 
 function pickLeastLoaded(
@@ -51,5 +51,5 @@
 }
 
 function computeLoad(handle: TargetHandle): number {
-  return handle.inUse / handle.getAllowed();
+  return handle.inUse / handle.getEffectiveLimit();
 }
--- a/packages/routing/src/test/common/builders.ts
+++ b/packages/routing/src/test/common/builders.ts
@@ -9,7 +9,7 @@
 import type { IRoutedRequest } from '../../request/common/request.js';
 import type {
   ISendOptions,
-  ITargetAnswer,
+  ITargetResponse,
   ITargetRequest,
 } from '../../transport/common/targetTransport.js';
 import { TargetTransport } from '../../transport/common/targetTransport.js';
@@ -80,7 +80,7 @@
   }
 }
 
-export type Respond = (request: ITargetRequest, options: ISendOptions) => Promise<ITargetAnswer>;
+export type Respond = (request: ITargetRequest, options: ISendOptions) => Promise<ITargetResponse>;
 
 /** Sends every request to a function. */
 export class FakeTransport extends TargetTransport {
@@ -91,7 +91,7 @@
     super();
   }
 
-  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     this.sent.push(request.target);
     return this.respond(request, options);
   }
@@ -110,7 +110,7 @@
 }
 
 /** A whole answer. */
-export function buildAnswer(rest: Partial<ITargetAnswer> = {}): ITargetAnswer {
+export function buildResponse(rest: Partial<ITargetResponse> = {}): ITargetResponse {
   return {
     status: 200,
     headers: [],
--- a/packages/routing/src/test/common/fakeTable.ts
+++ b/packages/routing/src/test/common/fakeTable.ts
@@ -17,17 +17,17 @@
   beforeTransact: (() => void) | undefined;
 
   override async read(keys: readonly string[]): Promise<readonly ITableRow[]> {
-    await this.checkUp();
+    await this.ensureUp();
     return keys.flatMap((key) => this.rows.get(key) ?? []);
   }
 
   override async scan(options: IScanOptions): Promise<readonly ITableRow[]> {
-    await this.checkUp();
+    await this.ensureUp();
     return [...this.rows.values()].filter((row) => row.key.startsWith(options.prefix));
   }
 
   override async transact(transaction: ITableTransaction): Promise<ITransactionResult> {
-    await this.checkUp();
+    await this.ensureUp();
     this.beforeTransact?.();
     const failed = transaction.conditions.filter(({ key, version }) => {
       return (this.rows.get(key)?.version ?? 0) !== version;
@@ -49,7 +49,7 @@
     else this.rows.set(key, { key, value, version });
   }
 
-  private async checkUp(): Promise<void> {
+  private async ensureUp(): Promise<void> {
     await Promise.resolve();
     if (this.isDown) throw new PlatformError(PlatformFailure.Unknown, 'table is down');
   }
--- a/packages/routing/src/test/common/homeFixture.ts
+++ b/packages/routing/src/test/common/homeFixture.ts
@@ -6,7 +6,7 @@
 import { LocalHomeService } from '../../home/common/localHomeService.js';
 import { TableEjectionLedger } from '../../ledger/common/tableEjectionLedger.js';
 import type { Respond } from './builders.js';
-import { buildAnswer, buildService, FakeConfigService, FakeTransport } from './builders.js';
+import { buildResponse, buildService, FakeConfigService, FakeTransport } from './builders.js';
 import { FakeTable } from './fakeTable.js';
 
 /** What tests vary. */
@@ -38,12 +38,12 @@
     onStandingChange: (change) => standings.push(`${change.target} ${change.standing}`),
     ...options,
   });
-  const answerAfter = (ms: number): Respond => {
+  const respondAfter = (ms: number): Respond => {
     return async (_request, sendOptions) => {
       sendOptions.onDispatch?.();
       await clock.sleep(ms, sendOptions.signal);
-      return buildAnswer({ latencyMs: ms });
+      return buildResponse({ latencyMs: ms });
     };
   };
-  return { clock, invariants, configService, transport, table, standings, home, answerAfter };
+  return { clock, invariants, configService, transport, table, standings, home, respondAfter };
 }
--- a/packages/routing/src/transport/common/hopHeaders.ts
+++ b/packages/routing/src/transport/common/hopHeaders.ts
@@ -47,7 +47,7 @@
 }
 
 /** Headers of this prefix are the fleet's own word. */
-const OWN_PREFIX = 'parsleymux-';
+const FLEET_PREFIX = 'parsleymux-';
 
 /**
  * Leaves out the fleet's own headers: a target that sets the result or the run state of an answer
@@ -56,8 +56,8 @@
  * @example
  * removeOwnHeaders([['parsleymux-result', '0'], ['x-a', '1']]); // [['x-a', '1']]
  */
-export function removeOwnHeaders(headers: readonly Header[]): readonly Header[] {
-  return headers.filter(([name]) => !name.startsWith(OWN_PREFIX));
+export function removeFleetHeaders(headers: readonly Header[]): readonly Header[] {
+  return headers.filter(([name]) => !name.startsWith(FLEET_PREFIX));
 }
 
 /** The first value of a header, its name in lower case. */
--- a/packages/routing/src/transport/common/targetTransport.ts
+++ b/packages/routing/src/transport/common/targetTransport.ts
@@ -1,6 +1,6 @@
 /** Sending requests to targets. The node uses HTTP; replays and tests use fakes. */
 import VError from 'verror';
-import type { AnswerBody, Header } from '../../request/common/request.js';
+import type { ResponseBody, Header } from '../../request/common/request.js';
 
 /** One request to one target. */
 export interface ITargetRequest {
@@ -25,7 +25,7 @@
   /** Use a connection that no request used before. Default false. */
   readonly freshConnection?: boolean;
   /** Largest answer that is held until whole, in bytes. */
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
   /** Stream answers above `maxAnswerBytes` instead of failing. Default false. */
   readonly streamLarge?: boolean;
   /** Called once, before the first byte may leave. Until then the request provably has not run. */
@@ -33,10 +33,10 @@
 }
 
 /** A whole answer of a target, or the head of a streamed one. */
-export interface ITargetAnswer {
+export interface ITargetResponse {
   readonly status: number;
   readonly headers: readonly Header[];
-  readonly body: AnswerBody;
+  readonly body: ResponseBody;
   /** The target's explicit word that it did not execute the request. */
   readonly notRun: boolean;
   /** The target's own word that it is draining. */
@@ -99,7 +99,7 @@
 /** Sends requests to targets over connections that it owns. */
 export abstract class TargetTransport {
   /** Resolves with a whole or streaming answer of any status; rejects with a TransportError. */
-  abstract send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer>;
+  abstract send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse>;
 
   /** Lets no further request use connections opened until now; those in use are closed after. */
   abstract retireConnections(member: string, target: string): void;
--- a/packages/routing/src/transport/node/exchange.ts
+++ b/packages/routing/src/transport/node/exchange.ts
@@ -4,12 +4,12 @@
 import type { Dispatcher } from 'undici';
 import { errors } from 'undici';
 import VError from 'verror';
-import type { AnswerBody, Header } from '../../request/common/request.js';
-import { findHeader, removeHopByHopHeaders, removeOwnHeaders } from '../common/hopHeaders.js';
+import type { ResponseBody, Header } from '../../request/common/request.js';
+import { findHeader, removeHopByHopHeaders, removeFleetHeaders } from '../common/hopHeaders.js';
 import type { TargetProtocol } from '../common/targetProtocol.js';
-import type { ITargetAnswer } from '../common/targetTransport.js';
+import type { ITargetResponse } from '../common/targetTransport.js';
 import { TransportError, TransportFailure } from '../common/targetTransport.js';
-import { AnswerStream } from './answerStream.js';
+import { ResponseStream } from './responseStream.js';
 import type { AttemptSignal } from './attemptSignal.js';
 import type { TargetConnection } from './targetConnection.js';
 
@@ -27,25 +27,25 @@
   readonly attempt: AttemptSignal;
   readonly clock: Clock;
   readonly invariants: InvariantRegistry;
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
   readonly streamLarge: boolean;
   /** How long a streamed answer may bring nothing while its reader waits, in ms. */
   readonly streamIdleMs: number;
   /** Called when the answer is whole, so that the connection may be used again. */
-  readonly onWhole: () => void;
+  readonly onComplete: () => void;
   /** Called once when the exchange has ended, well or not. */
   readonly onEnd: () => void;
 }
 
-interface IAnswerHead {
+interface IResponseHead {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly contentLength: number | undefined;
   readonly latencyMs: number;
 }
 
-interface IAnswerWaiter {
-  readonly resolve: (answer: ITargetAnswer) => void;
+interface IResponseWaiter {
+  readonly resolve: (answer: ITargetResponse) => void;
   readonly reject: (error: TransportError) => void;
 }
 
@@ -57,11 +57,11 @@
   private readonly options: IExchangeOptions;
   private readonly startMs: number;
   private readonly startBytes: number;
-  private waiter: IAnswerWaiter | undefined;
-  private head: IAnswerHead | undefined;
-  private held: Uint8Array[] = [];
+  private waiter: IResponseWaiter | undefined;
+  private head: IResponseHead | undefined;
+  private bufferedChunks: Uint8Array[] = [];
   private receivedBytes = 0;
-  private stream: AnswerStream | undefined;
+  private stream: ResponseStream | undefined;
   private isEnded = false;
 
   constructor(options: IExchangeOptions) {
@@ -71,7 +71,7 @@
   }
 
   /** Sends the request. Rejects with a TransportError unless an answer of any status came whole. */
-  run(): Promise<ITargetAnswer> {
+  run(): Promise<ITargetResponse> {
     const { attempt, connection, request } = this.options;
     return new Promise((resolve, reject) => {
       this.waiter = { resolve, reject };
@@ -98,22 +98,22 @@
       contentLength: this.parseContentLength(status, headers),
       latencyMs,
     };
-    const fault = this.findHeadFault(this.head);
+    const fault = this.findHeaderFault(this.head);
     if (fault !== undefined) {
       this.end(fault.failure, new VError(fault.reason));
       return;
     }
-    if (this.isEndedByConnection(this.head)) this.options.connection.startEndCheck();
-    const isLarge = (this.head.contentLength ?? 0) > this.options.maxAnswerBytes;
+    if (this.isDelimitedByClose(this.head)) this.options.connection.startEndCheck();
+    const isLarge = (this.head.contentLength ?? 0) > this.options.maxResponseBytes;
     if (isLarge) this.startStream();
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.isEnded) return;
     this.receivedBytes += chunk.byteLength;
-    if (this.stream === undefined) this.held.push(chunk);
+    if (this.stream === undefined) this.bufferedChunks.push(chunk);
     else if (!this.stream.push(chunk)) this.options.connection.stopReading();
-    const isLarge = this.stream === undefined && this.receivedBytes > this.options.maxAnswerBytes;
+    const isLarge = this.stream === undefined && this.receivedBytes > this.options.maxResponseBytes;
     if (isLarge) this.startStream();
   }
 
@@ -125,15 +125,15 @@
       contentLength === undefined || contentLength === this.receivedBytes,
       () => `answer of ${this.receivedBytes} bytes, content-length ${contentLength ?? -1}`,
     );
-    if (!isWhole || !this.isEndGenuine(this.head)) {
+    if (!isWhole || !this.isEndOrderly(this.head)) {
       this.end(TransportFailure.Truncated);
       return;
     }
     this.finish();
     this.options.connection.startReading();
-    this.options.onWhole();
+    this.options.onComplete();
     if (this.stream !== undefined) this.stream.end();
-    else this.waiter?.resolve(this.makeAnswer(this.head, Buffer.concat(this.held)));
+    else this.waiter?.resolve(this.makeResponse(this.head, Buffer.concat(this.bufferedChunks)));
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
@@ -164,7 +164,7 @@
       reusedConnection: connection.isReused,
       cause,
     });
-    this.held = [];
+    this.bufferedChunks = [];
     if (this.stream === undefined) this.waiter?.reject(error);
     else this.stream.close(error);
   }
@@ -182,11 +182,11 @@
       this.end(TransportFailure.TooLarge);
       return;
     }
-    this.stream = new AnswerStream({
+    this.stream = new ResponseStream({
       resumeSource: () => {
         this.options.connection.startReading();
       },
-      onWaiting: (isWaiting) => {
+      onReadPendingChange: (isWaiting) => {
         if (!this.isEnded) attempt.setTimeLimit(isWaiting ? streamIdleMs : undefined);
       },
       onAbandoned: () => {
@@ -194,17 +194,17 @@
       },
     });
     attempt.setTimeLimit(undefined);
-    const isFull = this.held.map((chunk) => this.stream?.push(chunk)).includes(false);
-    this.held = [];
+    const isFull = this.bufferedChunks.map((chunk) => this.stream?.push(chunk)).includes(false);
+    this.bufferedChunks = [];
     if (isFull) this.options.connection.stopReading();
-    this.waiter?.resolve(this.makeAnswer(this.head, this.stream));
+    this.waiter?.resolve(this.makeResponse(this.head, this.stream));
   }
 
-  private makeAnswer(head: IAnswerHead, body: AnswerBody): ITargetAnswer {
+  private makeResponse(head: IResponseHead, body: ResponseBody): ITargetResponse {
     const { status, headers, latencyMs } = head;
     return {
       status,
-      headers: removeOwnHeaders(removeHopByHopHeaders(headers)),
+      headers: removeFleetHeaders(removeHopByHopHeaders(headers)),
       body,
       notRun: this.options.protocol.isNotRun(status, headers),
       draining: this.options.protocol.isDraining(headers),
@@ -224,11 +224,11 @@
    * undici takes a reset for the end of an answer that only its connection frames. Half an answer
    * would reach the caller as a whole one; only an orderly end of the connection ends it.
    */
-  private isEndGenuine(head: IAnswerHead): boolean {
-    return !this.isEndedByConnection(head) || this.options.connection.hasEndedInOrder;
+  private isEndOrderly(head: IResponseHead): boolean {
+    return !this.isDelimitedByClose(head) || this.options.connection.hasEndedCleanly;
   }
 
-  private isEndedByConnection(head: IAnswerHead): boolean {
+  private isDelimitedByClose(head: IResponseHead): boolean {
     return !this.isBodiless(head.status) && !isFramed(head);
   }
 
@@ -236,8 +236,8 @@
     return this.options.request.method === 'HEAD' || BODILESS_STATUSES.has(status);
   }
 
-  private findHeadFault(
-    head: IAnswerHead,
+  private findHeaderFault(
+    head: IResponseHead,
   ): { readonly failure: TransportFailure; readonly reason: string } | undefined {
     const { correlation, protocol } = this.options;
     const echoed = findHeader(head.headers, protocol.correlationHeader);
@@ -252,13 +252,13 @@
 }
 
 /** Encodings other than chunks at the end are read until the connection ends, like none. */
-function isFramed(head: IAnswerHead): boolean {
+function isFramed(head: IResponseHead): boolean {
   const encodings = head.headers.filter(([name]) => name === 'transfer-encoding');
   if (encodings.length === 0) return head.contentLength !== undefined;
   return /(^|,)\s*chunked\s*$/i.test(encodings.map(([, value]) => value).join(','));
 }
 
-function hasEncoding(head: IAnswerHead): boolean {
+function hasEncoding(head: IResponseHead): boolean {
   return findHeader(head.headers, 'transfer-encoding') !== undefined;
 }
 
--- a/packages/routing/src/transport/node/httpTargetTransport.test.ts
+++ b/packages/routing/src/transport/node/httpTargetTransport.test.ts
@@ -7,7 +7,7 @@
 import { Registry } from 'prom-client';
 import { TransportError, TransportFailure } from '../common/targetTransport.js';
 import type { IRawRequest } from '../test/rawTarget.js';
-import { openBench } from '../test/transportBench.js';
+import { openTransportFixture } from '../test/transportFixture.js';
 
 async function takeError(run: Promise<unknown>): Promise<TransportError> {
   const outcome: unknown = await run.catch((error: unknown) => error);
@@ -29,7 +29,7 @@
 }
 
 test('hop-by-hop headers are dropped both ways, repeated headers are kept', async (t) => {
-  const bench = await openBench(t, ({ socket }) => {
+  const bench = await openTransportFixture(t, ({ socket }) => {
     socket.write(
       'HTTP/1.1 200 OK\r\nConnection: keep-alive, x-private\r\nX-Private: 1\r\nSet-Cookie: a\r\n' +
         'Set-Cookie: b\r\nTransfer-Encoding: chunked\r\nParsleymux-Draining: true\r\n\r\n' +
@@ -67,14 +67,14 @@
 });
 
 test("a target's word that it did not run the request is passed on", async (t) => {
-  const bench = await openBench(t, ({ socket }) => {
+  const bench = await openTransportFixture(t, ({ socket }) => {
     socket.write('HTTP/1.1 503 No\r\nparsleymux-run-state: not-run\r\ncontent-length: 0\r\n\r\n');
   });
   assert.equal((await bench.send()).notRun, true);
 });
 
 test('connections are reused one request at a time, never between members', async (t) => {
-  const bench = await openBench(t, ({ socket }) => socket.write(answerText('ok')));
+  const bench = await openTransportFixture(t, ({ socket }) => socket.write(answerText('ok')));
   await bench.send();
   await bench.send();
   assert.equal(bench.target.connections, 1);
@@ -86,7 +86,7 @@
 });
 
 test('a fresh connection is one that no request used before', async (t) => {
-  const bench = await openBench(t, ({ socket }) => socket.write(answerText('ok')));
+  const bench = await openTransportFixture(t, ({ socket }) => socket.write(answerText('ok')));
   await bench.send();
   await bench.send({}, { freshConnection: true });
   assert.equal(bench.target.connections, 2);
@@ -94,7 +94,7 @@
 
 test('retired connections serve no further request, also when in use at that moment', async (t) => {
   const held: IRawRequest[] = [];
-  const bench = await openBench(t, (request) => held.push(request));
+  const bench = await openTransportFixture(t, (request) => held.push(request));
   const first = bench.send();
   const second = bench.send();
   await bench.target.waitForRequests(2);
@@ -112,7 +112,7 @@
 
 test('the limit holds; a fresh connection takes the place of the longest idle one', async (t) => {
   const held: IRawRequest[] = [];
-  const bench = await openBench(t, (request) => held.push(request), {
+  const bench = await openTransportFixture(t, (request) => held.push(request), {
     getConnectionLimit: () => 1,
   });
   let dispatches = 0;
@@ -134,7 +134,7 @@
 });
 
 test('a refused connection is a certain "not run", and nothing was dispatched', async (t) => {
-  const bench = await openBench(t, () => undefined);
+  const bench = await openTransportFixture(t, () => undefined);
   const closed = createServer().listen(0, '127.0.0.1');
   await once(closed, 'listening');
   const { port } = closed.address() as AddressInfo;
@@ -163,7 +163,9 @@
   // connection is ready before its timers have fired.
   // Cause: the deadline was enforced by timers alone.
   const clock = new PausedClock();
-  const bench = await openBench(t, ({ socket }) => socket.write(answerText('ran')), { clock });
+  const bench = await openTransportFixture(t, ({ socket }) => socket.write(answerText('ran')), {
+    clock,
+  });
   let dispatches = 0;
   const sending = bench.send({ timeoutMs: 1000 }, { onDispatch: () => (dispatches += 1) });
   clock.pauseMs = 900_000;
@@ -179,7 +181,7 @@
       // Symptom: a booking is executed twice though the node dispatched it once.
       // Sequence: the target reads the request, executes it, and its connection breaks.
       // Cause: an HTTP client that reconnects by itself repeats requests it takes for safe.
-      const bench = await openBench(t, ({ socket, index }) => {
+      const bench = await openTransportFixture(t, ({ socket, index }) => {
         if (isReused && index === 0) socket.write(answerText('ok'));
         else socket.destroy();
       });
@@ -197,7 +199,7 @@
 }
 
 test('cancelling drops the connection', async (t) => {
-  const bench = await openBench(t, () => undefined);
+  const bench = await openTransportFixture(t, () => undefined);
   const abort = new AbortController();
   const sent = takeError(bench.send({}, { signal: abort.signal }));
   await bench.target.waitForRequests(1);
@@ -219,7 +221,7 @@
   // to the first arrives. Cause: HTTP/1.1 matches answers to requests by order alone.
   const clock = new ManualClock();
   const held: IRawRequest[] = [];
-  const bench = await openBench(t, (request) => held.push(request), { clock });
+  const bench = await openTransportFixture(t, (request) => held.push(request), { clock });
   const first = takeError(bench.send({ path: '/first', timeoutMs: 100 }));
   await bench.target.waitForRequests(1);
   await clock.advanceBy(100);
@@ -238,7 +240,7 @@
   // Sequence: something between the ends forgets an idle connection; new ones work.
   // Cause: no reset ever arrives, so only the absence of an answer tells.
   const clock = new ManualClock();
-  const bench = await openBench(
+  const bench = await openTransportFixture(
     t,
     ({ socket, connection, index }) => {
       if (connection > 0 || index === 0) socket.write(answerText('ok'));
@@ -260,7 +262,9 @@
   // Symptom: a node's memory and metrics grow with every target that ever was.
   // Sequence: targets are added and removed by plans for weeks. Cause: pools were never let go.
   const registry = new Registry();
-  const bench = await openBench(t, ({ socket }) => socket.end(answerText('bye')), { registry });
+  const bench = await openTransportFixture(t, ({ socket }) => socket.end(answerText('bye')), {
+    registry,
+  });
   await bench.send();
   await waitUntil(() => bench.transport.getConnectionCount('m', bench.target.address) === 0);
   assert.ok(!(await registry.metrics()).includes(`target="${bench.target.address}"`));
--- a/packages/routing/src/transport/node/httpTargetTransport.ts
+++ b/packages/routing/src/transport/node/httpTargetTransport.ts
@@ -7,7 +7,7 @@
 import { removeHopByHopHeaders } from '../common/hopHeaders.js';
 import type { TargetProtocol } from '../common/targetProtocol.js';
 import { MuxTargetProtocol } from '../common/targetProtocol.js';
-import type { ISendOptions, ITargetAnswer, ITargetRequest } from '../common/targetTransport.js';
+import type { ISendOptions, ITargetResponse, ITargetRequest } from '../common/targetTransport.js';
 import { TargetTransport, TransportError, TransportFailure } from '../common/targetTransport.js';
 import { AttemptSignal } from './attemptSignal.js';
 import { ConnectionPool } from './connectionPool.js';
@@ -64,7 +64,7 @@
     this.metrics = new TransportMetrics(options.registry, () => this.listPools());
   }
 
-  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetAnswer> {
+  override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const { clock } = this;
     const { timeoutMs } = request;
     const attempt = new AttemptSignal({ clock, callerSignal: options.signal, timeoutMs });
@@ -101,7 +101,7 @@
     request: ITargetRequest,
     options: ISendOptions,
     attempt: AttemptSignal,
-  ): Promise<ITargetAnswer> {
+  ): Promise<ITargetResponse> {
     const pool = this.getPool(request.member, request.target);
     const connection = await this.takeConnection(pool, options, attempt);
     // A process that was paused finds its deadline passed before its timers have fired; a request
@@ -119,17 +119,17 @@
         request,
         protocol,
         correlation,
-        computeTargetMs(request, attempt),
+        computeTargetTimeoutMs(request, attempt),
       ),
       protocol,
       correlation,
       attempt,
       clock: this.clock,
       invariants: this.invariants,
-      maxAnswerBytes: options.maxAnswerBytes,
+      maxResponseBytes: options.maxResponseBytes,
       streamLarge: options.streamLarge ?? false,
       streamIdleMs: this.options.streamIdleMs ?? DEFAULT_STREAM_IDLE_MS,
-      onWhole: () => {
+      onComplete: () => {
         pool.release(connection);
       },
       onEnd: () => {
@@ -206,7 +206,7 @@
 }
 
 /** What is left of the time that the target is told. */
-function computeTargetMs(request: ITargetRequest, attempt: AttemptSignal): number {
+function computeTargetTimeoutMs(request: ITargetRequest, attempt: AttemptSignal): number {
   const marginMs = request.timeoutMs - (request.targetTimeoutMs ?? request.timeoutMs);
   return Math.max(1, Math.floor(attempt.remainingMs - marginMs));
 }
--- a/packages/routing/src/transport/node/pausableSocket.ts
+++ b/packages/routing/src/transport/node/pausableSocket.ts
@@ -2,7 +2,7 @@
 import { Socket } from 'node:net';
 
 /** Empty lines before a request are skipped by every server that still reads. */
-const END_CHECK = '\r\n';
+const END_CHECK_BYTES = '\r\n';
 
 /**
  * Gives its reader nothing while it is paused; what arrives fills the socket's own buffer and then
@@ -18,11 +18,11 @@
  * socket.connect({ host, port });
  */
 export class PausableSocket extends Socket {
-  private isHeld = false;
-  private isEndChecked = false;
+  private isReadingStopped = false;
+  private isEndCheckPending = false;
 
   override read(size?: number): unknown {
-    return this.isHeld ? null : (super.read(size) as unknown);
+    return this.isReadingStopped ? null : (super.read(size) as unknown);
   }
 
   /**
@@ -34,13 +34,13 @@
    * and the other side has stopped to read requests by then.
    */
   startEndCheck(): void {
-    this.isEndChecked = true;
+    this.isEndCheckPending = true;
   }
 
   override push(chunk: unknown, encoding?: BufferEncoding): boolean {
-    if (chunk !== null || !this.isEndChecked) return super.push(chunk, encoding);
-    this.isEndChecked = false;
-    this.write(END_CHECK, (error) => {
+    if (chunk !== null || !this.isEndCheckPending) return super.push(chunk, encoding);
+    this.isEndCheckPending = false;
+    this.write(END_CHECK_BYTES, (error) => {
       if (error) this.destroy(error);
       else super.push(null);
     });
@@ -49,15 +49,15 @@
 
   /** Keeps the reader waiting. */
   stopReading(): void {
-    this.isHeld = true;
+    this.isReadingStopped = true;
   }
 
   /** Lets the reader go on, in a turn of its own: it may be in the middle of a chunk now. */
   startReading(): void {
-    if (!this.isHeld) return;
-    this.isHeld = false;
+    if (!this.isReadingStopped) return;
+    this.isReadingStopped = false;
     setImmediate(() => {
-      if (!this.isHeld && !this.destroyed) this.emit('readable');
+      if (!this.isReadingStopped && !this.destroyed) this.emit('readable');
     });
   }
 }
--- a/packages/routing/src/transport/node/wholeAnswers.test.ts
+++ b/packages/routing/src/transport/node/responseIntegrity.test.ts
@@ -3,15 +3,15 @@
 import type { Socket } from 'node:net';
 import { test } from 'node:test';
 import { MuxTargetProtocol } from '../common/targetProtocol.js';
-import type { ITargetAnswer } from '../common/targetTransport.js';
+import type { ITargetResponse } from '../common/targetTransport.js';
 import { TransportError, TransportFailure } from '../common/targetTransport.js';
 import type { IRawRequest } from '../test/rawTarget.js';
 import { resetSocket } from '../test/rawTarget.js';
-import { MAX_ANSWER_BYTES, openBench } from '../test/transportBench.js';
+import { MAX_RESPONSE_BYTES, openTransportFixture } from '../test/transportFixture.js';
 
 const BODY = 'a whole answer';
 
-async function readText(body: ITargetAnswer['body']): Promise<string> {
+async function readText(body: ITargetResponse['body']): Promise<string> {
   if (body instanceof Uint8Array) return Buffer.from(body).toString();
   let text = '';
   for await (const chunk of body) text += Buffer.from(chunk).toString();
@@ -41,7 +41,7 @@
         // Cause: where the connection's end also ends the answer, half an answer has the same
         // form as a whole one; some clients finish any answer marked "connection: close" so.
         const whole = write(BODY, connection);
-        const bench = await openBench(t, ({ socket, index }) => {
+        const bench = await openTransportFixture(t, ({ socket, index }) => {
           socket.write(whole.slice(0, index));
           // The written bytes must arrive ahead of the reset.
           if (end === 'end') socket.end();
@@ -61,8 +61,8 @@
     }
   }
   test(`${framing}: streamed answers that are cut throw after what came`, async (t) => {
-    const text = 'x'.repeat(MAX_ANSWER_BYTES * 3);
-    const bench = await openBench(t, ({ socket }) => {
+    const text = 'x'.repeat(MAX_RESPONSE_BYTES * 3);
+    const bench = await openTransportFixture(t, ({ socket }) => {
       socket.write(write(text, 'close').slice(0, -50));
       socket.end();
     });
@@ -73,8 +73,10 @@
   });
 
   test(`${framing}: large answers are streamed whole, or refused`, async (t) => {
-    const text = 'x'.repeat(MAX_ANSWER_BYTES * 300);
-    const bench = await openBench(t, ({ socket }) => socket.write(write(text, 'keep-alive')));
+    const text = 'x'.repeat(MAX_RESPONSE_BYTES * 300);
+    const bench = await openTransportFixture(t, ({ socket }) =>
+      socket.write(write(text, 'keep-alive')),
+    );
     const answer = await bench.send({}, { streamLarge: true });
     assert.equal(await readText(answer.body), text);
     await assert.rejects(bench.send(), (error: unknown) => {
@@ -91,7 +93,7 @@
   'Transfer-Encoding: chunked, identity\r\n',
 ]) {
   test(`an answer without framing of its own is refused (${header.trim() || 'no header'})`, async (t) => {
-    const bench = await openBench(t, ({ socket }) => {
+    const bench = await openTransportFixture(t, ({ socket }) => {
       socket.end(`HTTP/1.1 200 OK\r\n${header}\r\n${BODY}`);
     });
     await assert.rejects(bench.send(), (error: unknown) => {
@@ -110,7 +112,7 @@
     // Sequence: a target that frames its answers by the end of the connection crashes on the way.
     // Cause: the HTTP client takes a reset of such a connection for its end.
     const whole = `HTTP/1.1 200 OK\r\n${connection}\r\n${BODY}`;
-    const bench = await openBench(
+    const bench = await openTransportFixture(
       t,
       ({ socket, index }) => {
         const isWhole = index >= whole.length;
@@ -135,7 +137,7 @@
 }
 
 test('answers that have no body need no framing', async (t) => {
-  const bench = await openBench(t, ({ socket, index }) => {
+  const bench = await openTransportFixture(t, ({ socket, index }) => {
     const status = ['204 No Content', '304 Not Modified', '200 OK'][index]!;
     socket.write(
       `HTTP/1.1 ${status}\r\nconnection: keep-alive\r\n${index === 0 ? '' : 'content-length: 99\r\n'}\r\n`,
@@ -155,7 +157,7 @@
     // Symptom: a caller gets the answer to a request that it never sent.
     // Sequence: the target writes more than its framing says, or answers twice.
     // Cause: what is left on the connection would be read as the next answer.
-    const bench = await openBench(t, ({ socket, index }) => {
+    const bench = await openTransportFixture(t, ({ socket, index }) => {
       socket.write(writeLength(`answer ${index}`, 'keep-alive') + extra);
     });
     for (const index of [0, 1, 2]) {
@@ -165,7 +167,7 @@
   });
 
   test(`${name} after the body, while idle: the connection is dropped`, async (t) => {
-    const bench = await openBench(t, ({ socket, index }) => {
+    const bench = await openTransportFixture(t, ({ socket, index }) => {
       socket.write(writeLength(`answer ${index}`, 'keep-alive'));
     });
     await bench.send();
@@ -183,7 +185,7 @@
   // requests answers them in the wrong order, each on the other's connection.
   // Cause: only an identifier that the target echoes can show it; framing is intact.
   const held: IRawRequest[] = [];
-  const bench = await openBench(t, (request) => held.push(request));
+  const bench = await openTransportFixture(t, (request) => held.push(request));
   const sent = [bench.send({ path: '/0' }), bench.send({ path: '/1' })].map((run) => {
     return run.catch((error: unknown) => error);
   });
@@ -210,7 +212,7 @@
   let accepted = 0;
   let onStalled: () => void = () => undefined;
   const stalled = new Promise<void>((resolve) => (onStalled = resolve));
-  const bench = await openBench(t, ({ socket }) => {
+  const bench = await openTransportFixture(t, ({ socket }) => {
     socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${totalBytes}\r\n\r\n`);
     const push = () => {
       while (accepted < totalBytes) {
@@ -245,8 +247,8 @@
 });
 
 test('a reader that gives up early drops the connection', async (t) => {
-  const bench = await openBench(t, ({ socket }) => {
-    socket.write(writeLength('x'.repeat(MAX_ANSWER_BYTES * 5), 'keep-alive').slice(0, -1));
+  const bench = await openTransportFixture(t, ({ socket }) => {
+    socket.write(writeLength('x'.repeat(MAX_RESPONSE_BYTES * 5), 'keep-alive').slice(0, -1));
   });
   const answer = await bench.send({}, { streamLarge: true });
   const [socket] = bench.target.openSockets;
@@ -269,7 +271,7 @@
         // Cause: the client finishes its parser in a socket event, and a paused parser can't.
         const abort = new AbortController();
         const sockets: Socket[] = [];
-        const bench = await openBench(t, ({ socket }) => {
+        const bench = await openTransportFixture(t, ({ socket }) => {
           sockets.push(socket);
           socket.write(writeLength('x'.repeat(bytes + 10_000), connection).slice(0, -10_000));
         });
--- a/packages/routing/src/transport/node/answerStream.ts
+++ b/packages/routing/src/transport/node/responseStream.ts
@@ -3,18 +3,18 @@
 /** Bytes that may wait for the reader before the source is paused. */
 const HIGH_WATER_BYTES = 65_536;
 
-/** Options of an {@link AnswerStream}. */
-export interface IAnswerStreamOptions {
+/** Options of an {@link ResponseStream}. */
+export interface IResponseStreamOptions {
   /** Lets the source go on; called when the reader has taken all that was waiting. */
   readonly resumeSource: () => void;
   /** Called when the reader begins to wait for bytes, and again with false when they came. */
-  readonly onWaiting: (isWaiting: boolean) => void;
+  readonly onReadPendingChange: (isWaiting: boolean) => void;
   /** Called when the reader gives up before the end. */
   readonly onAbandoned: () => void;
 }
 
 /** The reader, while it waits for bytes. */
-interface IWaiter {
+interface IPendingRead {
   readonly resolve: (result: IteratorResult<Uint8Array>) => void;
   readonly reject: (error: Error) => void;
 }
@@ -28,41 +28,41 @@
  * @example
  * for await (const chunk of stream) response.write(chunk);
  */
-export class AnswerStream implements AsyncIterable<Uint8Array> {
-  private readonly options: IAnswerStreamOptions;
+export class ResponseStream implements AsyncIterable<Uint8Array> {
+  private readonly options: IResponseStreamOptions;
   private readonly chunks: Uint8Array[] = [];
-  private waitingBytes = 0;
-  private waiter: IWaiter | undefined;
+  private bufferedBytes = 0;
+  private pendingRead: IPendingRead | undefined;
   private isEnded = false;
   private error: Error | undefined;
 
-  constructor(options: IAnswerStreamOptions) {
+  constructor(options: IResponseStreamOptions) {
     this.options = options;
   }
 
   /** Adds bytes; false asks the source to pause until it is resumed. */
   push(chunk: Uint8Array): boolean {
-    const waiter = this.takeWaiter();
-    if (waiter !== undefined) {
-      waiter.resolve({ done: false, value: chunk });
+    const pendingRead = this.takePendingRead();
+    if (pendingRead !== undefined) {
+      pendingRead.resolve({ done: false, value: chunk });
       return true;
     }
     this.chunks.push(chunk);
-    this.waitingBytes += chunk.byteLength;
-    return this.waitingBytes < HIGH_WATER_BYTES;
+    this.bufferedBytes += chunk.byteLength;
+    return this.bufferedBytes < HIGH_WATER_BYTES;
   }
 
   /** The answer is whole. */
   end(): void {
     this.isEnded = true;
-    this.takeWaiter()?.resolve({ done: true, value: undefined });
+    this.takePendingRead()?.resolve({ done: true, value: undefined });
   }
 
   /** The answer broke: the reader gets what came, then this error. */
   close(error: Error): void {
     if (this.isEnded) return;
     this.error ??= error;
-    this.takeWaiter()?.reject(this.error);
+    this.takePendingRead()?.reject(this.error);
   }
 
   [Symbol.asyncIterator](): AsyncIterator<Uint8Array> {
@@ -75,15 +75,15 @@
   private takeChunk(): Promise<IteratorResult<Uint8Array>> {
     const chunk = this.chunks.shift();
     if (chunk !== undefined) {
-      this.waitingBytes -= chunk.byteLength;
+      this.bufferedBytes -= chunk.byteLength;
       if (this.chunks.length === 0) this.options.resumeSource();
       return Promise.resolve({ done: false, value: chunk });
     }
     if (this.error !== undefined) return Promise.reject(this.error);
     if (this.isEnded) return Promise.resolve({ done: true, value: undefined });
     return new Promise((resolve, reject) => {
-      this.waiter = { resolve, reject };
-      this.options.onWaiting(true);
+      this.pendingRead = { resolve, reject };
+      this.options.onReadPendingChange(true);
     });
   }
 
@@ -95,11 +95,11 @@
     return Promise.resolve({ done: true, value: undefined });
   }
 
-  private takeWaiter(): IWaiter | undefined {
-    const waiter = this.waiter;
-    if (waiter === undefined) return undefined;
-    this.waiter = undefined;
-    this.options.onWaiting(false);
-    return waiter;
+  private takePendingRead(): IPendingRead | undefined {
+    const pendingRead = this.pendingRead;
+    if (pendingRead === undefined) return undefined;
+    this.pendingRead = undefined;
+    this.options.onReadPendingChange(false);
+    return pendingRead;
   }
 }
--- a/packages/routing/src/transport/node/targetConnection.ts
+++ b/packages/routing/src/transport/node/targetConnection.ts
@@ -7,7 +7,7 @@
 import { parseTargetAddress } from './targetAddress.js';
 
 /** Large header sections cost memory before anything can be judged. */
-const MAX_ANSWER_HEADER_BYTES = 65_536;
+const MAX_RESPONSE_HEADER_BYTES = 65_536;
 /** Many servers close idle connections after 5 s; closing first avoids sending into a close. */
 const KEEP_ALIVE_MS = 4000;
 /** Servers that say how long they keep idle connections are taken at their word up to this, in ms. */
@@ -71,7 +71,7 @@
   private dispatched = 0;
   private readonly client: Client;
   private readonly socket: PausableSocket;
-  private isTaken = false;
+  private isSocketTaken = false;
 
   constructor(socket: PausableSocket, target: string, generation: number) {
     this.socket = socket;
@@ -86,10 +86,10 @@
       keepAliveTimeout: KEEP_ALIVE_MS,
       keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
-      maxHeaderSize: MAX_ANSWER_HEADER_BYTES,
+      maxHeaderSize: MAX_RESPONSE_HEADER_BYTES,
       connect: (_options, callback) => {
-        const isUsable = !this.isTaken && !socket.destroyed;
-        this.isTaken = true;
+        const isUsable = !this.isSocketTaken && !socket.destroyed;
+        this.isSocketTaken = true;
         // The client drops a connection that it is given while it still asks for one.
         queueMicrotask(() => {
           if (isUsable) callback(null, socket);
@@ -120,7 +120,7 @@
   }
 
   /** Whether the target ended its side, and all that it sent was read. */
-  get hasEndedInOrder(): boolean {
+  get hasEndedCleanly(): boolean {
     return this.socket.readableEnded;
   }
 
--- a/packages/routing/src/transport/test/transportBench.ts
+++ b/packages/routing/src/transport/test/transportFixture.ts
@@ -6,10 +6,10 @@
 import type { IRawRequest } from './rawTarget.js';
 import { RawTarget } from './rawTarget.js';
 
-export const MAX_ANSWER_BYTES = 1000;
+export const MAX_RESPONSE_BYTES = 1000;
 
 /** A transport before one target. */
-export interface ITransportBench {
+export interface ITransportFixture {
   readonly target: RawTarget;
   readonly transport: HttpTargetTransport;
   send(
@@ -19,11 +19,11 @@
 }
 
 /** Opens both; they are closed when the test ends. Answers above 1000 bytes are large. */
-export async function openBench(
+export async function openTransportFixture(
   t: TestContext,
   onRequest: (request: IRawRequest) => void,
   options: IHttpTargetTransportOptions = {},
-): Promise<ITransportBench> {
+): Promise<ITransportFixture> {
   const target = await RawTarget.listen(onRequest);
   const transport = new HttpTargetTransport(options);
   t.after(async () => {
@@ -45,7 +45,11 @@
           timeoutMs: 10_000,
           ...request,
         },
-        { signal: new AbortController().signal, maxAnswerBytes: MAX_ANSWER_BYTES, ...sendOptions },
+        {
+          signal: new AbortController().signal,
+          maxResponseBytes: MAX_RESPONSE_BYTES,
+          ...sendOptions,
+        },
       ),
   };
 }
--- a/packages/store/src/protocol/node/httpPlatform.ts
+++ b/packages/store/src/protocol/node/httpPlatform.ts
@@ -18,7 +18,7 @@
 import { PlatformPath } from '../common/platformProtocol.js';
 import type { IPlatform } from '../common/platformServices.js';
 
-const unpack = promisify(gunzip) as (bytes: Uint8Array) => Promise<Uint8Array>;
+const decompress = promisify(gunzip) as (bytes: Uint8Array) => Promise<Uint8Array>;
 
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
@@ -65,7 +65,7 @@
   readonly signal?: AbortSignal | undefined;
 }
 
-interface IHttpAnswer {
+interface IHttpResponse {
   readonly status: number;
   readonly bytes: Uint8Array;
 }
@@ -77,7 +77,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  async request(request: IHttpRequest): Promise<IHttpAnswer> {
+  async request(request: IHttpRequest): Promise<IHttpResponse> {
     // A connection whose far end has lost track of it stays silent for ever; without a bound of
     // our own the call would hang, so every call ends within timeoutMs and drops its connection.
     const timeout = AbortSignal.timeout(this.timeoutMs);
@@ -94,8 +94,8 @@
         signal,
       });
       const bytes = await answer.body.bytes();
-      const isPacked = answer.headers['content-encoding'] === 'gzip';
-      return { status: answer.statusCode, bytes: isPacked ? await unpack(bytes) : bytes };
+      const isCompressed = answer.headers['content-encoding'] === 'gzip';
+      return { status: answer.statusCode, bytes: isCompressed ? await decompress(bytes) : bytes };
     } catch (error) {
       throw new PlatformError(toFailure(error), `${request.method} ${request.path} failed`, error);
     }
@@ -115,7 +115,7 @@
     : PlatformFailure.Unknown;
 }
 
-function checkStatus(answer: IHttpAnswer, request: IHttpRequest): void {
+function checkStatus(answer: IHttpResponse, request: IHttpRequest): void {
   if (answer.status < FIRST_ERROR_STATUS) return;
   const failure = answer.status === UNAVAILABLE ? PlatformFailure.Refused : PlatformFailure.Unknown;
   throw new PlatformError(failure, `${request.path} answered ${answer.status}`);
