--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** The nodes acting together: membership, placement, control traffic between peers. */
+/** Cooperation of the nodes: membership, placement and control calls between peers. */
 export * from './membership/common/listedMembershipService.js';
 export * from './membership/common/membershipService.js';
 export * from './membership/common/peerHealth.js';
--- a/packages/fleet/src/membership/common/listedMembershipService.test.ts
+++ b/packages/fleet/src/membership/common/listedMembershipService.test.ts
@@ -10,11 +10,11 @@
 
 class FakeVmList extends VmList {
   vms: readonly IVm[] = [];
-  isOut = false;
+  isUnavailable = false;
 
   override list(): Promise<readonly IVm[]> {
-    if (!this.isOut) return Promise.resolve(this.vms);
-    return Promise.reject(new PlatformError(PlatformFailure.Unknown, 'list is out'));
+    if (!this.isUnavailable) return Promise.resolve(this.vms);
+    return Promise.reject(new PlatformError(PlatformFailure.Unknown, 'list is unavailable'));
   }
 }
 
@@ -41,38 +41,38 @@
   return { clock, vms, membership, getLive };
 }
 
-test('the live set is the listed one, sorted, and always holds this node', async (context) => {
+test('the live set is the listed one, sorted, and always contains this node', async (context) => {
   const { getLive } = await startMembership(context, ['c:1', 'b:1']);
   assert.deepEqual(getLive(), ['a:1', 'b:1', 'c:1']);
 });
 
-test('while the list is out the last one stays in force, and it is asked for ever more rarely', async (context) => {
-  // Symptom: nodes lose all their peers when the platform is down, or it is met by a wave of
-  // polls when it returns. Sequence: the list is read, then fails for an hour.
-  // Cause: a failed read taken for an empty list; polls at a fixed rate.
+test('while the list is unavailable the last one stays in effect, and polls become less frequent', async (context) => {
+  // Guards against nodes that lose all peers during an outage of the platform, when a failed read
+  // counts as an empty list, and against a wave of polls on its recovery, when polls keep a fixed
+  // rate. The list is read once, then fails for an hour.
   const { clock, vms, membership, getLive } = await startMembership(context, ['b:1', 'c:1']);
-  vms.isOut = true;
+  vms.isUnavailable = true;
   await clock.advanceBy(3_600_000);
   assert.deepEqual(getLive(), ['a:1', 'b:1', 'c:1']);
   assert.ok(membership.getCounters().failedPolls < 100);
-  vms.isOut = false;
+  vms.isUnavailable = false;
   vms.vms = [makeVm('b:1')];
   await clock.advanceBy(90_000);
   assert.deepEqual(getLive(), ['a:1', 'b:1']);
 });
 
-test('an empty list is not believed', async (context) => {
-  // Symptom: every node takes itself for home of everything. Sequence: the platform answers with
-  // an empty list for a while. Cause: a fault of the platform taken for the truth.
+test('an empty list is ignored', async (context) => {
+  // Guards against every node considering itself the home of all shards: by a fault of the
+  // platform, the list is empty for some time.
   const { clock, vms, getLive } = await startMembership(context, ['b:1']);
   vms.vms = [];
   await clock.advanceBy(10_000);
   assert.deepEqual(getLive(), ['a:1', 'b:1']);
 });
 
-test('a killed peer is left out before the list drops it, and a single failure is not enough', async (context) => {
-  // Symptom: each request to the dead home waits for a failure first, until the list catches up.
-  // Sequence: peer b is killed; the list still shows it. Cause: own experience not used.
+test('a killed peer is excluded before the list drops it, and a single failure is not enough', async (context) => {
+  // Guards against requests that each wait for a failure of the dead home until the list catches
+  // up: peer b is killed while the list still contains it.
   const { membership, getLive } = await startMembership(context, ['b:1', 'c:1']);
   membership.recordFailure('b:1');
   assert.deepEqual(getLive(), ['a:1', 'b:1', 'c:1']);
@@ -90,9 +90,9 @@
 });
 
 test('suspicion expires by itself, doubles while it recurs, and stays bounded', async (context) => {
-  // Symptom: a flapping peer takes a few requests down with it every second, for ever; or one
-  // that is back is never used again. Sequence: the peer fails whenever it is tried.
-  // Cause: suspicion of fixed length, or without expiry.
+  // Guards against a flapping peer that fails a few requests every second indefinitely, as with
+  // suspicions of fixed length, and against a recovered peer that is never used again, as without
+  // expiry. The peer fails whenever it is tried.
   const { clock, membership, getLive } = await startMembership(context, ['b:1']);
   membership.recordFailure('b:1');
   const lengths: number[] = [];
@@ -105,7 +105,7 @@
   assert.deepEqual(lengths, [1, 2, 4, 8, 16, 30, 30, 30]);
 });
 
-test('a peer that stayed in contact as long as it was suspected is fully trusted again', async (context) => {
+test('a peer that stayed in contact as long as it was suspected is fully cleared', async (context) => {
   const { clock, membership, getLive } = await startMembership(context, ['b:1']);
   membership.recordFailure('b:1');
   membership.recordFailure('b:1');
@@ -118,9 +118,9 @@
 });
 
 test('contact and failures that arrive during a suspicion do not move its end', async (context) => {
-  // Symptom: the live set changes many times a second and placement is recomputed each time.
-  // Sequence: requests that were under way when the peer failed end late, some well, some badly.
-  // Cause: each late outcome taken as news.
+  // Guards against a live set that changes many times a second, with placement recomputed each
+  // time: requests that were in progress when the peer failed end late, some successfully, some
+  // not, and must not count as new evidence.
   const { clock, membership, getLive } = await startMembership(context, ['b:1']);
   membership.recordFailure('b:1');
   membership.recordFailure('b:1');
@@ -132,10 +132,10 @@
   assert.deepEqual(getLive(), ['a:1', 'b:1']);
 });
 
-test('a leaving peer gets nothing new at once, and its address can be used again', async (context) => {
-  // Symptom: requests are refused as "leaving", or a VM restarted at the same address idles.
-  // Sequence: b says that it is leaving and stops; a new process starts there; the list never
-  // noticed. Cause: waiting for the list, or remembering the word for ever.
+test('a peer that shuts down is excluded immediately, and its address can be used again', async (context) => {
+  // Guards against requests that are refused as "leaving", and against a VM restarted at the same
+  // address that stays idle: b announces its shutdown and stops, and a new process starts there
+  // without a change of the list. The notice takes effect immediately and expires.
   const { clock, vms, membership, getLive } = await startMembership(context, ['b:1', 'c:1']);
   membership.recordShutdown('b:1');
   assert.deepEqual(getLive(), ['a:1', 'c:1']);
@@ -146,13 +146,12 @@
   assert.deepEqual(getLive(), ['a:1', 'c:1']);
 });
 
-test('a node that starts while the list is out knows its seeds, until the list is read', async () => {
-  // Symptom: a VM replaced during an outage of the platform never becomes ready.
-  // Sequence: the platform is out; a node starts; it asks peers for the configuration.
-  // Cause: peers known from the list only.
+test('a node that starts while the list is unavailable uses its seeds until the list is read', async () => {
+  // Guards against a VM replaced during an outage of the platform that never becomes ready: with
+  // peers from the list only, it has none to fetch the configuration from.
   const clock = new ManualClock();
   const vms = new FakeVmList();
-  vms.isOut = true;
+  vms.isUnavailable = true;
   vms.vms = [makeVm('d:1')];
   const self = { address: SELF, failureDomain: 'north' };
   const random = new SeededRandom(1);
@@ -163,7 +162,7 @@
   const done = membership.run(abort.signal);
   await clock.advanceBy(10_000);
   assert.deepEqual(getLive(), ['a:1', 'b:1', 'c:1']);
-  vms.isOut = false;
+  vms.isUnavailable = false;
   await clock.advanceBy(90_000);
   assert.deepEqual(getLive(), ['a:1', 'd:1']);
   abort.abort();
@@ -181,9 +180,9 @@
   assert.equal(fired, 1);
 });
 
-test('in a large fleet each node reads the list more rarely', async (context) => {
-  // Symptom: the platform refuses reads of everyone. Sequence: the fleet grows to 2,100 nodes,
-  // each reading a list of 2,100 entries every 2 s. Cause: an interval that ignores the fleet.
+test('in a large fleet each node reads the list less often', async (context) => {
+  // Guards against a platform that refuses reads of all nodes: with an interval that ignores the
+  // size of the fleet, 2,100 nodes would each read a list of 2,100 entries every 2 s.
   const addresses = Array.from({ length: 2100 }, (_, index) => `b:${index}`);
   const { clock, membership } = await startMembership(context, addresses);
   const before = membership.getCounters().polls;
--- a/packages/fleet/src/membership/common/listedMembershipService.ts
+++ b/packages/fleet/src/membership/common/listedMembershipService.ts
@@ -1,4 +1,4 @@
-/** Membership from the platform's VM list, corrected by this node's own experience. */
+/** Membership from the platform's VM list, corrected by the results of this node's own calls. */
 import type { Clock, Event, IDisposable, RandomSource } from '@parsleymux/base';
 import { Emitter, JoinedSignal } from '@parsleymux/base';
 import type { IVm, VmList } from '@parsleymux/store';
@@ -22,12 +22,15 @@
   readonly random: RandomSource;
   /** Mean time between two reads of the list in a small fleet, in ms. Default 2000. */
   readonly pollMs?: number;
-  /** Reads a second that the whole fleet may make; a large one reads more rarely. Default 60. */
+  /**
+   * Reads per second that the whole fleet may make; nodes of a large fleet read less often. Default
+   * 60.
+   */
   readonly fleetPollsPerSecond?: number;
-  /** Longest mean time between two reads while the list can't be read, in ms. Default 60,000. */
+  /** Maximum mean time between two reads while reads fail, in ms. Default 60,000. */
   readonly maxPollMs?: number;
   readonly suspicion?: ISuspicionOptions;
-  /** Addresses of nodes to begin with, until the list was read for the first time. */
+  /** Addresses of initial peers, used until the list has been read for the first time. */
   readonly seeds?: readonly string[];
 }
 
@@ -40,7 +43,7 @@
 }
 
 /**
- * Reads the list in {@link run}; everything else follows from what callers record.
+ * Reads the list in {@link run}; callers record the results of their calls to peers.
  *
  * @example
  * const membership = new ListedMembershipService({ self, vms: platform.vms, clock, random });
@@ -61,7 +64,7 @@
     super();
     this.options = options;
     this.live = [options.self];
-    // A node that starts while the platform is out would otherwise know no peer to get the
+    // A node that starts during an outage of the platform would otherwise know no peer to fetch the
     // configuration from, and would never become ready.
     this.listed = (options.seeds ?? []).map((address) => ({ address, failureDomain: '' }));
     this.updateLiveNodes();
@@ -91,25 +94,27 @@
     this.updateLiveNodes();
   }
 
-  /** What happened since the start. */
+  /** Returns the counts since the start. */
   getCounters(): IMembershipCounters {
     return { ...this.counters };
   }
 
-  /** Nodes that the platform lists as live, whatever this node experienced with them. */
+  /**
+   * Returns the nodes that the platform lists as live, regardless of this node's own calls to them.
+   */
   getListedNodes(): readonly INode[] {
     return this.listed;
   }
 
   /**
-   * Whether the platform lists a VM at the address, live or leaving. True until the list was read
-   * once: nobody may be taken for gone on no evidence.
+   * Whether the platform lists a VM at the address, live or shutting down. True until the list has
+   * been read once: without evidence no node may be considered removed.
    */
   isListed(address: string): boolean {
     return this.listedAddresses?.has(address) ?? true;
   }
 
-  /** Polls the list until `signal` aborts. While it can't be read, the last one stays in force. */
+  /** Polls the list until `signal` aborts. While it can't be read, the last one stays in effect. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.options;
     let consecutiveFailures = 0;
@@ -127,8 +132,8 @@
   }
 
   /**
-   * A list that comes back after hours would meet the polls of the whole fleet at once, just when
-   * it is weakest; slower, jittered polls while it is out spread them.
+   * After an outage of hours, the polls of the whole fleet would otherwise arrive together while
+   * the platform is still recovering; slower, jittered polls during the outage spread them.
    */
   private getPollDelay(consecutiveFailures: number): number {
     const { pollMs = DEFAULT_POLL_MS, maxPollMs = DEFAULT_MAX_POLL_MS } = this.options;
@@ -143,7 +148,7 @@
 
   private async tryPoll(signal: AbortSignal): Promise<boolean> {
     this.counters.polls += 1;
-    // The platform's client joins what it is given with its own timeout; see JoinedSignal.
+    // The platform's client joins the signal with its own timeout; see JoinedSignal.
     const joined = new JoinedSignal([signal]);
     try {
       this.applyList(await this.options.vms.list(joined.signal));
@@ -157,8 +162,8 @@
   }
 
   private applyList(vms: readonly IVm[]): void {
-    // This node runs, so a list without any VM is not the truth but a fault of the platform;
-    // to believe it would make every node home of everything at once.
+    // This node is running, so a list without any VM is a fault of the platform. If it were
+    // applied, every node would consider itself the home of all shards at the same time.
     if (vms.length === 0) return;
     this.listed = vms.filter((vm) => vm.state === VmState.Live).map(toNode);
     const addresses = new Set(vms.map((vm) => vm.address));
@@ -187,12 +192,14 @@
     return this.healthByAddress.get(address)?.isUsable(nowMs) ?? true;
   }
 
-  /** Brings peers back when their time is over, without a timer for each of them. */
+  /**
+   * Makes peers usable again when a suspicion or a shutdown notice expires, with one timer for all.
+   */
   private startExpiryTimer(nowMs: number): void {
     void this.expiryTimer?.dispose();
     let earliestMs = Infinity;
-    for (const experience of this.healthByAddress.values()) {
-      const fromMs = experience.getUsableFrom();
+    for (const health of this.healthByAddress.values()) {
+      const fromMs = health.getUsableFrom();
       if (fromMs > nowMs) earliestMs = Math.min(earliestMs, fromMs);
     }
     if (earliestMs === Infinity) return;
@@ -205,9 +212,9 @@
   private getPeerHealth(address: string): PeerHealth {
     const known = this.healthByAddress.get(address);
     if (known !== undefined) return known;
-    const experience = new PeerHealth(this.options.suspicion);
-    this.healthByAddress.set(address, experience);
-    return experience;
+    const health = new PeerHealth(this.options.suspicion);
+    this.healthByAddress.set(address, health);
+    return health;
   }
 
   private getNow(): number {
--- a/packages/fleet/src/membership/common/peerHealth.ts
+++ b/packages/fleet/src/membership/common/peerHealth.ts
@@ -1,14 +1,17 @@
-/** What this node itself experienced with one peer, and what follows for giving it work. */
+/** Health of one peer, estimated from the results of this node's own calls to it. */
 
-/** How experience is weighed. All times in ms. */
+/** Thresholds and durations of suspicion. All times in ms. */
 export interface ISuspicionOptions {
-  /** Failures in a row, with no completed exchange between them, that make a peer suspect. Default 2. */
+  /**
+   * Consecutive failures, with no completed exchange between them, that make a peer suspected.
+   * Default 2.
+   */
   readonly failuresToSuspect?: number;
-  /** Length of the first suspicion; each further one is twice as long. Default 1000. */
+  /** Duration of the first suspicion; each further one lasts twice as long. Default 1000. */
   readonly firstMs?: number;
-  /** Longest suspicion. Default 30,000. */
+  /** Maximum duration of a suspicion. Default 30,000. */
   readonly maxMs?: number;
-  /** Time that a peer's word that it is leaving is believed. Default 10,000. */
+  /** Time for which a peer's shutdown notice stays in effect. Default 10,000. */
   readonly shutdownHoldMs?: number;
 }
 
@@ -19,28 +22,28 @@
   shutdownHoldMs: 10_000,
 };
 
-/** Growth stops here; by then the bound of the length has long been reached. */
+/** Bounds the exponent; the duration reaches its own bound well before. */
 const MAX_LEVEL = 20;
 
 /**
- * Suspicion of one peer. Instants are on the monotonic clock.
+ * Tracks the suspicion of one peer. Instants are on the monotonic clock.
  *
- * A peer that flaps would otherwise come back after every short suspicion and take requests down
- * with it each time, seen as a steady trickle of retries. Suspicions therefore double while they
- * follow one another, and the level falls to zero only after the peer stayed in contact for as
- * long as its last suspicion lasted.
+ * A flapping peer would otherwise be used again after every short suspicion and fail requests each
+ * time, which shows as a steady trickle of retries. Consecutive suspicions therefore double in
+ * duration, and the level returns to zero only after the peer stayed in contact for as long as its
+ * last suspicion lasted.
  *
  * @example
- * const experience = new PeerExperience({ failuresToSuspect: 2 });
- * experience.recordFailure(0); // false
- * experience.recordFailure(10); // true
- * experience.isUsable(500); // false
+ * const health = new PeerHealth({ failuresToSuspect: 2 });
+ * health.recordFailure(0); // false
+ * health.recordFailure(10); // true
+ * health.isUsable(500); // false
  */
 export class PeerHealth {
   private readonly options: Required<ISuspicionOptions>;
   private failures = 0;
   private level = 0;
-  private lastLengthMs = 0;
+  private lastDurationMs = 0;
   private suspectUntilMs = 0;
   private shutdownUntilMs = 0;
   private inContactSinceMs: number | undefined;
@@ -49,17 +52,19 @@
     this.options = { ...DEFAULTS, ...options };
   }
 
-  /** An exchange with the peer completed. A suspicion that runs is not cut short by it. */
+  /** Records a completed exchange with the peer. It does not shorten a running suspicion. */
   recordContact(nowMs: number): void {
     this.failures = 0;
     if (nowMs < this.suspectUntilMs) return;
     this.inContactSinceMs ??= nowMs;
-    if (nowMs - this.inContactSinceMs >= this.lastLengthMs) this.level = 0;
+    if (nowMs - this.inContactSinceMs >= this.lastDurationMs) this.level = 0;
   }
 
-  /** An exchange with the peer failed. Returns true when the peer becomes suspect by it. */
+  /**
+   * Records a failed exchange with the peer. Returns true when the peer becomes suspected by it.
+   */
   recordFailure(nowMs: number): boolean {
-    // Requests that were under way when the suspicion began fail late; they say nothing new.
+    // Requests that were in progress when the suspicion began fail late; they are no new evidence.
     if (nowMs < this.suspectUntilMs) return false;
     this.failures += 1;
     const isOnProbation = this.level > 0;
@@ -68,26 +73,28 @@
     return true;
   }
 
-  /** The peer said that it is leaving. The word expires, because its address may be used again. */
+  /** Records the peer's shutdown notice, which expires because its address may be used again. */
   recordShutdown(nowMs: number): void {
     this.shutdownUntilMs = nowMs + this.options.shutdownHoldMs;
   }
 
-  /** Whether the peer may be given work. */
+  /** Whether the peer may receive work. */
   isUsable(nowMs: number): boolean {
     return nowMs >= this.suspectUntilMs && nowMs >= this.shutdownUntilMs;
   }
 
-  /** Instant from which the peer may be given work again, unless something new is learnt. */
+  /**
+   * Returns the instant from which the peer may receive work again, unless new evidence arrives.
+   */
   getUsableFrom(): number {
     return Math.max(this.suspectUntilMs, this.shutdownUntilMs);
   }
 
   private startSuspicion(nowMs: number): void {
     const { firstMs, maxMs } = this.options;
-    this.lastLengthMs = Math.min(maxMs, firstMs * 2 ** this.level);
+    this.lastDurationMs = Math.min(maxMs, firstMs * 2 ** this.level);
     this.level = Math.min(this.level + 1, MAX_LEVEL);
-    this.suspectUntilMs = nowMs + this.lastLengthMs;
+    this.suspectUntilMs = nowMs + this.lastDurationMs;
     this.failures = 0;
     this.inContactSinceMs = undefined;
   }
--- a/packages/fleet/src/neighbours/common/neighbourSet.test.ts
+++ b/packages/fleet/src/neighbours/common/neighbourSet.test.ts
@@ -16,28 +16,28 @@
   return neighbours.getAddresses();
 }
 
-test('neighbours are few, are never the node itself, and stay when others come and go', () => {
+test('neighbours are few, never include the node itself, and stay when other nodes are removed', () => {
   const nodes = makeNodes(500);
   const self = nodes[7]!.address;
   const before = listNeighbours(nodes, self);
   assert.equal(before.length, 8);
   assert.ok(!before.includes(self));
-  const gone = before[3]!;
+  const removed = before[3]!;
   const after = listNeighbours(
-    nodes.filter(({ address }) => address !== gone),
+    nodes.filter(({ address }) => address !== removed),
     self,
   );
   assert.equal(before.filter((address) => after.includes(address)).length, 7);
 });
 
-test('a small fleet has as many neighbours as there are others', () => {
+test('in a small fleet all other nodes are neighbours', () => {
   assert.deepEqual(listNeighbours(makeNodes(1), '10.0.0.0:7002'), []);
   assert.equal(listNeighbours(makeNodes(4), '10.0.0.0:7002').length, 3);
 });
 
-test('from every node every other one can be reached over neighbours', () => {
-  // Symptom: a change never reaches some nodes by rumour. Sequence: neighbours are chosen so that
-  // groups of nodes only know each other. Cause: scores that depend on the peer alone.
+test('nearly every node can be reached over neighbours', () => {
+  // Guards against changes that never reach some nodes by gossip: with scores that depend on the
+  // peer alone, groups of nodes choose only each other as neighbours.
   const nodes = makeNodes(500);
   const links = new Map(nodes.map(({ address }) => [address, listNeighbours(nodes, address)]));
   const reached = new Set([nodes[0]!.address]);
--- a/packages/fleet/src/neighbours/common/neighbourSet.ts
+++ b/packages/fleet/src/neighbours/common/neighbourSet.ts
@@ -1,4 +1,4 @@
-/** The few peers that a node exchanges rumours with, the same ones for as long as they live. */
+/** A small, stable set of peers with which a node exchanges gossip. */
 import { hashToInteger } from '@parsleymux/base';
 import type { INode } from '../../membership/common/membershipService.js';
 
@@ -10,9 +10,9 @@
 }
 
 /**
- * With peers drawn from the whole of a large fleet nearly every call would open a connection, and the
- * opening and closing would cost as many bytes as the call. With a few fixed ones connections are
- * kept. Each node's are drawn by hash, so that all of them together join the fleet as well as
+ * With peers chosen at random from a large fleet, nearly every call would open a connection, and
+ * opening and closing it would cost as many bytes as the call. With a few fixed peers, connections
+ * are reused. Each node chooses its own by hash, so that together they connect the fleet as well as
  * random ones would.
  *
  * @example
@@ -29,7 +29,7 @@
     private readonly size = DEFAULT_SIZE,
   ) {}
 
-  /** Chooses anew when the set of live nodes is another one. */
+  /** Chooses the neighbours again when the list of live nodes has changed. */
   setNodes(nodes: readonly INode[]): void {
     if (nodes === this.nodes) return;
     this.nodes = nodes;
@@ -43,7 +43,9 @@
       .map(({ address }) => address);
   }
 
-  /** In no particular order of preference; fewer in a fleet that has fewer. */
+  /**
+   * Returns the addresses in no particular order of preference; fewer in a fleet with fewer peers.
+   */
   getAddresses(): readonly string[] {
     return this.addresses;
   }
--- a/packages/fleet/src/peers/node/controlHandler.ts
+++ b/packages/fleet/src/peers/node/controlHandler.ts
@@ -1,4 +1,4 @@
-/** The receiving side of control calls between nodes. */
+/** The server side of control calls between nodes. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { ServiceImpl } from '@connectrpc/connect';
 import { connectNodeAdapter } from '@connectrpc/connect-node';
@@ -6,13 +6,13 @@
 import type { PeerAuthenticator } from './peerAuthenticator.js';
 import { PROOF_HEADER } from './peerAuthenticator.js';
 
-/** Paths that begin so belong to {@link makeControlHandler}. */
+/** Prefix of the paths that {@link makeControlHandler} serves. */
 export const CONTROL_PATH_PREFIX = '/parsleymux.control.v1.';
 
 const UNAUTHORIZED = 401;
 const DEFAULT_MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
-/** What answers control calls; a method that is left out answers "unimplemented". */
+/** Implementation of the control service; an omitted method responds with "unimplemented". */
 export type ControlImplementation = Partial<ServiceImpl<typeof ControlService>>;
 
 /** Handles a request of Node's HTTP server. */
@@ -22,12 +22,12 @@
 export interface IControlHandlerOptions {
   readonly implementation: ControlImplementation;
   readonly authenticator: PeerAuthenticator;
-  /** Largest message that is read. Default 16 MiB. */
+  /** Largest accepted message, in bytes. Default 16 MiB. */
   readonly maxMessageBytes?: number;
 }
 
 /**
- * Makes the handler for the peer port's control paths.
+ * Creates the handler for the control paths of the peer port.
  *
  * @example
  * const handleControl = makeControlHandler({ implementation, authenticator });
--- a/packages/fleet/src/peers/node/peerAuthenticator.test.ts
+++ b/packages/fleet/src/peers/node/peerAuthenticator.test.ts
@@ -13,7 +13,7 @@
   return { clock, sender, receiver };
 }
 
-test('a proof holds for its receiver, its path and a bounded time', async () => {
+test('a proof is valid for its receiver, its path and a bounded time', async () => {
   const { clock, sender, receiver } = makePair([OLD_KEY], [OLD_KEY]);
   const proof = sender.makeProof('b:1', '/hop');
   assert.ok(receiver.verifyProof(proof, '/hop'));
@@ -23,7 +23,7 @@
   assert.ok(!receiver.verifyProof(proof, '/hop'));
 });
 
-test('missing, malformed and foreign proofs are refused', () => {
+test('missing and malformed proofs and those of another key are refused', () => {
   const { receiver } = makePair([OLD_KEY], [OLD_KEY]);
   const foreign = makePair([NEW_KEY], []).sender.makeProof('b:1', '/hop');
   for (const proof of [undefined, '', 'x', '1700000000000', '1700000000000 zz', '-1 00', foreign]) {
--- a/packages/fleet/src/peers/node/peerAuthenticator.ts
+++ b/packages/fleet/src/peers/node/peerAuthenticator.ts
@@ -1,9 +1,9 @@
 /**
- * Proves to a peer that the sender holds the fleet's key.
+ * Authenticates requests between peers by the fleet's key.
  *
- * Each request carries a code over its instant, its receiver and its path, so that the key never
- * travels, a proof is of no use at another node or for another call, and an old one expires. The
- * body is not covered: who can change bytes on the way is kept out by TLS on the peer port.
+ * Each request carries an HMAC over its time, its receiver and its path: the key is never sent, a
+ * proof is invalid at another node or for another call, and it expires. The body is not covered:
+ * TLS on the peer port protects it against modification in transit.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { Clock } from '@parsleymux/base';
@@ -19,19 +19,19 @@
 /** Options of a {@link PeerAuthenticator}. */
 export interface IPeerAuthenticatorOptions {
   /**
-   * The first makes proofs, any of them is accepted, so that a key can be replaced node by node.
-   * Empty: no proof is made or asked for.
+   * The first key makes proofs and every key is accepted, so that a key can be replaced node by
+   * node. When empty, no proof is made or required.
    */
   readonly keys: readonly Uint8Array[];
   readonly clock: Clock;
-  /** Peer address of this node, which proofs sent to it must name. */
+  /** Peer address of this node, which proofs sent to it must contain. */
   readonly selfAddress: string;
-  /** Largest difference between two nodes' clocks, in ms. Default 60,000. */
+  /** Maximum difference between two nodes' clocks, in ms. Default 60,000. */
   readonly maxSkewMs?: number;
 }
 
 /**
- * Makes and verifies proofs, for control calls and for the request hop alike.
+ * Makes and verifies proofs, both for control calls and for the request hop.
  *
  * @example
  * const proof = authenticator.makeProof('127.0.0.1:7002', '/hop');
@@ -51,7 +51,9 @@
     this.options = options;
   }
 
-  /** The header's value for a request to `receiver`, or undefined when the fleet has no key. */
+  /**
+   * Returns the header's value for a request to `receiver`, or undefined when the fleet has no key.
+   */
   makeProof(receiver: string, path: string): string | undefined {
     const key = this.options.keys[0];
     if (key === undefined) return undefined;
@@ -82,7 +84,10 @@
   return createHmac(HASH, key).update(`${instant}\n${receiver}\n${path}`).digest();
 }
 
-/** A comparison that stops at the first difference would tell how much of a guess is right. */
+/**
+ * Compares in constant time: a comparison that stops at the first difference would reveal how much
+ * of a guess is right.
+ */
 function isEqual(given: Buffer, expected: Buffer): boolean {
   return given.length === expected.length && timingSafeEqual(given, expected);
 }
--- a/packages/fleet/src/peers/node/peerClients.test.ts
+++ b/packages/fleet/src/peers/node/peerClients.test.ts
@@ -33,7 +33,7 @@
   }
 
   override recordShutdown(): void {
-    this.seen.push('leaving');
+    this.seen.push('shutdown');
   }
 }
 
@@ -77,18 +77,18 @@
   );
 }
 
-test('a completed call is contact, and the peer sees the message', async (context) => {
+test('a completed call counts as contact, and the peer receives the message', async (context) => {
   const implementation: ControlImplementation = {
     announceRevision: (request) => ({ fleetRevision: request.fleetRevision + 1n }),
   };
   const { address } = await startPeer(context, implementation);
   const { peers, seen } = makeClients(context);
-  const answer = await announce(peers, address);
-  assert.equal(answer.fleetRevision, 6n);
+  const response = await announce(peers, address);
+  assert.equal(response.fleetRevision, 6n);
   assert.deepEqual(seen, ['contact']);
 });
 
-test('a peer without the key of the fleet is refused, which still is an exchange', async (context) => {
+test('a caller without the fleet key is refused, which still counts as contact', async (context) => {
   const { address } = await startPeer(context, {
     announceRevision: () => assert.fail('must not be reached'),
   });
@@ -99,10 +99,10 @@
   assert.deepEqual(seen, ['contact']);
 });
 
-test('a connection gone silent is accused before the peer', async (context) => {
-  // Symptom: a healthy peer is suspected. Sequence: a call completes; something between the two
-  // ends forgets the connection; the next call times out; one on a new connection works.
-  // Cause: the timeout on the old connection counted against the peer.
+test('a silent connection is closed before the peer counts as failed', async (context) => {
+  // Guards against a healthy peer that is suspected: a call completes, an intermediary drops the
+  // connection, the next call times out, and one on a new connection works. The timeout on the old
+  // connection must not count against the peer.
   let isSilent = false;
   const { address } = await startPeer(context, {
     announceRevision: () => (isSilent ? new Promise(() => undefined) : { fleetRevision: 1n }),
@@ -120,7 +120,7 @@
   assert.deepEqual(seen, ['contact', 'contact', 'failure']);
 });
 
-test('a peer that refuses connections is a failure at the first call', async (context) => {
+test('a peer that refuses connections counts as failed at the first call', async (context) => {
   const server = createServer();
   const address = await listen(server);
   await new Promise((resolve) => server.close(resolve));
@@ -129,7 +129,7 @@
   assert.deepEqual(seen, ['failure']);
 });
 
-test('a caller that gives up says nothing about the peer', async (context) => {
+test('a cancelled call is no evidence about the peer', async (context) => {
   const { address } = await startPeer(context, {
     announceRevision: () => new Promise(() => undefined),
   });
--- a/packages/fleet/src/peers/node/peerClients.ts
+++ b/packages/fleet/src/peers/node/peerClients.ts
@@ -1,4 +1,4 @@
-/** Control calls to peers: one client for each peer that is talked to, in bounded number. */
+/** Control calls to peers, over a bounded number of cached clients. */
 import type { Agent } from 'node:http';
 import { Agent as HttpAgent } from 'node:http';
 import type { AgentOptions } from 'node:https';
@@ -15,10 +15,10 @@
 const DEFAULT_TIMEOUT_MS = 2000;
 const DEFAULT_MAX_PEERS = 64;
 const DEFAULT_IDLE_MS = 60_000;
-/** Concurrent calls to one peer beyond this wait for a connection. */
+/** Connections to one peer; further concurrent calls wait for one of them. */
 const MAX_CONNECTIONS = 4;
 
-/** Codes with which connect-es reports that no whole answer came. */
+/** Codes with which connect-es reports that no complete response arrived. */
 const NO_RESPONSE_CODES: ReadonlySet<Code> = new Set([
   Code.Unavailable,
   Code.DeadlineExceeded,
@@ -27,10 +27,10 @@
   Code.DataLoss,
 ]);
 
-/** Typed calls of one peer's control service. */
+/** Typed client of one peer's control service. */
 export type ControlClient = Client<typeof ControlService>;
 
-/** What a call is given besides the client; pass it on to the client's method. */
+/** Options of a call, to be passed on to the client's method. */
 export interface IPeerCallOptions {
   readonly timeoutMs: number;
   readonly signal?: AbortSignal;
@@ -41,7 +41,7 @@
 
 /** Limits of one call. */
 export interface IPeerCallLimits {
-  /** Default: that of the clients. */
+  /** Default: the timeout of the {@link PeerClients}, in ms. */
   readonly timeoutMs?: number;
   readonly signal?: AbortSignal;
 }
@@ -51,13 +51,13 @@
   readonly authenticator: PeerAuthenticator;
   readonly membership: MembershipService;
   readonly clock: Clock;
-  /** Longest wait for an answer, in ms. Default 2000. */
+  /** Maximum wait for a response, in ms. Default 2000. */
   readonly timeoutMs?: number;
-  /** Peers to which connections are kept. Default 64. */
+  /** Maximum number of peers to which connections are kept. Default 64. */
   readonly maxPeers?: number;
   /** Time after which an unused client is closed, in ms. Default 60,000. */
   readonly idleMs?: number;
-  /** Certificates and authorities; absent: plain HTTP. */
+  /** Certificates and authorities; plain HTTP when absent. */
   readonly tls?: AgentOptions;
 }
 
@@ -70,7 +70,7 @@
 }
 
 /**
- * Calls peers and tells membership what came of it.
+ * Calls peers and records the results in the membership.
  *
  * @example
  * const status = await peers.execute('127.0.0.1:7002', (client, options) =>
@@ -86,7 +86,7 @@
     this.options = options;
   }
 
-  /** Runs one call. Rejects with a ConnectError when it brings no answer. */
+  /** Runs one call. Rejects with a ConnectError when it fails. */
   async execute<T>(address: string, call: PeerCall<T>, limits: IPeerCallLimits = {}): Promise<T> {
     const entry = this.getEntry(address);
     const hadResponded = entry.hasResponded;
@@ -95,9 +95,9 @@
       limits.signal === undefined ? { timeoutMs } : { timeoutMs, signal: limits.signal };
     entry.callsInFlight += 1;
     try {
-      const answer = await call(entry.client, callOptions);
+      const response = await call(entry.client, callOptions);
       this.recordResponse(address, entry);
-      return answer;
+      return response;
     } catch (error) {
       if (limits.signal?.aborted !== true) this.recordError(address, entry, error, hadResponded);
       throw error;
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Peers to which a client is kept. */
+  /** Returns the number of peers with a cached client. */
   getPeerCount(): number {
     return this.entries.size;
   }
@@ -134,9 +134,9 @@
       this.recordResponse(address, entry);
       return;
     }
-    // A connection that the far end has lost track of stays silent while new ones work. The
-    // connections are blamed first: they are dropped, and only a call on new ones that fails as
-    // well counts against the peer.
+    // A connection that the other end has lost track of stays silent while new ones work.
+    // Connections are therefore closed first, and only a failed call on new ones counts as evidence
+    // against the peer.
     if (this.entries.get(address) === entry) this.closeEntry(address);
     if (!hadResponded) this.options.membership.recordFailure(address);
   }
@@ -195,7 +195,7 @@
     }
   }
 
-  /** Calls that still run on the entry's connections finish there; the last one closes them. */
+  /** Calls in progress on the entry's connections still finish; the last one closes them. */
   private closeEntry(address: string): void {
     const entry = this.entries.get(address);
     this.entries.delete(address);
--- a/packages/fleet/src/placement/common/placement.ts
+++ b/packages/fleet/src/placement/common/placement.ts
@@ -1,10 +1,10 @@
 /**
- * Which nodes are home to a shard. Every node computes it alone; two nodes that disagree for a
- * while cost speed, never correctness.
+ * Selects the home of each shard. Every node computes it by itself; a temporary disagreement
+ * between two nodes affects speed, never correctness.
  */
 import type { INode } from '../../membership/common/membershipService.js';
 
-/** What a placement decides on. */
+/** The unit of placement. */
 export interface IShard {
   /** Stable name, such as "member/service" or "member/service/2". */
   readonly id: string;
@@ -12,11 +12,11 @@
   readonly failureDomains: readonly string[];
 }
 
-/** An order of preference among nodes, the same on every node with the same live set. */
+/** Ranks nodes for a shard, with the same result on every node with the same live set. */
 export abstract class Placement {
   /** Replaces the set of live nodes. */
   abstract setNodes(nodes: readonly INode[]): void;
 
-  /** The first `count` candidates for home of the shard, best first. */
+  /** Returns the first `count` candidates for the home of the shard, best first. */
   abstract rank(shard: IShard, count: number): readonly INode[];
 }
--- a/packages/fleet/src/placement/common/rendezvousPlacement.test.ts
+++ b/packages/fleet/src/placement/common/rendezvousPlacement.test.ts
@@ -27,7 +27,7 @@
   assert.deepEqual(domains, expected);
 });
 
-test('the order does not depend on the order of the nodes, nor on what was asked before', () => {
+test('the order does not depend on the order of the nodes, nor on earlier calls', () => {
   const nodes = makeNodes(48);
   const forward = makePlacement(nodes);
   const backward = makePlacement([...nodes].reverse());
@@ -54,10 +54,10 @@
   assert.ok(moved > 0);
 });
 
-test('the few nodes left of a domain are not made home to all of its shards', () => {
-  // Symptom: after most of a domain is lost, its last node refuses requests for full queues.
-  // Sequence: 15 of 16 nodes in "north" go; every shard whose targets are there prefers "north".
-  // Cause: preference for a domain without regard to how much of it is left.
+test('the few remaining nodes of a domain do not become the home of all its shards', () => {
+  // Guards against the last node of a domain refusing requests for full queues: 15 of 16 nodes in
+  // "north" are removed, and every shard whose targets are there prefers "north" regardless of how
+  // much of it is left.
   const nodes = makeNodes(48);
   const survivor = nodes.find((node) => node.failureDomain === 'north')!;
   const left = nodes.filter((node) => node.failureDomain !== 'north' || node === survivor);
--- a/packages/fleet/src/placement/common/rendezvousPlacement.ts
+++ b/packages/fleet/src/placement/common/rendezvousPlacement.ts
@@ -1,20 +1,21 @@
 /**
- * Rendezvous hashing: every node scores every candidate for a shard alone, and the highest score
- * is home. Losing a node moves only the shards that it held; no table has to be agreed on.
+ * Rendezvous hashing: every node computes the scores of all candidates for a shard by itself, and
+ * the node with the highest score is the home. Losing a node moves only its own shards, and no
+ * shared table is needed.
  */
 import { hashToInteger } from '@parsleymux/base';
 import type { INode } from '../../membership/common/membershipService.js';
 import type { IShard } from './placement.js';
 import { Placement } from './placement.js';
 
-/** Seed of the second hash of a node, which tells nodes apart whose first hashes collide. */
+/** Seed of the second hash of a node, which distinguishes nodes whose first hashes collide. */
 const SECOND_SEED = 0x5bd1e995;
 const DEFAULT_MAX_CACHED_SHARDS = 20_000;
 const DEFAULT_MIN_DOMAIN_SHARE = 0.5;
 
 /** Options of a {@link RendezvousPlacement}. */
 export interface IRendezvousPlacementOptions {
-  /** Shards whose order is remembered. Default 20,000. */
+  /** Maximum number of shards whose ranking is cached. Default 20,000. */
   readonly maxCachedShards?: number;
   /**
    * A failure domain is preferred while it holds at least this share of the nodes that an average
@@ -40,7 +41,8 @@
 }
 
 /**
- * Prefers nodes in the shard's failure domains, in their order, then all others.
+ * Ranks the nodes in the shard's failure domains first, in the order of the domains, then all
+ * others.
  *
  * @example
  * const placement = new RendezvousPlacement();
@@ -101,9 +103,10 @@
   }
 
   /**
-   * When most of a domain is gone, its few remaining nodes would be home to all of its shards and
-   * be overloaded, seen as refusals for full queues on just these nodes. Below a share of the
-   * average domain's size its shards therefore go to all nodes alike.
+   * When most nodes of a domain are removed, the few remaining ones would become the home of all
+   * its shards and be overloaded, which shows as rejections for full queues on just these nodes.
+   * Below a share of the average domain's size, its shards are therefore distributed over all
+   * nodes.
    */
   private isLargeEnough(domain: string): boolean {
     const size = this.nodesByDomain.get(domain)?.length ?? 0;
@@ -120,7 +123,10 @@
   };
 }
 
-/** The `count` highest scores, best first. An insertion into a short list beats a sort of all. */
+/**
+ * Returns the nodes with the `count` highest scores, best first. Inserting into a short list is
+ * cheaper than sorting all nodes.
+ */
 function pickBest(nodes: readonly IScoredNode[], shardHash: number, count: number): INode[] {
   const best: ICandidate[] = [];
   for (const scored of nodes) {
--- a/packages/routing/src/attempt/common/attemptOutcome.ts
+++ b/packages/routing/src/attempt/common/attemptOutcome.ts
@@ -1,4 +1,4 @@
-/** What came of sending a request to one target, and what a caller is told of it. */
+/** The outcome of sending a request to one target, and how it is reported to the caller. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { discardBody } from '../../request/common/responseBody.js';
 import type { IResponse } from '../../request/common/request.js';
@@ -7,14 +7,14 @@
 
 const FIRST_SERVER_ERROR = 500;
 
-/** An attempt that ended with the target's answer, of any status. */
+/** An attempt that ended with a response from the target, of any status. */
 export interface IAnsweredAttempt {
   readonly kind: 'answered';
   readonly target: string;
   readonly response: ITargetResponse;
 }
 
-/** An attempt that ended without a whole answer. */
+/** An attempt that ended without a complete response. */
 export interface IFailedAttempt {
   readonly kind: 'failed';
   readonly target: string;
@@ -23,7 +23,7 @@
 
 export type AttemptOutcome = IAnsweredAttempt | IFailedAttempt;
 
-/** True when the caller can be given this outcome as a success. */
+/** True when the outcome can be returned to the caller as a success. */
 export function isSuccessful(outcome: AttemptOutcome): boolean {
   return (
     outcome.kind === 'answered' &&
@@ -32,28 +32,31 @@
   );
 }
 
-/** True when it is certain that the target executed nothing. */
+/** True when it is certain that the target did not execute the request. */
 export function isProvablyNotRun(outcome: AttemptOutcome): boolean {
   return outcome.kind === 'answered' ? outcome.response.notRun : !outcome.error.mayHaveRun;
 }
 
-/** True when another target might do better. */
+/** True when another target may succeed. */
 export function isRetryable(outcome: AttemptOutcome): boolean {
   if (outcome.kind === 'answered') return !isSuccessful(outcome);
   const { failure } = outcome.error;
   return failure !== TransportFailure.Cancelled && failure !== TransportFailure.TooLarge;
 }
 
-/** Lets go of an outcome that nobody is given, with the connection and slot that it may hold. */
+/**
+ * Discards an outcome that is not returned to the caller, and frees the connection and slot that it
+ * may hold.
+ */
 export function discardOutcome(outcome: AttemptOutcome | undefined): void {
   if (outcome?.kind === 'answered') void discardBody(outcome.response.body);
 }
 
-/** The answer to give, or the refusal to throw, for the last outcome of a request. */
+/** Converts the last outcome of a request to the caller's response, or throws the rejection. */
 export function toResponse(outcome: AttemptOutcome, retryAfterMs: number): IResponse {
   if (outcome.kind === 'failed') throw toMuxError(outcome.error);
-  const { response: answer } = outcome;
-  if (answer.notRun) {
+  const { response } = outcome;
+  if (response.notRun) {
     throw new MuxError({
       code: ResultCode.TargetShed,
       message: 'the target shed the request',
@@ -61,13 +64,14 @@
       retryAfterMs: Math.ceil(retryAfterMs),
     });
   }
-  const isFailure = answer.status >= FIRST_SERVER_ERROR;
+  const isFailure = response.status >= FIRST_SERVER_ERROR;
   return {
-    status: answer.status,
-    headers: answer.headers,
-    body: answer.body,
+    status: response.status,
+    headers: response.headers,
+    body: response.body,
     code: isFailure ? ResultCode.TargetFailed : ResultCode.Ok,
-    // An error status can come from something in front of the target, so it proves no execution.
+    // An intermediary in front of the target may have sent the error status, so it is no proof of
+    // execution.
     runState: isFailure ? RunState.MayHaveRun : RunState.Ran,
   };
 }
@@ -91,7 +95,10 @@
   });
 }
 
-/** Wraps what a transport threw, so that a fault of the transport itself is not taken for "not run". */
+/**
+ * Wraps an error thrown by a transport. Any error other than a TransportError counts as possibly
+ * run.
+ */
 export function toFailedAttempt(target: string, thrown: unknown): IFailedAttempt {
   const error =
     thrown instanceof TransportError
--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -1,4 +1,4 @@
-/** Sends one request to one target, and keeps count of what may have been executed. */
+/** Sends one request to one target, and counts the dispatches that may have been executed. */
 import { InvariantName } from '@parsleymux/base';
 import type { IHomeContext } from '../../home/common/homeOptions.js';
 import type { ISlot } from '../../home/common/slotPool.js';
@@ -8,11 +8,11 @@
 import type { AttemptOutcome } from './attemptOutcome.js';
 import { isProvablyNotRun, toFailedAttempt } from './attemptOutcome.js';
 
-/** Work handed out this long after a target was known to be leaving is a broken promise. */
+/** A dispatch later than this after a target was known to be draining violates the invariant. */
 const DRAINING_GRACE_MS = 3000;
 const MIN_TIMEOUT_MS = 1;
 
-/** What was dispatched for one request so far. */
+/** Counts the dispatches of one request. */
 export class DispatchCount {
   dispatched = 0;
   provablyNotRun = 0;
@@ -23,7 +23,7 @@
   }
 }
 
-/** One attempt. */
+/** Parameters of one attempt. */
 export interface IAttempt {
   readonly slot: ISlot;
   readonly request: IRoutedRequest;
@@ -32,37 +32,40 @@
   readonly count: DispatchCount;
 }
 
-/** Runs attempts of one member. */
+/** Runs attempts on behalf of one member. */
 export class AttemptRunner {
   constructor(
     private readonly context: IHomeContext,
     private readonly member: string,
   ) {}
 
-  /** Resolves with what came of it; the slot is given back when the answer has passed. */
+  /**
+   * Resolves with the outcome. The slot is released when the response has been passed on
+   * completely.
+   */
   async run(attempt: IAttempt): Promise<AttemptOutcome> {
     const { slot, count } = attempt;
     const target = slot.handle.address;
-    const mark = { isDispatched: false };
+    const state = { isDispatched: false };
     const onDispatch = () => {
       this.checkDispatch(attempt);
-      mark.isDispatched = true;
+      state.isDispatched = true;
       count.dispatched += 1;
     };
     try {
-      const answer = await this.send(attempt, onDispatch);
+      const response = await this.send(attempt, onDispatch);
       const outcome: AttemptOutcome = {
         kind: 'answered',
         target,
-        response: releaseSlotAtEnd(answer, slot),
+        response: releaseSlotAtEnd(response, slot),
       };
-      if (mark.isDispatched && isProvablyNotRun(outcome)) count.provablyNotRun += 1;
+      if (state.isDispatched && isProvablyNotRun(outcome)) count.provablyNotRun += 1;
       return outcome;
     } catch (error) {
       slot.release();
       const outcome = toFailedAttempt(target, error);
-      // A failure to connect proves nothing of an earlier attempt that was dispatched.
-      if (mark.isDispatched && isProvablyNotRun(outcome)) count.provablyNotRun += 1;
+      // A failure to connect proves nothing about an earlier dispatch of the same request.
+      if (state.isDispatched && isProvablyNotRun(outcome)) count.provablyNotRun += 1;
       return outcome;
     }
   }
@@ -94,7 +97,7 @@
     };
   }
 
-  /** Asserts, at the last instant before a byte may leave, what must hold of every dispatch. */
+  /** Checks the invariants of every dispatch, immediately before the first byte may be sent. */
   private checkDispatch(attempt: IAttempt): void {
     const { request, slot, count } = attempt;
     const { invariants, clock } = this.context;
@@ -103,23 +106,23 @@
       request.route.idempotent || !count.hasPossiblyRun(),
       () => `${this.member}/${request.route.service}: second dispatch of one attempt`,
     );
-    const leavingMs = slot.handle.getDrainingMs(clock.getWallTime(), clock.getMonotonicTime());
+    const drainingMs = slot.handle.getDrainingMs(clock.getWallTime(), clock.getMonotonicTime());
     invariants.check(
       InvariantName.LeavingTarget,
-      leavingMs < DRAINING_GRACE_MS,
-      () => `${this.member}/${request.route.service}: ${slot.handle.address} has left`,
+      drainingMs < DRAINING_GRACE_MS,
+      () => `${this.member}/${request.route.service}: ${slot.handle.address} is draining`,
     );
   }
 }
 
-/** Gives the slot back at once for a whole answer, or when a streamed one has passed or broken. */
-function releaseSlotAtEnd(answer: ITargetResponse, slot: ISlot): ITargetResponse {
-  if (answer.body instanceof Uint8Array) {
+/** Releases the slot immediately for a complete response, or when a streamed one ends or breaks. */
+function releaseSlotAtEnd(response: ITargetResponse, slot: ISlot): ITargetResponse {
+  if (response.body instanceof Uint8Array) {
     slot.release();
-    return answer;
+    return response;
   }
-  const body = watchBodyEnd(answer.body, () => {
+  const body = watchBodyEnd(response.body, () => {
     slot.release();
   });
-  return { ...answer, body };
+  return { ...response, body };
 }
--- a/packages/routing/src/attempt/common/hedgedAttempt.ts
+++ b/packages/routing/src/attempt/common/hedgedAttempt.ts
@@ -1,9 +1,11 @@
-/** An attempt that, when overdue, gets a second one beside it; the first good answer wins. */
+/**
+ * Hedged attempts: when the first is overdue, a second runs in parallel; the first success wins.
+ */
 import type { Clock } from '@parsleymux/base';
 import type { AttemptOutcome } from './attemptOutcome.js';
 import { discardOutcome, isSuccessful } from './attemptOutcome.js';
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export interface IRunningAttempt {
   readonly outcome: Promise<AttemptOutcome>;
   cancel(): void;
@@ -13,13 +15,15 @@
 export interface IHedgeOptions {
   readonly clock: Clock;
   readonly first: IRunningAttempt;
-  /** Time after which the first attempt is overdue, in ms; undefined for never. */
+  /** Time after which the first attempt is overdue, in ms; undefined disables hedging. */
   readonly hedgeDelayMs: number | undefined;
-  /** Called when the first attempt is overdue; starts the second, or not. */
+  /**
+   * Called when the first attempt is overdue; returns the second one, or undefined to start none.
+   */
   onOverdue(): IRunningAttempt | undefined;
 }
 
-/** The first good outcome, or the last one if none is good. */
+/** Resolves with the first successful outcome, or with the last one when none succeeds. */
 export function runHedged(options: IHedgeOptions): Promise<AttemptOutcome> {
   const { clock, first, hedgeDelayMs: stallMs } = options;
   if (stallMs === undefined) return first.outcome;
--- a/packages/routing/src/metrics/common/homeMetrics.ts
+++ b/packages/routing/src/metrics/common/homeMetrics.ts
@@ -1,4 +1,6 @@
-/** Counters of a home. What recurs is counted; only changes of standing are events. */
+/**
+ * Counters of a home. Recurring incidents are counted; only changes of health status are logged.
+ */
 import { Counter, Registry } from 'prom-client';
 
 const LABELS = ['member', 'service'] as const;
@@ -19,13 +21,22 @@
   constructor(readonly registry: Registry = new Registry()) {
     this.attempts = this.createCounter('attempts', 'Requests sent to targets.');
     this.retries = this.createCounter('retries', 'Attempts after a failed one.');
-    this.hedges = this.createCounter('hedges', 'Second attempts beside an overdue one.');
-    this.sheds = this.createCounter('sheds', 'Answers by which targets refused to run a request.');
+    this.hedges = this.createCounter(
+      'hedges',
+      'Second attempts started while the first was overdue.',
+    );
+    this.sheds = this.createCounter(
+      'sheds',
+      'Responses by which targets refused to run a request.',
+    );
     this.silentConnections = this.createCounter(
       'connections_accused',
-      'Times that connections, not their target, were found to be silent.',
+      'Times that connections stopped responding while their target was healthy.',
+    );
+    this.pathFaults = this.createCounter(
+      'path_faults',
+      'Targets found to be reachable from other nodes only.',
     );
-    this.pathFaults = this.createCounter('path_faults', 'Targets that only others could reach.');
     this.ejections = new Counter({
       name: 'parsleymux_home_ejections_total',
       help: 'Decisions of the ejection ledger.',
--- a/packages/routing/src/refusal/common/refusals.ts
+++ b/packages/routing/src/refusal/common/refusals.ts
@@ -1,4 +1,4 @@
-/** The refusals of a home. Each says truthfully that nothing was run. */
+/** Rejections by a home. Each one states that the request was not run. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 
 function createRefusal(code: ResultCode, message: string, retryAfterMs?: number): MuxError {
@@ -10,12 +10,12 @@
   });
 }
 
-/** The queue holds all that it may. */
+/** The queue of the service is full. */
 export function makeQueueFull(retryAfterMs: number): MuxError {
   return createRefusal(ResultCode.QueueFull, 'the queue of the service is full', retryAfterMs);
 }
 
-/** The request would not be answered before its deadline. */
+/** No target could respond before the deadline of the request. */
 export function makeQueueTimeout(retryAfterMs: number): MuxError {
   return createRefusal(
     ResultCode.QueueTimeout,
@@ -24,7 +24,7 @@
   );
 }
 
-/** No target of the service may be given work. */
+/** No target of the service may receive work. */
 export function makeNoTarget(retryAfterMs: number): MuxError {
   return createRefusal(ResultCode.NoTarget, 'no target of the service is serving', retryAfterMs);
 }
@@ -43,7 +43,7 @@
   return createRefusal(ResultCode.DeadlinePassed, 'the deadline passed before dispatch');
 }
 
-/** The caller went away before anything was sent. */
+/** The caller disconnected before anything was sent. */
 export function makeCallerGone(): MuxError {
   return createRefusal(ResultCode.CallerGone, 'the caller went away before dispatch');
 }
--- a/packages/routing/src/request/common/request.ts
+++ b/packages/routing/src/request/common/request.ts
@@ -1,4 +1,4 @@
-/** Requests and answers as they pass through a node. */
+/** Requests and responses as they pass through a node. */
 import type { ResultCode, RunState } from '@parsleymux/base';
 import type { Route } from '@parsleymux/schema';
 
@@ -14,20 +14,22 @@
   readonly path: string;
   /** End-to-end headers only. */
   readonly headers: readonly Header[];
-  /** The whole body, within the node's limit. */
+  /** The complete body, within the node's limit. */
   readonly body: Uint8Array;
-  /** Instant on the process's monotonic clock, in ms, after which nobody waits for the answer. */
+  /**
+   * Instant on the monotonic clock after which the caller no longer waits for the response, in ms.
+   */
   readonly deadlineMs: number;
-  /** Whom the caller is taken for when callers share a queue fairly. */
+  /** Identity of the caller for fair queueing. */
   readonly caller: string;
   /** Present on every request of a route that is not idempotent. */
   readonly idempotencyKey: string | undefined;
 }
 
-/** Bytes at hand, or bytes that are still arriving; an iteration that throws is a broken answer. */
+/** A complete body, or a stream of chunks; a stream that throws is an incomplete body. */
 export type ResponseBody = Uint8Array | AsyncIterable<Uint8Array>;
 
-/** The whole answer to one request. Refusals are thrown as MuxError instead. */
+/** The response to one request. Rejections are thrown as MuxError instead. */
 export interface IResponse {
   readonly status: number;
   readonly headers: readonly Header[];
--- a/packages/routing/src/request/common/responseBody.ts
+++ b/packages/routing/src/request/common/responseBody.ts
@@ -1,14 +1,15 @@
 /**
- * Care for bodies that are still arriving. Each holds a connection and a slot until it ends, so
- * whoever lets go of an answer without reading it has to say so.
+ * Handling of streamed bodies. Each holds a connection and a slot until it ends, so a response that
+ * is not read must be discarded explicitly.
  */
 import type { ResponseBody } from './request.js';
 
 /**
- * Gives a body up: its connection is closed. Harmless for whole bodies and for ended ones.
+ * Discards a body and closes its connection. Has no effect on complete bodies and on streams that
+ * have ended.
  *
  * @example
- * if (response.destroyed) await discardBody(answer.body);
+ * if (response.destroyed) await discardBody(response.body);
  */
 export async function discardBody(body: ResponseBody): Promise<void> {
   if (body instanceof Uint8Array) return;
@@ -16,12 +17,12 @@
 }
 
 /**
- * The same body, with `onEnd` called once when it was read to its end, broke or was given up,
- * even before anybody began to read. A generator would not do: given up before it is started, it
- * runs none of its blocks.
+ * Returns the same body, and calls `onEnd` once when it was read to its end, broke or was
+ * discarded, even before the first read. A generator would not work: discarded before it is
+ * started, it runs none of its blocks.
  *
  * @example
- * const watched = watchBodyEnd(answer.body, () => slot.release());
+ * const watched = watchBodyEnd(response.body, () => slot.release());
  */
 export function watchBodyEnd(
   body: AsyncIterable<Uint8Array>,
--- a/packages/routing/src/shard/common/shardPlan.test.ts
+++ b/packages/routing/src/shard/common/shardPlan.test.ts
@@ -3,7 +3,7 @@
 import { buildService, MEMBER } from '../../test/common/builders.js';
 import { planShards } from './shardPlan.js';
 
-test('a service that one node carries is one shard, the domain with most slots first', () => {
+test('a service that one node can handle is one shard, the domain with most slots first', () => {
   const [shard, ...rest] = planShards(MEMBER, buildService(16, { floorSlots: 40 }));
   assert.equal(rest.length, 0);
   assert.equal(shard?.id, 'dobrescu/booking');
@@ -11,7 +11,7 @@
   assert.equal(shard.floorSlots, 40);
 });
 
-test('a larger service is cut, no target is lost, and the floors sum to no less', () => {
+test('a larger service is split, no target is lost, and the floors add up to no less', () => {
   const service = buildService(200, { floorSlots: 500 });
   const shards = planShards(MEMBER, service, 100);
   const targets = shards.flatMap((shard) => shard.targets.map((target) => target.address));
--- a/packages/routing/src/shard/common/shardPlan.ts
+++ b/packages/routing/src/shard/common/shardPlan.ts
@@ -1,23 +1,29 @@
 /**
- * Into how many shards a service is cut. One home for a whole service sees all of its slots and
- * outcomes, which measured better than homes by failure domain; only a service that one node can't
- * carry is cut, first by failure domain, then each domain into equal parts.
+ * Splits a service into shards. A single home for a whole service sees all of its slots and
+ * outcomes, and so routes better than one home per failure domain. Only a service that one node
+ * can't handle is split, first by failure domain, then each domain into equal parts.
  */
 import type { IShard } from '@parsleymux/fleet';
 import type { Service, Target } from '@parsleymux/schema';
 
-/** Slots that one home serves. docs/decisions on homes gives the measurement behind it. */
+/**
+ * Maximum number of slots that one home serves; docs/decisions on homes has the measurement behind
+ * it.
+ */
 export const DEFAULT_MAX_SHARD_SLOTS = 300;
 
-/** A shard and what is in it. */
+/** A shard with its targets and floor. */
 export interface IPlannedShard extends IShard {
   readonly targets: readonly Target[];
-  /** Its share of the service's floor, rounded up: whatever homes do alone, the sum holds. */
+  /**
+   * Its share of the service's floor, rounded up, so that the floor holds though homes decide
+   * independently.
+   */
   readonly floorSlots: number;
 }
 
 /**
- * The shards of a service, the same on every node with the same configuration.
+ * Returns the shards of a service, the same on every node with the same configuration.
  *
  * @example
  * const shards = planShards('dobrescu', service);
--- a/packages/routing/src/target/common/targetHandle.test.ts
+++ b/packages/routing/src/target/common/targetHandle.test.ts
@@ -13,10 +13,9 @@
   return { ...target, state, leaveAtMs };
 }
 
-test('every way of leaving is counted from when it was known, and ends with it', () => {
-  // Symptom: the invariant of leaving targets stayed at zero while drained targets got work.
-  // Sequence: a plan drains a target, and a home with a fault goes on dispatching to it. Cause:
-  // the invariant knew leaving instants only.
+test('each kind of drain is timed from when it became known, and ends with it', () => {
+  // Guards against drained targets that receive work unnoticed: a plan drains a target, a faulty
+  // home keeps dispatching to it, and the invariant considers planned removal times only.
   const handle = new TargetHandle(makeTarget(), START_MS);
   assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 9000), 0);
   handle.update(makeTarget(TargetState.DRAINING), START_MS + 1000);
@@ -25,7 +24,7 @@
   handle.update(makeTarget(TargetState.SERVING, BigInt(WALL_MS)), START_MS + 5000);
   assert.equal(handle.getDrainingMs(WALL_MS + 700, START_MS + 6000), 700);
   handle.update(makeTarget(), START_MS + 6000);
-  handle.setHealthStatus(HealthStatus.Draining, 'says that it is draining', START_MS + 6000);
+  handle.setHealthStatus(HealthStatus.Draining, 'reports that it is draining', START_MS + 6000);
   assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 6300), 300);
   handle.setHealthStatus(HealthStatus.Serving, '', START_MS + 7000);
   assert.equal(handle.getDrainingMs(WALL_MS, START_MS + 9000), 0);
--- a/packages/routing/src/target/common/targetHandle.ts
+++ b/packages/routing/src/target/common/targetHandle.ts
@@ -1,19 +1,21 @@
-/** What a home holds of one target: slots in use, concurrency limit, and standing. */
+/**
+ * The state that a home tracks of one target: slots in use, concurrency limit and health status.
+ */
 import type { Target } from '@parsleymux/schema';
 import { TargetState } from '@parsleymux/schema';
 import { isConfiguredServing } from '../../ledger/common/floorArithmetic.js';
 
-/** How a home treats a target. The names are those of the status report. */
+/** Health status of a target at its home. The values appear in the status report. */
 export const HealthStatus = {
   Serving: 'serving',
-  /** Last choice: suspect, but ejecting it was not allowed. */
+  /** Suspected, but ejection was not allowed; used only as a last choice. */
   Suspect: 'suspect',
   Ejected: 'ejected',
-  /** Gets copies of idempotent requests only. */
+  /** Receives copies of idempotent requests only. */
   Trial: 'trial',
-  /** Draining by its own word. */
+  /** Reports that it is draining. */
   Draining: 'draining',
-  /** Has just started or returned, and is given work gradually. */
+  /** Started or returned recently; its load is increased gradually. */
   Cold: 'cold',
 } as const;
 
@@ -21,26 +23,32 @@
 
 const SHED_LIMIT_FACTOR = 0.75;
 const MIN_LIMIT = 1;
-/** Answers without a shed that earn back one slot, as a multiple of the limit. */
+/** Slots that the limit regains over as many responses without a shed as the limit has slots. */
 const SLOTS_RECOVERED_PER_ROUND = 0.2;
 
-/** A target as its home sees it. */
+/** One target at its home. */
 export class TargetHandle {
   target: Target;
   standing: HealthStatus = HealthStatus.Serving;
-  /** Why it stands as it does, for the status report. */
+  /** Reason for the health status, for the status report. */
   evidence = '';
   sinceMs: number;
   inUse = 0;
-  /** Requests at once that the target takes without shedding. */
+  /** Concurrent requests that the target accepts without shedding. */
   limit: number;
-  /** Factor below 1 while the target is warming up. */
+  /** Factor on the limit; below 1 while the target is warming up. */
   warmUpFactor = 1;
-  /** This node can't reach it, though others can: given work only when there is no other target. */
+  /**
+   * Unreachable from this node, though reachable from others; used only when there is no other
+   * target.
+   */
   isLocallyUnreachable = false;
-  /** Silent a moment ago, and now tried on a fresh connection: the last choice until that ends. */
+  /**
+   * Stopped responding and is being probed on a fresh connection; a last choice until the probe
+   * ends.
+   */
   isBeingProbed = false;
-  /** When the configuration's drain was seen here, on the monotonic clock. */
+  /** When this node learned of the configured drain, on the monotonic clock in ms. */
   private drainingSinceMs: number | undefined;
 
   constructor(target: Target, sinceMs: number) {
@@ -54,16 +62,19 @@
     return this.target.address;
   }
 
-  /** Requests that it may be given at once. */
+  /** Returns how many concurrent requests the target may receive. */
   getEffectiveLimit(): number {
-    return Math.max(MIN_LIMIT, Math.floor(Math.min(this.limit, this.target.slots) * this.warmUpFactor));
+    return Math.max(
+      MIN_LIMIT,
+      Math.floor(Math.min(this.limit, this.target.slots) * this.warmUpFactor),
+    );
   }
 
   hasFreeSlot(): boolean {
     return this.inUse < this.getEffectiveLimit();
   }
 
-  /** May be given a caller's request, if only as a last choice. */
+  /** Whether the target may receive callers' requests, even if only as a last choice. */
   isUsable(wallTimeMs: number): boolean {
     if (!isConfiguredServing(this.target, wallTimeMs)) return false;
     return (
@@ -74,23 +85,26 @@
   }
 
   /**
-   * For how long it is known here that the target gets no new work, in ms: by a plan's leaving
-   * instant, a plan's drain or its own word. 0 while it may get some.
+   * Returns for how long this node has known that the target must receive no new work, in ms: since
+   * a planned removal time, a planned drain or its own report of draining. 0 while it may receive
+   * work.
    */
   getDrainingMs(wallTimeMs: number, monotonicMs: number): number {
     const leaveAtMs = Number(this.target.leaveAtMs);
-    const byPlan = leaveAtMs === 0 ? 0 : wallTimeMs - leaveAtMs;
-    const byDrain = monotonicMs - (this.drainingSinceMs ?? monotonicMs);
-    const byOwnWord = this.standing === HealthStatus.Draining ? monotonicMs - this.sinceMs : 0;
-    return Math.max(0, byPlan, byDrain, byOwnWord);
+    const removedForMs = leaveAtMs === 0 ? 0 : wallTimeMs - leaveAtMs;
+    const drainedForMs = monotonicMs - (this.drainingSinceMs ?? monotonicMs);
+    const reportedForMs = this.standing === HealthStatus.Draining ? monotonicMs - this.sinceMs : 0;
+    return Math.max(0, removedForMs, drainedForMs, reportedForMs);
   }
 
-  /** The target shed: its own limit is lower than its slots for now. */
+  /**
+   * Lowers the limit after a shed: the target currently handles fewer requests than it has slots.
+   */
   recordShed(): void {
     this.limit = Math.max(MIN_LIMIT, Math.min(this.limit, this.inUse) * SHED_LIMIT_FACTOR);
   }
 
-  /** The target answered without shedding: the limit creeps back to its slots. */
+  /** Raises the limit gradually towards the slots after a response without a shed. */
   recordAccepted(): void {
     this.limit = Math.min(this.target.slots, this.limit + SLOTS_RECOVERED_PER_ROUND / this.limit);
   }
--- a/packages/routing/src/target/common/targetPicker.ts
+++ b/packages/routing/src/target/common/targetPicker.ts
@@ -3,7 +3,7 @@
 import { HealthStatus } from './targetHandle.js';
 import type { TargetHandle } from './targetHandle.js';
 
-/** What a request asks of a target. */
+/** Options of {@link pickTarget}. */
 export interface IPickOptions {
   readonly handles: Iterable<TargetHandle>;
   /** Targets that the request already failed on. */
@@ -14,8 +14,8 @@
 }
 
 /**
- * The least loaded usable target with a free slot. A suspect target is the last choice, and for a
- * request that must not run twice it is a choice only while no other target is usable at all.
+ * Returns the least loaded usable target with a free slot. Suspected targets are the last choice; a
+ * request that must not run twice uses them only while no other target is usable at all.
  *
  * @example
  * const handle = pickTarget({ handles, excluded: new Set(), isIdempotent: true, wallTimeMs, random });
@@ -24,14 +24,14 @@
   const usable = [...options.handles].filter((handle) => {
     return handle.isUsable(options.wallTimeMs) && !options.excluded.has(handle.address);
   });
-  const trusted = usable.filter((handle) => !isSuspected(handle));
-  const best = pickLeastLoaded(trusted, options.random);
+  const healthy = usable.filter((handle) => !isSuspected(handle));
+  const best = pickLeastLoaded(healthy, options.random);
   if (best !== undefined) return best;
-  const suspects = usable.filter(isSuspected);
-  if (trusted.length === 0) return pickLeastLoaded(suspects, options.random);
+  const suspected = usable.filter(isSuspected);
+  if (healthy.length === 0) return pickLeastLoaded(suspected, options.random);
   if (!options.isIdempotent) return undefined;
   return pickLeastLoaded(
-    suspects.filter((handle) => !handle.isLocallyUnreachable),
+    suspected.filter((handle) => !handle.isLocallyUnreachable),
     options.random,
   );
 }
--- a/packages/routing/src/test/common/builders.ts
+++ b/packages/routing/src/test/common/builders.ts
@@ -36,7 +36,7 @@
   return create(RouteSchema, { name: 'all', service: SERVICE, idempotent: isIdempotent });
 }
 
-/** A request with a deadline far away. */
+/** A request with a distant deadline. */
 export function buildRequest(rest: Partial<IRoutedRequest> = {}): IRoutedRequest {
   return {
     member: MEMBER,
@@ -52,7 +52,7 @@
   };
 }
 
-/** A configuration that tests replace. */
+/** A configuration that tests can replace. */
 export class FakeConfigService extends ConfigService {
   private readonly emitter = new Emitter<IFleetConfigChange>();
   private revision = 1;
@@ -72,7 +72,7 @@
     return { fleetRevision: this.revision, members };
   }
 
-  /** Puts other services in force. */
+  /** Replaces the services and notifies listeners. */
   apply(services: readonly Service[]): void {
     this.services = services;
     this.revision += 1;
@@ -82,7 +82,7 @@
 
 export type Respond = (request: ITargetRequest, options: ISendOptions) => Promise<ITargetResponse>;
 
-/** Sends every request to a function. */
+/** Passes every request to a function. */
 export class FakeTransport extends TargetTransport {
   readonly sent: string[] = [];
   readonly retired: string[] = [];
@@ -109,7 +109,7 @@
   }
 }
 
-/** A whole answer. */
+/** A complete response. */
 export function buildResponse(rest: Partial<ITargetResponse> = {}): ITargetResponse {
   return {
     status: 200,
--- a/packages/routing/src/test/common/fakeTable.ts
+++ b/packages/routing/src/test/common/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory for tests, with outages and lost answers. */
+/** An in-memory table for tests, with outages and lost responses. */
 import type {
   IScanOptions,
   ITableRow,
@@ -7,13 +7,13 @@
 } from '@parsleymux/store';
 import { PlatformError, PlatformFailure, TableService } from '@parsleymux/store';
 
-/** Transactions in memory. */
+/** Executes transactions in memory. */
 export class FakeTable extends TableService {
   readonly rows = new Map<string, ITableRow>();
   isDown = false;
-  /** Transactions whose answer is lost after they took effect. */
+  /** Number of transactions whose response is still to be lost after they took effect. */
   lostAnswers = 0;
-  /** Runs before each transaction, to let something come in between. */
+  /** Runs before each transaction, to simulate a concurrent change. */
   beforeTransact: (() => void) | undefined;
 
   override async read(keys: readonly string[]): Promise<readonly ITableRow[]> {
@@ -37,7 +37,7 @@
     for (const { key, value } of transaction.writes) this.write(key, value);
     if (this.lostAnswers > 0) {
       this.lostAnswers -= 1;
-      throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
+      throw new PlatformError(PlatformFailure.Unknown, 'response lost');
     }
     return { committed: true, conflicts: [] };
   }
--- a/packages/routing/src/test/common/homeFixture.ts
+++ b/packages/routing/src/test/common/homeFixture.ts
@@ -1,4 +1,4 @@
-/** A home on a clock of its own, with fakes around it. */
+/** A home on a manual clock, with fakes for its dependencies. */
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import type { TargetObserver } from '../../detection/common/targetObserver.js';
 import { PassThroughGuard } from '../../guard/common/passThroughGuard.js';
@@ -9,7 +9,7 @@
 import { buildResponse, buildService, FakeConfigService, FakeTransport } from './builders.js';
 import { FakeTable } from './fakeTable.js';
 
-/** What tests vary. */
+/** Options of {@link createHomeFixture}. */
 export interface IHomeFixtureOptions extends Partial<Pick<IHomeOptions, 'guard' | 'maxInFlight'>> {
   readonly observer?: TargetObserver;
 }
--- a/packages/routing/src/transport/common/hopHeaders.ts
+++ b/packages/routing/src/transport/common/hopHeaders.ts
@@ -1,15 +1,15 @@
-/** Headers that speak of one connection only and must not pass through a proxy. */
+/** Headers that apply to one connection only and must not be forwarded by a proxy. */
 import type { Header } from '../../request/common/request.js';
 
-/** Headers of our own that travel with requests and answers. */
+/** The fleet's own headers of requests and responses. */
 export const MuxHeader = {
   /** Time that the receiver has for the request, in ms. */
   TimeoutMs: 'parsleymux-timeout-ms',
   /** Whether a refused request was executed: one of the values of RunState. */
   RunState: 'parsleymux-run-state',
-  /** `true` on an answer of a target that is draining. */
+  /** `true` on a response of a target that is draining. */
   Draining: 'parsleymux-draining',
-  /** Identifies one attempt. A target that echoes it is protected against mixed-up answers. */
+  /** Identifies one attempt. When the target echoes it, mixed-up responses are detected. */
   AttemptId: 'parsleymux-attempt-id',
 } as const;
 
@@ -28,10 +28,10 @@
 ]);
 
 /**
- * Leaves out hop-by-hop headers, and those that the message's own Connection header names.
+ * Removes hop-by-hop headers, and those that the message's own Connection header names.
  *
- * A proxy that forwards `transfer-encoding` or `connection` lets one side speak about the framing
- * of the other side's connection: the next message is then cut at the wrong byte.
+ * A proxy that forwards `transfer-encoding` or `connection` lets one side control the framing of
+ * the other side's connection: the next message is then split at the wrong byte.
  *
  * @example
  * removeHopByHopHeaders([['connection', 'x-a'], ['x-a', '1'], ['x-b', '2']]); // [['x-b', '2']]
@@ -46,21 +46,21 @@
   return headers.filter(([name]) => !HOP_BY_HOP.has(name) && !named.has(name));
 }
 
-/** Headers of this prefix are the fleet's own word. */
+/** Prefix of the fleet's own headers. */
 const FLEET_PREFIX = 'parsleymux-';
 
 /**
- * Leaves out the fleet's own headers: a target that sets the result or the run state of an answer
- * would speak to callers with the fleet's voice.
+ * Removes the fleet's own headers: a target could otherwise set the result or the run state that
+ * the fleet reports to callers.
  *
  * @example
- * removeOwnHeaders([['parsleymux-result', '0'], ['x-a', '1']]); // [['x-a', '1']]
+ * removeFleetHeaders([['parsleymux-result', '0'], ['x-a', '1']]); // [['x-a', '1']]
  */
 export function removeFleetHeaders(headers: readonly Header[]): readonly Header[] {
   return headers.filter(([name]) => !name.startsWith(FLEET_PREFIX));
 }
 
-/** The first value of a header, its name in lower case. */
+/** Returns the first value of a header; `name` is in lower case. */
 export function findHeader(headers: readonly Header[], name: string): string | undefined {
   return headers.find(([candidate]) => candidate === name)?.[1];
 }
--- a/packages/routing/src/transport/common/targetProtocol.ts
+++ b/packages/routing/src/transport/common/targetProtocol.ts
@@ -1,36 +1,39 @@
-/** What a target and its proxy tell each other in headers: varies with the deployment. */
+/** Header conventions between targets and the proxy, which vary with the deployment. */
 import type { Header } from '../../request/common/request.js';
 import { MuxHeader, findHeader } from './hopHeaders.js';
 
 const NOT_RUN = 'not-run';
 
-/** The convention by which targets are told of time and identity, and tell of refusals. */
+/**
+ * Names and reads the headers for time limits, request identity, refusals, draining and rate
+ * limits.
+ */
 export abstract class TargetProtocol {
-  /** Header that tells the target how long it has, in ms. */
+  /** Header that carries the time limit of the target, in ms. */
   abstract readonly timeoutHeader: string;
 
-  /** Header that identifies a request, which the target echoes in its answer. */
+  /** Header that identifies a request and that the target echoes in its response. */
   abstract readonly correlationHeader: string;
 
   /**
-   * Whether an answer without framing of its own may be ended by the orderly end of its
-   * connection. Half an answer then looks whole if the target's process dies in good order, so
-   * only targets that are known to answer this way are read so.
+   * Whether a response without framing of its own may be delimited by the orderly end of its
+   * connection. A truncated response then looks complete if the target's process exits in an
+   * orderly way, so this applies only to targets that are known to respond this way.
    */
   abstract readonly acceptsUnframed: boolean;
 
-  /** The correlation value of a request; `ownId` is unique for each attempt. */
+  /** Returns the correlation value of a request; `ownId` is unique for each attempt. */
   abstract getCorrelation(headers: readonly Header[], ownId: string): string;
 
-  /** Whether the answer says that the target did not run the request. */
+  /** Whether the response states that the target did not run the request. */
   abstract isNotRun(status: number, headers: readonly Header[]): boolean;
 
-  /** Whether the answer says that the target is draining. */
+  /** Whether the response states that the target is draining. */
   abstract isDraining(headers: readonly Header[]): boolean;
 
   /**
-   * Requests a second that the target takes from all nodes together, by the answer; undefined when it
-   * names no limit, or one that makes no sense.
+   * Returns the requests per second that the target accepts from all nodes together, according to
+   * the response; undefined when it states no limit or an invalid one.
    */
   abstract readRateLimit(headers: readonly Header[]): number | undefined;
 }
--- a/packages/routing/src/transport/common/targetTransport.ts
+++ b/packages/routing/src/transport/common/targetTransport.ts
@@ -1,65 +1,75 @@
-/** Sending requests to targets. The node uses HTTP; replays and tests use fakes. */
+/**
+ * The interface for sending requests to targets. The node uses HTTP; replays and tests use fakes.
+ */
 import VError from 'verror';
 import type { ResponseBody, Header } from '../../request/common/request.js';
 
 /** One request to one target. */
 export interface ITargetRequest {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly target: string;
-  /** Whose target it is: connections are never shared between members. */
+  /** Member that owns the target; connections are never shared between members. */
   readonly member: string;
   readonly method: string;
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** Time after which the attempt fails, in ms; the target is told the same. */
+  /** Time after which the attempt fails, in ms; it is also sent to the target. */
   readonly timeoutMs: number;
-  /** Told to the target instead of `timeoutMs`, so that its last word can still arrive. */
+  /**
+   * Sent to the target instead of `timeoutMs`, so that its timeout response can still arrive, in
+   * ms.
+   */
   readonly targetTimeoutMs?: number;
 }
 
-/** How a request is to be sent. */
+/** Options of {@link TargetTransport.send}. */
 export interface ISendOptions {
   /** Aborting it cancels the exchange and drops its connection. */
   readonly signal: AbortSignal;
-  /** Use a connection that no request used before. Default false. */
+  /** Uses a connection that no request has used before. Default false. */
   readonly freshConnection?: boolean;
-  /** Largest answer that is held until whole, in bytes. */
+  /** Largest response that is buffered until complete, in bytes. */
   readonly maxResponseBytes: number;
-  /** Stream answers above `maxAnswerBytes` instead of failing. Default false. */
+  /** Streams responses above `maxResponseBytes` instead of failing. Default false. */
   readonly streamLarge?: boolean;
-  /** Called once, before the first byte may leave. Until then the request provably has not run. */
+  /**
+   * Called once, before the first byte may be sent. Until then the request certainly has not run.
+   */
   readonly onDispatch?: () => void;
 }
 
-/** A whole answer of a target, or the head of a streamed one. */
+/** A complete response from a target, or a streamed one. */
 export interface ITargetResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: ResponseBody;
-  /** The target's explicit word that it did not execute the request. */
+  /** Whether the target reports explicitly that it did not execute the request. */
   readonly notRun: boolean;
-  /** The target's own word that it is draining. */
+  /** Whether the target reports that it is draining. */
   readonly draining: boolean;
-  /** Requests a second that the target takes from all nodes together; absent if it names no limit. */
+  /**
+   * Requests per second that the target accepts from all nodes together; absent if it reports no
+   * limit.
+   */
   readonly rateLimit?: number | undefined;
-  /** From the first byte sent to the answer's head, in ms. */
+  /** Time from the dispatch to the head of the response, in ms. */
   readonly latencyMs: number;
 }
 
 /** How an exchange with a target failed. */
 export const TransportFailure = {
-  /** No connection could be made; no byte left. */
+  /** No connection could be established; nothing was sent. */
   Connect: 'connect',
-  /** The connection broke before an answer was whole. */
+  /** The connection broke before a response was complete. */
   Broken: 'broken',
-  /** The answer's framing was cut short or malformed. */
+  /** The framing of the response was truncated or malformed. */
   Truncated: 'truncated',
-  /** Nothing came in time. */
+  /** No response arrived in time. */
   Timeout: 'timeout',
   /** The caller's signal aborted. */
   Cancelled: 'cancelled',
-  /** Larger than allowed and not to be streamed. */
+  /** The response is larger than allowed and must not be streamed. */
   TooLarge: 'too-large',
   /** The target's limit on connections leaves none for this node. */
   NoConnection: 'no-connection',
@@ -70,14 +80,14 @@
 /** Options of a {@link TransportError}. */
 export interface ITransportErrorOptions {
   readonly failure: TransportFailure;
-  /** False only when it is certain that no byte of the request left. */
+  /** False only when it is certain that no byte of the request was sent. */
   readonly mayHaveRun: boolean;
-  /** The exchange used a connection that had served before, so the connection may be to blame. */
+  /** The exchange used a connection with earlier requests, so the connection may be the cause. */
   readonly reusedConnection: boolean;
   readonly cause?: unknown;
 }
 
-/** An exchange with a target that brought no whole answer. */
+/** An exchange with a target that failed before a complete response. */
 export class TransportError extends VError {
   readonly failure: TransportFailure;
   readonly mayHaveRun: boolean;
@@ -98,15 +108,18 @@
 
 /** Sends requests to targets over connections that it owns. */
 export abstract class TargetTransport {
-  /** Resolves with a whole or streaming answer of any status; rejects with a TransportError. */
+  /** Resolves with a complete or streamed response of any status; rejects with a TransportError. */
   abstract send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse>;
 
-  /** Lets no further request use connections opened until now; those in use are closed after. */
+  /**
+   * Excludes connections opened until now from further requests; those in use are closed
+   * afterwards.
+   */
   abstract retireConnections(member: string, target: string): void;
 
-  /** Whether a connection to the target waits for a request. */
+  /** Whether there is an idle connection to the target. */
   abstract hasIdleConnection(member: string, target: string): boolean;
 
-  /** Open connections to the target. */
+  /** Number of open connections to the target. */
   abstract getConnectionCount(member: string, target: string): number;
 }
--- a/packages/routing/src/transport/node/attemptSignal.ts
+++ b/packages/routing/src/transport/node/attemptSignal.ts
@@ -1,4 +1,4 @@
-/** Ends an attempt when its time is up or its caller gave up, whichever comes first. */
+/** Aborts an attempt on timeout or when the caller cancels it, whichever comes first. */
 import type { Clock, IDisposable } from '@parsleymux/base';
 import { TransportFailure } from '../common/targetTransport.js';
 
@@ -10,7 +10,7 @@
 }
 
 /**
- * One signal for both reasons.
+ * Combines both reasons in one signal.
  *
  * @example
  * const attempt = new AttemptSignal({ clock, callerSignal, timeoutMs: 500 });
@@ -42,17 +42,17 @@
     return this.reason;
   }
 
-  /** Time that is left, in ms; never less than 1, for a target can't be told less. */
+  /** Remaining time, in ms; at least 1, the smallest time limit that a target can be sent. */
   get remainingMs(): number {
     return Math.max(1, Math.ceil(this.dueMs - this.clock.getMonotonicTime()));
   }
 
-  /** Whether the time is over, be it that the timer has not fired yet. */
+  /** Whether the deadline has passed, even if the timer has not fired yet. */
   isOverdue(): boolean {
     return this.clock.getMonotonicTime() >= this.dueMs;
   }
 
-  /** Replaces the time limit by one that starts now; undefined: none for the present. */
+  /** Replaces the time limit by one that starts now; undefined removes it. */
   setTimeLimit(limitMs: number | undefined): void {
     void this.timer?.dispose();
     this.timer =
--- a/packages/routing/src/transport/node/connectionPool.ts
+++ b/packages/routing/src/transport/node/connectionPool.ts
@@ -8,17 +8,17 @@
 /** Options of a {@link ConnectionPool}. */
 export interface IConnectionPoolOptions {
   readonly target: string;
-  /** Connections that this node may hold now; asked for each time one is to be opened. */
+  /** Maximum number of connections; read each time one is to be opened. */
   readonly getLimit: () => number;
   /** Called when a connection was opened. */
   readonly onDidOpen?: () => void;
-  /** Called when the last connection has closed; the pool may be forgotten. */
+  /** Called when the last connection has closed; the pool may be removed. */
   readonly onDidEmpty?: () => void;
 }
 
-/** How a connection is wanted. */
+/** Options of {@link ConnectionPool.take}. */
 export interface ITakeOptions {
-  /** One that no request used before. */
+  /** Requires a connection that no request has used before. */
   readonly fresh: boolean;
   readonly signal: AbortSignal;
 }
@@ -31,7 +31,7 @@
  */
 export class ConnectionPool implements IDisposable {
   private readonly options: IConnectionPoolOptions;
-  /** Most recently used last, so that what is idle longest ages out. */
+  /** Most recently used last, so that the connections that are idle longest expire. */
   private idle: TargetConnection[] = [];
   private readonly open = new Set<TargetConnection>();
   private opening = 0;
@@ -46,12 +46,14 @@
     return this.open.size + this.opening;
   }
 
-  /** Connections that wait for a request. */
+  /** Number of idle connections. */
   get idleCount(): number {
     return this.idle.length;
   }
 
-  /** Takes an idle connection or opens one. Rejects with a TransportError; nothing was sent. */
+  /**
+   * Takes an idle connection or opens one. Rejects with a TransportError before anything was sent.
+   */
   async take(options: ITakeOptions): Promise<TargetConnection> {
     const reused = options.fresh ? undefined : this.takeIdle();
     if (reused !== undefined) return reused;
@@ -73,14 +75,14 @@
     }
   }
 
-  /** Takes back a connection whose answer was whole; one that was retired meanwhile is closed. */
+  /** Returns a connection whose response was complete; one that was retired meanwhile is closed. */
   release(connection: TargetConnection): void {
     if (!connection.isOpen) return;
     if (connection.generation < this.generation) connection.dispose();
     else this.idle.push(connection);
   }
 
-  /** Lets no further request use what was opened until now. */
+  /** Excludes all connections opened until now from further requests. */
   retire(): void {
     this.generation += 1;
     const retired = this.idle;
@@ -126,6 +128,6 @@
 
 function makeError(failure: TransportFailure, cause?: unknown): TransportError {
   const mayHaveRun = false;
-  const reason = cause ?? new VError('the limit of connections is reached');
+  const reason = cause ?? new VError('the connection limit is reached');
   return new TransportError({ failure, mayHaveRun, reusedConnection: false, cause: reason });
 }
--- a/packages/routing/src/transport/node/exchange.ts
+++ b/packages/routing/src/transport/node/exchange.ts
@@ -1,4 +1,4 @@
-/** One request on one connection, and the reading of its answer. */
+/** Sends one request on one connection and reads its response. */
 import type { Clock, InvariantRegistry } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
 import type { Dispatcher } from 'undici';
@@ -14,7 +14,7 @@
 import type { TargetConnection } from './targetConnection.js';
 
 const FIRST_FINAL_STATUS = 200;
-/** Statuses whose answers have no body, whatever their headers say. */
+/** Statuses whose responses have no body, whatever their headers declare. */
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** Options of an {@link Exchange}. */
@@ -22,18 +22,18 @@
   readonly connection: TargetConnection;
   readonly request: Dispatcher.DispatchOptions;
   readonly protocol: TargetProtocol;
-  /** What the target echoes in the protocol's correlation header. */
+  /** Expected value of the protocol's correlation header, if the target echoes it. */
   readonly correlation: string;
   readonly attempt: AttemptSignal;
   readonly clock: Clock;
   readonly invariants: InvariantRegistry;
   readonly maxResponseBytes: number;
   readonly streamLarge: boolean;
-  /** How long a streamed answer may bring nothing while its reader waits, in ms. */
+  /** Maximum time without data on a streamed response while its reader waits, in ms. */
   readonly streamIdleMs: number;
-  /** Called when the answer is whole, so that the connection may be used again. */
+  /** Called when the response is complete, so that the connection may be reused. */
   readonly onComplete: () => void;
-  /** Called once when the exchange has ended, well or not. */
+  /** Called once when the exchange has ended, successfully or not. */
   readonly onEnd: () => void;
 }
 
@@ -45,13 +45,13 @@
 }
 
 interface IResponseWaiter {
-  readonly resolve: (answer: ITargetResponse) => void;
+  readonly resolve: (response: ITargetResponse) => void;
   readonly reject: (error: TransportError) => void;
 }
 
 /**
- * Reads an answer until it is whole. Whatever else happens, the connection is dropped: what is
- * still on its way would otherwise be taken for the answer to the next request.
+ * Reads a response until it is complete. In all other cases the connection is closed: data still in
+ * transit would otherwise be read as the response to the next request.
  */
 export class Exchange implements Dispatcher.DispatchHandler {
   private readonly options: IExchangeOptions;
@@ -70,7 +70,10 @@
     this.startBytes = options.connection.bytesWritten;
   }
 
-  /** Sends the request. Rejects with a TransportError unless an answer of any status came whole. */
+  /**
+   * Sends the request. Resolves with a complete or streamed response of any status; rejects with a
+   * TransportError.
+   */
   run(): Promise<ITargetResponse> {
     const { attempt, connection, request } = this.options;
     return new Promise((resolve, reject) => {
@@ -85,7 +88,7 @@
   }
 
   onRequestStart(): void {
-    // Its presence tells undici that this handler has the current form.
+    // undici recognizes handlers of the current interface by this method.
   }
 
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
@@ -120,12 +123,12 @@
   onResponseEnd(): void {
     if (this.isEnded || this.head === undefined) return;
     const { contentLength } = this.head;
-    const isWhole = this.options.invariants.check(
+    const isComplete = this.options.invariants.check(
       InvariantName.WholeAnswer,
       contentLength === undefined || contentLength === this.receivedBytes,
-      () => `answer of ${this.receivedBytes} bytes, content-length ${contentLength ?? -1}`,
+      () => `response of ${this.receivedBytes} bytes, content-length ${contentLength ?? -1}`,
     );
-    if (!isWhole || !this.isEndOrderly(this.head)) {
+    if (!isComplete || !this.isEndOrderly(this.head)) {
       this.end(TransportFailure.Truncated);
       return;
     }
@@ -137,26 +140,26 @@
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    // The library expects the body that a 304's content-length speaks of; there is never one.
-    const isWhole = this.head !== undefined && BODILESS_STATUSES.has(this.head.status);
-    if (isWhole) {
+    // undici expects the body that a 304's content-length declares, but a 304 never has one.
+    const isComplete = this.head !== undefined && BODILESS_STATUSES.has(this.head.status);
+    if (isComplete) {
       this.onResponseEnd();
       return;
     }
-    const isCutShort = this.head !== undefined || isFramingError(error);
-    this.end(isCutShort ? TransportFailure.Truncated : TransportFailure.Broken, error);
+    const isTruncated = this.head !== undefined || isFramingError(error);
+    this.end(isTruncated ? TransportFailure.Truncated : TransportFailure.Broken, error);
   }
 
   private readonly onAbort = (): void => {
     this.end(this.options.attempt.failure);
   };
 
-  /** The exchange failed: drops the connection and tells whoever waits. */
+  /** Fails the exchange: closes the connection and rejects the pending read. */
   private end(failure: TransportFailure, cause?: unknown): void {
     if (this.isEnded) return;
     this.finish();
     const { connection } = this.options;
-    // Closed first, so that nothing can be written any more when mayHaveRun is decided.
+    // Closed first, so that no more bytes can be written when mayHaveRun is determined.
     connection.dispose();
     const error = new TransportError({
       failure,
@@ -186,8 +189,8 @@
       resumeSource: () => {
         this.options.connection.startReading();
       },
-      onReadPendingChange: (isWaiting) => {
-        if (!this.isEnded) attempt.setTimeLimit(isWaiting ? streamIdleMs : undefined);
+      onReadPendingChange: (isPending) => {
+        if (!this.isEnded) attempt.setTimeLimit(isPending ? streamIdleMs : undefined);
       },
       onAbandoned: () => {
         this.end(TransportFailure.Cancelled);
@@ -213,7 +216,7 @@
     };
   }
 
-  /** Bytes that the body must have; undefined when the framing alone tells. */
+  /** Expected length of the body in bytes; undefined when only the framing determines it. */
   private parseContentLength(status: number, headers: readonly Header[]): number | undefined {
     if (this.isBodiless(status)) return undefined;
     const text = findHeader(headers, 'content-length');
@@ -221,8 +224,9 @@
   }
 
   /**
-   * undici takes a reset for the end of an answer that only its connection frames. Half an answer
-   * would reach the caller as a whole one; only an orderly end of the connection ends it.
+   * undici handles a reset as the end of a response that only the end of its connection delimits. A
+   * truncated response would reach the caller as a complete one, so only an orderly end is
+   * accepted.
    */
   private isEndOrderly(head: IResponseHead): boolean {
     return !this.isDelimitedByClose(head) || this.options.connection.hasEndedCleanly;
@@ -242,16 +246,19 @@
     const { correlation, protocol } = this.options;
     const echoed = findHeader(head.headers, protocol.correlationHeader);
     if (echoed !== undefined && echoed !== correlation) {
-      return { failure: TransportFailure.Broken, reason: 'answer belongs to another attempt' };
+      return { failure: TransportFailure.Broken, reason: 'response belongs to another attempt' };
     }
-    // A body that ends where the connection ends looks whole wherever it is cut.
+    // A body delimited by the end of the connection looks complete wherever it is truncated.
     if (this.isBodiless(head.status) || isFramed(head)) return undefined;
     if (protocol.acceptsUnframed && !hasEncoding(head)) return undefined;
-    return { failure: TransportFailure.Truncated, reason: 'answer has no framing of its own' };
+    return { failure: TransportFailure.Truncated, reason: 'response has no framing of its own' };
   }
 }
 
-/** Encodings other than chunks at the end are read until the connection ends, like none. */
+/**
+ * A transfer encoding that does not end in `chunked` is delimited by the end of the connection, as
+ * is a response without any.
+ */
 function isFramed(head: IResponseHead): boolean {
   const encodings = head.headers.filter(([name]) => name === 'transfer-encoding');
   if (encodings.length === 0) return head.contentLength !== undefined;
@@ -280,7 +287,7 @@
   return headers;
 }
 
-/** Header bytes are passed on as they came; latin1 keeps each byte. */
+/** Header bytes are passed on unchanged; latin1 preserves each byte. */
 function toText(value: Buffer | string | undefined): string {
   if (value === undefined) return '';
   return typeof value === 'string' ? value : value.toString('latin1');
--- a/packages/routing/src/transport/node/httpTargetTransport.ts
+++ b/packages/routing/src/transport/node/httpTargetTransport.ts
@@ -1,4 +1,4 @@
-/** Sends requests to targets over HTTP/1.1, by undici. */
+/** Sends requests to targets over HTTP/1.1 with undici. */
 import { randomBytes } from 'node:crypto';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import { InvariantRegistry, SystemClock } from '@parsleymux/base';
@@ -22,27 +22,31 @@
 
 /** Options of an {@link HttpTargetTransport}. */
 export interface IHttpTargetTransportOptions {
-  /** Default: the machine's. */
+  /** Default: the system clock. */
   readonly clock?: Clock;
   readonly invariants?: InvariantRegistry;
-  /** How targets are spoken to. Default: by the fleet's own headers. */
+  /** Header conventions of the targets. Default: the fleet's own headers. */
   readonly protocol?: TargetProtocol;
-  /** Where the transport's metrics are registered. Default: nowhere. */
+  /** Registry of the transport's metrics. Default: no metrics are kept. */
   readonly registry?: Registry;
-  /** Connections that this node may hold to a target: its share of the target's limit. Default 64. */
+  /**
+   * Connections that this node may hold to a target: its share of the target's limit. Default 64.
+   */
   readonly getConnectionLimit?: (member: string, target: string) => number;
-  /** Longest wait for a connection, in ms. Default 1000. */
+  /** Maximum wait for a connection, in ms. Default 1000. */
   readonly connectTimeoutMs?: number;
-  /** How long a streamed answer may bring nothing while its reader waits, in ms. Default 30000. */
+  /**
+   * Maximum time without data on a streamed response while its reader waits, in ms. Default 30000.
+   */
   readonly streamIdleMs?: number;
 }
 
 /**
- * Keeps connections by member and target, and never sends a request twice by itself.
+ * Pools connections by member and target, and never resends a request.
  *
  * @example
  * const transport = new HttpTargetTransport({ getConnectionLimit: () => 100 });
- * const answer = await transport.send(request, { signal, maxAnswerBytes: 1_048_576 });
+ * const response = await transport.send(request, { signal, maxAnswerBytes: 1_048_576 });
  */
 export class HttpTargetTransport extends TargetTransport implements IDisposable {
   private readonly clock: Clock;
@@ -50,7 +54,7 @@
   private readonly options: IHttpTargetTransportOptions;
   private readonly protocol: TargetProtocol;
   private readonly metrics: TransportMetrics;
-  /** By member, then target, so that no name can be confused with another. */
+  /** By member, then target: a joined key could be ambiguous. */
   private readonly pools = new Map<string, Map<string, ConnectionPool>>();
   private readonly attemptPrefix = randomBytes(ATTEMPT_PREFIX_BYTES).toString('hex');
   private attempts = 0;
@@ -69,9 +73,9 @@
     const { timeoutMs } = request;
     const attempt = new AttemptSignal({ clock, callerSignal: options.signal, timeoutMs });
     try {
-      const answer = await this.runAttempt(request, options, attempt);
+      const response = await this.runAttempt(request, options, attempt);
       this.metrics.recordExchange('answered');
-      return answer;
+      return response;
     } catch (error) {
       attempt.dispose();
       if (error instanceof TransportError) this.metrics.recordExchange(error.failure);
@@ -104,8 +108,8 @@
   ): Promise<ITargetResponse> {
     const pool = this.getPool(request.member, request.target);
     const connection = await this.takeConnection(pool, options, attempt);
-    // A process that was paused finds its deadline passed before its timers have fired; a request
-    // sent now would run after its caller, or an operator, has taken it for not run.
+    // After a pause of the process, the deadline may have passed before its timers fire. A request
+    // sent now would run after its caller, or an operator, has considered it not run.
     if (attempt.isOverdue()) {
       pool.release(connection);
       throw makeUnsentError(TransportFailure.Timeout);
@@ -187,7 +191,10 @@
     return pool;
   }
 
-  /** Targets and members come and go for as long as a node lives; what is unused must not stay. */
+  /**
+   * Removes an unused pool: targets and members change for as long as a node runs, so that unused
+   * pools would accumulate.
+   */
   private removePool(member: string, target: string): void {
     const pools = this.pools.get(member);
     pools?.delete(target);
@@ -205,7 +212,7 @@
   }
 }
 
-/** What is left of the time that the target is told. */
+/** Remaining time that is sent to the target, in ms. */
 function computeTargetTimeoutMs(request: ITargetRequest, attempt: AttemptSignal): number {
   const marginMs = request.timeoutMs - (request.targetTimeoutMs ?? request.timeoutMs);
   return Math.max(1, Math.floor(attempt.remainingMs - marginMs));
@@ -222,9 +229,9 @@
   remainingMs: number,
 ): Dispatcher.DispatchOptions {
   const { timeoutHeader, correlationHeader } = protocol;
-  const own: ReadonlySet<string> = new Set([timeoutHeader, correlationHeader]);
+  const replacedNames: ReadonlySet<string> = new Set([timeoutHeader, correlationHeader]);
   const headers = removeHopByHopHeaders(request.headers)
-    .filter(([name]) => name !== 'content-length' && !own.has(name))
+    .filter(([name]) => name !== 'content-length' && !replacedNames.has(name))
     .flat();
   headers.push(timeoutHeader, String(remainingMs), correlationHeader, correlation);
   return {
@@ -232,7 +239,7 @@
     path: request.path,
     headers,
     body: request.body.byteLength === 0 ? null : request.body,
-    // Whatever the method says, the library must take nothing for safe to repeat.
+    // undici may resend idempotent requests; no request may be resent, whatever its method.
     idempotent: false,
   };
 }
--- a/packages/routing/src/transport/node/pausableSocket.ts
+++ b/packages/routing/src/transport/node/pausableSocket.ts
@@ -1,17 +1,17 @@
-/** A socket whose reader can be kept waiting. */
+/** A socket whose reader can be paused. */
 import { Socket } from 'node:net';
 
-/** Empty lines before a request are skipped by every server that still reads. */
+/** Servers skip empty lines before a request, so writing one has no effect on the target. */
 const END_CHECK_BYTES = '\r\n';
 
 /**
- * Gives its reader nothing while it is paused; what arrives fills the socket's own buffer and then
- * stays with the sender.
+ * Delivers no data while it is paused: incoming data fills the socket's own buffer, then TCP flow
+ * control stops the sender.
  *
- * undici has a pause of its own. When the connection of an answer marked `connection: close` ends
- * while that pause is on, undici 7.30 fails an assertion in a socket event: an uncaught error that
- * ends the process. One target that resets a connection to a slow reader would end the node for
- * every member. So undici's pause is never used, and its parser reads what this socket lets through.
+ * undici has its own pause. When the connection of a response marked `connection: close` ends
+ * during that pause, undici 7.30 fails an assertion in a socket event: an uncaught error that ends
+ * the process. One target that resets a connection to a slow reader would end the node for every
+ * member. undici's pause is therefore never used, and its parser reads what this socket delivers.
  *
  * @example
  * const socket = new PausableSocket();
@@ -26,12 +26,12 @@
   }
 
   /**
-   * Has the next end of the stream checked before anybody hears of it.
+   * Verifies the next end of the stream before it is delivered.
    *
-   * When a reset arrives together with data, libuv reports an orderly end. An answer that only the
-   * end of its connection frames would then look whole though its target crashed midway. Writing
-   * tells the two apart: a connection that was reset takes no byte, one that ended in order does,
-   * and the other side has stopped to read requests by then.
+   * When a reset arrives together with data, libuv reports an orderly end. A response that only the
+   * end of its connection delimits would then look complete though its target crashed midway. A
+   * write tells the two apart: it fails on a connection that was reset and succeeds on one that
+   * ended in an orderly way. By then the other side no longer reads requests.
    */
   startEndCheck(): void {
     this.isEndCheckPending = true;
@@ -47,12 +47,12 @@
     return false;
   }
 
-  /** Keeps the reader waiting. */
+  /** Pauses the reader. */
   stopReading(): void {
     this.isReadingStopped = true;
   }
 
-  /** Lets the reader go on, in a turn of its own: it may be in the middle of a chunk now. */
+  /** Resumes the reader in a later turn of the event loop: it may be processing a chunk now. */
   startReading(): void {
     if (!this.isReadingStopped) return;
     this.isReadingStopped = false;
--- a/packages/routing/src/transport/node/responseStream.ts
+++ b/packages/routing/src/transport/node/responseStream.ts
@@ -1,29 +1,32 @@
-/** The body of a large answer, passed on as its reader asks for it. */
+/** The body of a large response, streamed at the speed of its reader. */
 
-/** Bytes that may wait for the reader before the source is paused. */
+/** Bytes that may be buffered before the source is paused. */
 const HIGH_WATER_BYTES = 65_536;
 
-/** Options of an {@link ResponseStream}. */
+/** Options of a {@link ResponseStream}. */
 export interface IResponseStreamOptions {
-  /** Lets the source go on; called when the reader has taken all that was waiting. */
+  /** Resumes the source; called when the reader has taken all buffered chunks. */
   readonly resumeSource: () => void;
-  /** Called when the reader begins to wait for bytes, and again with false when they came. */
-  readonly onReadPendingChange: (isWaiting: boolean) => void;
-  /** Called when the reader gives up before the end. */
+  /**
+   * Called with true when the reader starts to wait for data, and with false when the wait has
+   * ended.
+   */
+  readonly onReadPendingChange: (isPending: boolean) => void;
+  /** Called when the reader stops before the end. */
   readonly onAbandoned: () => void;
 }
 
-/** The reader, while it waits for bytes. */
+/** A read that waits for data. */
 interface IPendingRead {
   readonly resolve: (result: IteratorResult<Uint8Array>) => void;
   readonly reject: (error: Error) => void;
 }
 
 /**
- * Holds a bounded number of bytes between a source and one reader.
+ * Buffers a bounded number of bytes between a source and one reader.
  *
- * A reader slower than its source would make the process hold the whole body; so the source is
- * paused above a limit, and TCP then slows the target itself.
+ * With a slow reader the process would otherwise buffer the whole body. The source is therefore
+ * paused above a limit, and TCP flow control then slows the target.
  *
  * @example
  * for await (const chunk of stream) response.write(chunk);
@@ -40,7 +43,7 @@
     this.options = options;
   }
 
-  /** Adds bytes; false asks the source to pause until it is resumed. */
+  /** Adds a chunk; returns false when the source must pause until it is resumed. */
   push(chunk: Uint8Array): boolean {
     const pendingRead = this.takePendingRead();
     if (pendingRead !== undefined) {
@@ -52,13 +55,13 @@
     return this.bufferedBytes < HIGH_WATER_BYTES;
   }
 
-  /** The answer is whole. */
+  /** Ends the stream: the response is complete. */
   end(): void {
     this.isEnded = true;
     this.takePendingRead()?.resolve({ done: true, value: undefined });
   }
 
-  /** The answer broke: the reader gets what came, then this error. */
+  /** Ends the stream with an error, which the reader receives after the buffered chunks. */
   close(error: Error): void {
     if (this.isEnded) return;
     this.error ??= error;
--- a/packages/routing/src/transport/node/targetAddress.ts
+++ b/packages/routing/src/transport/node/targetAddress.ts
@@ -1,6 +1,6 @@
-/** Addresses of targets, as configurations write them. */
+/** Parses the addresses of targets as written in configurations. */
 
-/** An IP number and a port, apart. */
+/** An IP address and a port. */
 export interface ITargetAddress {
   readonly host: string;
   readonly port: number;
--- a/packages/routing/src/transport/node/targetConnection.ts
+++ b/packages/routing/src/transport/node/targetConnection.ts
@@ -6,13 +6,18 @@
 import { PausableSocket } from './pausableSocket.js';
 import { parseTargetAddress } from './targetAddress.js';
 
-/** Large header sections cost memory before anything can be judged. */
+/** Headers are buffered before they can be checked, so their size is limited. */
 const MAX_RESPONSE_HEADER_BYTES = 65_536;
-/** Many servers close idle connections after 5 s; closing first avoids sending into a close. */
+/**
+ * Many servers close idle connections after 5 s; closing first avoids sending into a closing one.
+ */
 const KEEP_ALIVE_MS = 4000;
-/** Servers that say how long they keep idle connections are taken at their word up to this, in ms. */
+/** Upper bound of the keep-alive times that servers announce, in ms. */
 const MAX_KEEP_ALIVE_MS = 30_000;
-/** Their word less this, in ms: their clock runs from their last byte, and a request takes its way. */
+/**
+ * Subtracted from announced keep-alive times, in ms: the server counts from its last byte, and a
+ * request takes time to arrive.
+ */
 const KEEP_ALIVE_MARGIN_MS = 1500;
 
 /** Options of {@link openConnection}. */
@@ -20,12 +25,12 @@
   readonly target: string;
   /** Connections of an older generation than their pool's are not used again. */
   readonly generation: number;
-  /** Aborting it gives up and closes the socket. */
+  /** Aborting it cancels the connect and closes the socket. */
   readonly signal: AbortSignal;
 }
 
 /**
- * Opens a connection. Rejects when it cannot be made or `signal` aborts first.
+ * Opens a connection. Rejects when connecting fails or `signal` aborts first.
  *
  * @example
  * const connection = await openConnection({ target: '127.0.0.1:9001', generation: 0, signal });
@@ -34,7 +39,7 @@
   const { signal } = options;
   return new Promise((resolve, reject) => {
     if (signal.aborted) {
-      reject(new VError('gave up before connecting'));
+      reject(new VError('cancelled before connecting'));
       return;
     }
     const socket = new PausableSocket();
@@ -43,7 +48,7 @@
     const fail = (cause?: Error) => {
       signal.removeEventListener('abort', onAbort);
       socket.destroy();
-      reject(new VError(cause === undefined ? {} : { cause }, 'no connection'));
+      reject(new VError(cause === undefined ? {} : { cause }, 'connecting failed'));
     };
     const onAbort = () => {
       fail();
@@ -61,13 +66,13 @@
 /**
  * A connection that carries one request at a time.
  *
- * The HTTP client is handed this one socket and refused any other. A client that may reconnect
- * could send a request a second time after the first connection broke, and a target would then
- * execute it twice without anybody noticing; bound to one socket it can only fail.
+ * The HTTP client receives this one socket and no other. A client that may reconnect could resend a
+ * request after its connection broke, and the target would execute it twice unnoticed. Bound to one
+ * socket, the client can only fail.
  */
 export class TargetConnection implements IDisposable {
   readonly generation: number;
-  /** Requests that were given to this connection. */
+  /** Number of requests dispatched on this connection. */
   private dispatched = 0;
   private readonly client: Client;
   private readonly socket: PausableSocket;
@@ -76,11 +81,12 @@
   constructor(socket: PausableSocket, target: string, generation: number) {
     this.socket = socket;
     this.generation = generation;
-    // Without a listener a reset that arrives while the connection is idle would end the process.
+    // Without a listener, a reset of an idle connection would be an uncaught error and end the
+    // process.
     socket.on('error', () => undefined);
     this.client = new Client(`http://${target}`, {
       pipelining: 1,
-      // Timeouts are kept by the exchange, on the injected clock.
+      // The exchange enforces timeouts on the injected clock.
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: KEEP_ALIVE_MS,
@@ -90,10 +96,10 @@
       connect: (_options, callback) => {
         const isUsable = !this.isSocketTaken && !socket.destroyed;
         this.isSocketTaken = true;
-        // The client drops a connection that it is given while it still asks for one.
+        // undici drops a connection that it receives synchronously within the connect call.
         queueMicrotask(() => {
           if (isUsable) callback(null, socket);
-          else callback(new VError('connection is used up'), null);
+          else callback(new VError('connection has already been used'), null);
         });
       },
     });
@@ -109,28 +115,30 @@
     return this.dispatched > 1;
   }
 
-  /** Bytes that were handed to the socket so far, whether or not they left the machine. */
+  /** Bytes written to the socket so far, whether or not they were sent. */
   get bytesWritten(): number {
     return this.socket.bytesWritten;
   }
 
-  /** The answer that arrives now ends with the connection; see PausableSocket. */
+  /**
+   * Verifies the end of the current response, which ends with the connection; see PausableSocket.
+   */
   startEndCheck(): void {
     this.socket.startEndCheck();
   }
 
-  /** Whether the target ended its side, and all that it sent was read. */
+  /** Whether the target ended its side in an orderly way and all its data was read. */
   get hasEndedCleanly(): boolean {
     return this.socket.readableEnded;
   }
 
-  /** Sends a request; the handler hears of everything that follows. */
+  /** Sends a request; the handler receives all further events. */
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
     this.dispatched += 1;
     this.client.dispatch(options, handler);
   }
 
-  /** Lets no more of the answer in until {@link startReading}. */
+  /** Stops reading the response until {@link startReading}. */
   stopReading(): void {
     this.socket.stopReading();
   }
--- a/packages/routing/src/transport/node/transportMetrics.ts
+++ b/packages/routing/src/transport/node/transportMetrics.ts
@@ -1,4 +1,4 @@
-/** Counts of connections and exchanges with targets. */
+/** Metrics of connections to targets and of exchanges with them. */
 import type { Registry } from 'prom-client';
 import { Counter, Gauge } from 'prom-client';
 import type { TransportFailure } from '../common/targetTransport.js';
@@ -10,7 +10,7 @@
   readonly pool: ConnectionPool;
 }
 
-/** Metrics of a transport; without a registry nothing is kept. */
+/** Metrics of a transport; without a registry nothing is recorded. */
 export class TransportMetrics {
   private readonly opened: Counter | undefined;
   private readonly retired: Counter | undefined;
@@ -26,7 +26,7 @@
     });
     this.retired = new Counter({
       name: 'parsleymux_target_connections_retirements_total',
-      help: 'Times that all connections to a target were retired as silent.',
+      help: 'Times that all connections to a target were retired because they stopped responding.',
       registers,
     });
     this.exchanges = new Counter({
--- a/packages/routing/src/transport/test/rawTarget.ts
+++ b/packages/routing/src/transport/test/rawTarget.ts
@@ -1,13 +1,13 @@
-/** A target made of a bare TCP server, for tests that need answers no HTTP library would send. */
+/** A target on a bare TCP server, for tests that need responses that no HTTP library sends. */
 import { once } from 'node:events';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 import type { IDisposable } from '@parsleymux/base';
 
-/** One request as it arrived. */
+/** One received request. */
 export interface IRawRequest {
   readonly socket: Socket;
-  /** Which connection, and which request overall; both from 0. */
+  /** Index of the connection, and of the request over all connections; both start at 0. */
   readonly connection: number;
   readonly index: number;
   readonly head: string;
@@ -17,7 +17,7 @@
 const HEAD_END = '\r\n\r\n';
 
 /**
- * Counts connections and requests, and leaves every answer to a function.
+ * Counts connections and requests, and calls a function that responds to each request.
  *
  * @example
  * const target = await RawTarget.listen(({ socket }) => socket.write('HTTP/1.1 204 No\r\n\r\n'));
@@ -46,7 +46,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Connections that are open now. */
+  /** Open connections. */
   get openSockets(): ReadonlySet<Socket> {
     return this.sockets;
   }
@@ -105,8 +105,8 @@
 }
 
 /**
- * Resets a connection without ending it in order first. Node's own `resetAndDestroy` shuts the
- * writing side down before, and the other side then reads an orderly end.
+ * Resets a connection without an orderly end. Node's own `resetAndDestroy` shuts down the writing
+ * side first, and the other side then reads an orderly end.
  */
 export function resetSocket(socket: Socket): void {
   Object.assign(socket, { resetAndClosing: true });
--- a/packages/routing/src/transport/test/transportFixture.ts
+++ b/packages/routing/src/transport/test/transportFixture.ts
@@ -1,4 +1,4 @@
-/** What the tests of the transport to targets run on. */
+/** Fixture for the tests of the transport to targets. */
 import type { TestContext } from 'node:test';
 import type { ISendOptions, ITargetRequest } from '../common/targetTransport.js';
 import type { IHttpTargetTransportOptions } from '../node/httpTargetTransport.js';
@@ -8,7 +8,7 @@
 
 export const MAX_RESPONSE_BYTES = 1000;
 
-/** A transport before one target. */
+/** A transport and one target. */
 export interface ITransportFixture {
   readonly target: RawTarget;
   readonly transport: HttpTargetTransport;
@@ -18,7 +18,9 @@
   ): ReturnType<HttpTargetTransport['send']>;
 }
 
-/** Opens both; they are closed when the test ends. Answers above 1000 bytes are large. */
+/**
+ * Creates the fixture, which is disposed when the test ends. Responses above 1000 bytes are large.
+ */
 export async function openTransportFixture(
   t: TestContext,
   onRequest: (request: IRawRequest) => void,
--- a/packages/store/src/protocol/common/platformError.ts
+++ b/packages/store/src/protocol/common/platformError.ts
@@ -1,9 +1,9 @@
-/** The error of a call to the platform that gave no usable answer. */
+/** The error of a call to the platform without a usable response. */
 import VError from 'verror';
 import type { PlatformFailure } from '../../table/common/tableService.js';
 
 /**
- * Says above all whether the call may have taken effect.
+ * Its `failure` states whether the call may have taken effect.
  *
  * @example
  * if (error instanceof PlatformError && error.failure === PlatformFailure.Unknown) await readBack();
--- a/packages/store/src/protocol/common/platformProtocol.ts
+++ b/packages/store/src/protocol/common/platformProtocol.ts
@@ -7,9 +7,10 @@
  * - `GET|PUT /objects/KEY` raw bytes, 404 when absent; `GET /objects?prefix=P` → {@link IKeysBody}
  * - `GET /vms` → {@link IVmsBody}
  *
- * Answers may be packed by gzip when the request accepts it.
+ * Responses may be compressed by gzip when the request accepts it.
  *
- * 503 means refused, nothing done. Any other failure leaves a write's effect unknown.
+ * 503 means that the request was refused and had no effect. Any other failure leaves the effect of
+ * a write unknown.
  */
 import type { ITableRow } from '../../table/common/tableService.js';
 import type { IVm } from '../../vmList/common/vmList.js';
@@ -28,7 +29,7 @@
   readonly keys: readonly string[];
 }
 
-/** Rows that were read; absent ones are left out. */
+/** Rows that were read; absent ones are omitted. */
 export interface IRowsBody {
   readonly rows: readonly ITableRow[];
 }
--- a/packages/store/src/protocol/node/httpPlatform.ts
+++ b/packages/store/src/protocol/node/httpPlatform.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP, through undici. */
+/** Client of the platform over HTTP, with undici. */
 import { promisify } from 'node:util';
 import { gunzip } from 'node:zlib';
 import type { IDisposable } from '@parsleymux/base';
@@ -25,19 +25,19 @@
 const FIRST_ERROR_STATUS = 400;
 const DEFAULT_TIMEOUT_MS = 2000;
 const DEFAULT_CONNECTIONS = 8;
-/** Codes of errors that are raised before any byte of the request has left. */
+/** Codes of errors that are raised before any byte of the request was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /** Options of {@link openHttpPlatform}. */
 export interface IHttpPlatformOptions {
   readonly url: string;
-  /** Longest wait for an answer, in ms. Default 2000. */
+  /** Maximum wait for a response, in ms. Default 2000. */
   readonly timeoutMs?: number;
-  /** Connections kept to the platform. Default 8. */
+  /** Maximum number of connections to the platform. Default 8. */
   readonly connections?: number;
 }
 
-/** Services that are closed together. */
+/** The platform's services, which are closed together. */
 export interface IHttpPlatform extends IPlatform, IDisposable {}
 
 /**
@@ -70,7 +70,7 @@
   readonly bytes: Uint8Array;
 }
 
-/** Sends one request and says precisely what a failure means for a write. */
+/** Sends requests and classifies failures by whether a write may have taken effect. */
 class HttpChannel {
   constructor(
     private readonly pool: Pool,
@@ -78,33 +78,33 @@
   ) {}
 
   async request(request: IHttpRequest): Promise<IHttpResponse> {
-    // A connection whose far end has lost track of it stays silent for ever; without a bound of
-    // our own the call would hang, so every call ends within timeoutMs and drops its connection.
+    // A connection that the other end has lost track of stays silent permanently, and a call on it
+    // would hang. Every call therefore ends within timeoutMs and closes its connection then.
     const timeout = AbortSignal.timeout(this.timeoutMs);
     const signal =
       request.signal === undefined ? timeout : AbortSignal.any([timeout, request.signal]);
     try {
-      const answer = await this.pool.request({
+      const response = await this.pool.request({
         method: request.method,
         path: request.path,
         body: request.body ?? null,
-        // The VM list and configurations are long and repeat themselves: at 2,100 nodes the list
-        // alone would otherwise take twice what a node may spend on all of control.
+        // The VM list and configurations are long and repetitive: uncompressed, the list of 2,100
+        // nodes alone would use twice the traffic that a node may spend on all control calls.
         headers: { 'content-type': 'application/json', 'accept-encoding': 'gzip' },
         signal,
       });
-      const bytes = await answer.body.bytes();
-      const isCompressed = answer.headers['content-encoding'] === 'gzip';
-      return { status: answer.statusCode, bytes: isCompressed ? await decompress(bytes) : bytes };
+      const bytes = await response.body.bytes();
+      const isCompressed = response.headers['content-encoding'] === 'gzip';
+      return { status: response.statusCode, bytes: isCompressed ? await decompress(bytes) : bytes };
     } catch (error) {
       throw new PlatformError(toFailure(error), `${request.method} ${request.path} failed`, error);
     }
   }
 
   async requestJson(request: IHttpRequest): Promise<unknown> {
-    const answer = await this.request(request);
-    checkStatus(answer, request);
-    return JSON.parse(Buffer.from(answer.bytes).toString('utf8')) as unknown;
+    const response = await this.request(request);
+    checkStatus(response, request);
+    return JSON.parse(Buffer.from(response.bytes).toString('utf8')) as unknown;
   }
 }
 
@@ -115,10 +115,11 @@
     : PlatformFailure.Unknown;
 }
 
-function checkStatus(answer: IHttpResponse, request: IHttpRequest): void {
-  if (answer.status < FIRST_ERROR_STATUS) return;
-  const failure = answer.status === UNAVAILABLE ? PlatformFailure.Refused : PlatformFailure.Unknown;
-  throw new PlatformError(failure, `${request.path} answered ${answer.status}`);
+function checkStatus(response: IHttpResponse, request: IHttpRequest): void {
+  if (response.status < FIRST_ERROR_STATUS) return;
+  const failure =
+    response.status === UNAVAILABLE ? PlatformFailure.Refused : PlatformFailure.Unknown;
+  throw new PlatformError(failure, `${request.path} responded with status ${response.status}`);
 }
 
 class HttpTableService extends TableService {
@@ -131,13 +132,13 @@
     signal?: AbortSignal,
   ): Promise<readonly ITableRow[]> {
     const body: IReadBody = { keys };
-    const answer = (await this.sendJson(PlatformPath.Read, body, signal)) as IRowsBody;
-    return answer.rows;
+    const response = (await this.sendJson(PlatformPath.Read, body, signal)) as IRowsBody;
+    return response.rows;
   }
 
   override async scan(options: IScanOptions, signal?: AbortSignal): Promise<readonly ITableRow[]> {
-    const answer = (await this.sendJson(PlatformPath.Scan, options, signal)) as IRowsBody;
-    return answer.rows;
+    const response = (await this.sendJson(PlatformPath.Scan, options, signal)) as IRowsBody;
+    return response.rows;
   }
 
   override async transact(
@@ -159,10 +160,10 @@
 
   override async get(key: string, signal?: AbortSignal): Promise<Uint8Array | undefined> {
     const request: IHttpRequest = { method: 'GET', path: formatObjectPath(key), signal };
-    const answer = await this.channel.request(request);
-    if (answer.status === NOT_FOUND) return undefined;
-    checkStatus(answer, request);
-    return answer.bytes;
+    const response = await this.channel.request(request);
+    if (response.status === NOT_FOUND) return undefined;
+    checkStatus(response, request);
+    return response.bytes;
   }
 
   override async put(key: string, bytes: Uint8Array, signal?: AbortSignal): Promise<void> {
@@ -173,8 +174,8 @@
 
   override async list(prefix: string, signal?: AbortSignal): Promise<readonly string[]> {
     const path = `${PlatformPath.Objects}?prefix=${encodeURIComponent(prefix)}`;
-    const answer = (await this.channel.requestJson({ method: 'GET', path, signal })) as IKeysBody;
-    return answer.keys;
+    const response = (await this.channel.requestJson({ method: 'GET', path, signal })) as IKeysBody;
+    return response.keys;
   }
 }
 
@@ -189,7 +190,7 @@
 
   override async list(signal?: AbortSignal): Promise<readonly IVm[]> {
     const request: IHttpRequest = { method: 'GET', path: PlatformPath.Vms, signal };
-    const answer = (await this.channel.requestJson(request)) as IVmsBody;
-    return answer.vms;
+    const response = (await this.channel.requestJson(request)) as IVmsBody;
+    return response.vms;
   }
 }
--- a/packages/store/src/table/common/tableService.ts
+++ b/packages/store/src/table/common/tableService.ts
@@ -1,7 +1,8 @@
 /**
  * The platform's transactional table: rows of text under text keys, each with a version that
- * grows by one on every write. Several hundred writes and about two thousand reads a second
- * are what it carries, with outages of hours; an answer can be lost after its write took effect.
+ * increases by one with every write. It sustains several hundred writes and about two thousand
+ * reads per second, and can be unavailable for hours. A response can be lost after its write took
+ * effect.
  */
 
 /** A row as read. */
@@ -9,13 +10,13 @@
   readonly key: string;
   readonly value: string;
   /**
-   * 1 for the first row that its key ever had, growing by one with each write. A row made again
-   * after a deletion goes on counting, so that no condition on the former row holds for it.
+   * Starts at 1 with the first row of a key and increases by one with each write. A row recreated
+   * after a deletion continues the count, so that no condition on the deleted row holds for it.
    */
   readonly version: number;
 }
 
-/** What a transaction requires of one row before anything is written. */
+/** A condition that a row must meet before a transaction writes anything. */
 export interface ITableCondition {
   readonly key: string;
   /** The version that the row must have; 0 when it must not exist. */
@@ -29,50 +30,50 @@
   readonly value: string | null;
 }
 
-/** Conditions and writes that take effect together or not at all. */
+/** Writes that take effect together, or not at all when a condition fails. */
 export interface ITableTransaction {
   readonly conditions: readonly ITableCondition[];
   readonly writes: readonly ITableWrite[];
 }
 
-/** What became of a transaction. */
+/** Result of a transaction. */
 export interface ITransactionResult {
   readonly committed: boolean;
-  /** When not committed: the rows of the conditions that failed, as they are; absent rows are left out. */
+  /** When not committed: the current rows of the failed conditions; absent rows are omitted. */
   readonly conflicts: readonly ITableRow[];
 }
 
-/** Which rows a scan returns, in the order of their keys. */
+/** Options of {@link TableService.scan}, which returns rows in the order of their keys. */
 export interface IScanOptions {
   readonly prefix: string;
-  /** Only keys after this one. Default: from the first. */
+  /** Only keys after this one. Default: from the first key. */
   readonly after?: string;
-  /** Default and largest: 1000 rows. */
+  /** Maximum number of rows. Default and upper bound: 1000. */
   readonly limit?: number;
 }
 
-/** Why a call to the platform gave no answer. */
+/** How a call to the platform failed. */
 export const PlatformFailure = {
-  /** Provably nothing was done: the request never left. */
+  /** The request was never sent and certainly had no effect. */
   NotSent: 'not-sent',
-  /** No answer came: a write may or may not have taken effect. */
+  /** No usable response arrived: a write may or may not have taken effect. */
   Unknown: 'unknown',
-  /** The platform refused it; nothing was done. */
+  /** The platform refused the request, which had no effect. */
   Refused: 'refused',
 } as const;
 
 export type PlatformFailure = (typeof PlatformFailure)[keyof typeof PlatformFailure];
 
-/** Access to the table. Every call rejects with a PlatformError when no answer came. */
+/** Reads and writes the table. Every call rejects with a PlatformError when it fails. */
 export abstract class TableService {
-  /** Reads rows by key; absent rows are left out. */
+  /** Reads rows by key; absent rows are omitted. */
   abstract read(keys: readonly string[], signal?: AbortSignal): Promise<readonly ITableRow[]>;
 
   /** Reads rows whose keys begin with a prefix. */
   abstract scan(options: IScanOptions, signal?: AbortSignal): Promise<readonly ITableRow[]>;
 
   /**
-   * Writes all or nothing.
+   * Applies all writes or none.
    *
    * @example
    * await table.transact({
--- a/packages/store/src/vmList/common/vmList.ts
+++ b/packages/store/src/vmList/common/vmList.ts
@@ -1,22 +1,22 @@
-/** The platform's list of the system's own VMs. It lags by seconds. */
+/** The platform's list of the fleet's own VMs, which lags by seconds. */
 
-/** What the platform says of a VM. A leaving one still runs for a while. */
+/** State of a VM as reported by the platform. A VM that is leaving still runs for some time. */
 export const VmState = { Live: 'live', Leaving: 'leaving' } as const;
 
 export type VmState = (typeof VmState)[keyof typeof VmState];
 
-/** One VM as the platform lists it. */
+/** One VM in the list. */
 export interface IVm {
-  /** Peer address of the node on it: IP number and port. */
+  /** Peer address of the node on it: IP address and port. */
   readonly address: string;
   readonly failureDomain: string;
   readonly state: VmState;
 }
 
-/** Access to the list. */
+/** Reads the list. */
 export abstract class VmList {
   /**
-   * All VMs of the fleet. Rejects with a PlatformError when no answer came.
+   * Returns all VMs of the fleet. Rejects with a PlatformError when no response arrives.
    *
    * @example
    * const live = (await vms.list(signal)).filter((vm) => vm.state === VmState.Live);
