--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -1,6 +1,6 @@
 /** Hands the messages of other nodes to the parts of this one. */
 import type { DirectoryService } from '../../directory/node/directoryService.js';
-import type { BeliefSharing } from '../../grants/common/beliefSharing.js';
+import type { HealthSharing } from '../../grants/common/healthSharing.js';
 import type { DatagramBody } from '../../grants/common/datagramChannel.js';
 import type { GrantServer } from '../../grants/common/grantServer.js';
 import type { HomeSelector } from '../../grants/common/homeSelector.js';
@@ -10,7 +10,7 @@
 
 /** Parts of a node that take messages. */
 export interface IDatagramHandlers {
-  readonly beliefs: BeliefSharing;
+  readonly beliefs: HealthSharing;
   readonly quarantine: QuarantineSharing;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -21,7 +21,7 @@
 import { GrantServer } from '../../grants/common/grantServer.js';
 import { HomeSelector } from '../../grants/common/homeSelector.js';
 import { UdpChannel } from '../../grants/node/udpChannel.js';
-import { BeliefSharing } from '../../grants/common/beliefSharing.js';
+import { HealthSharing } from '../../grants/common/healthSharing.js';
 import { RetrySharing } from '../../grants/common/retrySharing.js';
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
 import { CaseKeeper } from '../../quarantine/common/caseKeeper.js';
@@ -29,7 +29,7 @@
 import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
-import type { IServiceBounds } from '../../home/common/serviceBook.js';
+import type { IServiceBounds } from '../../home/common/serviceScheduler.js';
 import type { IDirectNodeSettings } from './directNodeSettings.js';
 import { handleDatagram } from './datagramRouter.js';
 import { logDirectoryChanges } from './directoryLog.js';
@@ -148,7 +148,7 @@
     });
     const { incarnation } = this;
     const rankHomes = (service: string) => this.directory.rankHomes(service);
-    const beliefs = this.store.add(new BeliefSharing({ channel, homes, clock, rankHomes }));
+    const beliefs = this.store.add(new HealthSharing({ channel, homes, clock, rankHomes }));
     const retries = this.store.add(
       new RetrySharing({ channel, homes, clock, incarnation, rankHomes }),
     );
@@ -177,7 +177,8 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () => this.front?.connections.hasOpened === true || homes.listBooks().length > 0,
+      isAsked: () =>
+        this.front?.connections.hasOpened === true || homes.listSchedulers().length > 0,
     });
     this.directoryService = this.store.add(service);
     channel.setHandler((sender, body) => {
@@ -300,7 +301,8 @@
   }
 
   private isReady(): boolean {
-    const isInformed = this.directory.getCatalog() !== undefined && this.homes?.isInformed === true;
+    const isInformed =
+      this.directory.getCatalog() !== undefined && this.homes?.hasReceivedTargets === true;
     return isInformed && !this.isStopping && this.tenants.isServing();
   }
 
--- a/packages/dispatch/src/app/node/directoryMetrics.ts
+++ b/packages/dispatch/src/app/node/directoryMetrics.ts
@@ -29,7 +29,7 @@
     help: 'Targets of services whose home this node is that name a limit of requests.',
     registers: [registry],
     collect() {
-      const targets = homes.listBooks().flatMap(([, book]) => book.listTargets());
+      const targets = homes.listSchedulers().flatMap(([, scheduler]) => scheduler.listTargets());
       this.set(targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined).length);
     },
   });
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -3,7 +3,7 @@
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
-import { GrantOutcome, isAnswered } from '../../grants/common/grant.js';
+import { GrantOutcome, hasCompleteResponse } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { AnswerCheck, IAttemptResult } from './attemptOutcome.js';
 import { decideAnswerOutcome, decideFailureOutcome } from './attemptOutcome.js';
@@ -74,7 +74,7 @@
       );
       const result = decideAnswerOutcome(answer, isAuthentic);
       // What is not the target's own answer may bear anything.
-      if (isAnswered(result.outcome)) notices.record(target, answer);
+      if (hasCompleteResponse(result.outcome)) notices.record(target, answer);
       return result;
     } catch (error) {
       return decideFailureOutcome(error);
--- a/packages/dispatch/src/entry/common/requestRun.ts
+++ b/packages/dispatch/src/entry/common/requestRun.ts
@@ -230,7 +230,7 @@
     const isLeaving = this.options.notices.isLeaving(grant.target);
     const outcome = attempt.cancelOutcome ?? result.outcome;
     const { rateLimit } = result;
-    grant.report(outcome, latencyMs, { answerBytes, isLeaving, rateLimit });
+    grant.report(outcome, latencyMs, { answerBytes, isDraining: isLeaving, rateLimit });
     if (attempt.cancelOutcome !== undefined) return result;
     this.recordPath(grant, result);
     state.tried.push(grant.target.id);
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -4,7 +4,7 @@
 import { findHeader } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
-import type { INamedLimit } from '../../grants/common/grant.js';
+import type { IAdvertisedLimit } from '../../grants/common/grant.js';
 import { parseRetryAfterMs } from './retryAfter.js';
 
 const RETRY_AFTER = 'retry-after';
@@ -55,7 +55,7 @@
   }
 
   /** Limits that some of the targets have named, the latest first. */
-  listLimits(targets: readonly ITargetRecord[]): readonly INamedLimit[] {
+  listLimits(targets: readonly ITargetRecord[]): readonly IAdvertisedLimit[] {
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
     const limits = targets.flatMap((target) => {
--- a/packages/dispatch/src/grants/common/grant.ts
+++ b/packages/dispatch/src/grants/common/grant.ts
@@ -26,20 +26,20 @@
 export type GrantOutcome = (typeof GrantOutcome)[keyof typeof GrantOutcome];
 
 /** What a home is told of an answer besides how the request fared. */
-export interface IReportedAnswer {
+export interface IReportedResponse {
   /** Size of the body; 0 where there was none. */
   readonly answerBytes: number;
   /** Whether the target has told the entry that it leaves. */
-  readonly isLeaving: boolean;
+  readonly isDraining: boolean;
   /** Requests a second that the target takes, if its answer named a limit. */
   readonly rateLimit?: number | undefined;
 }
 
 /** No answer came. */
-export const NO_ANSWER: IReportedAnswer = { answerBytes: 0, isLeaving: false };
+export const NO_RESPONSE: IReportedResponse = { answerBytes: 0, isDraining: false };
 
 /** A limit of requests that a target has named to an entry. */
-export interface INamedLimit {
+export interface IAdvertisedLimit {
   readonly targetId: string;
   /** The target's life, see ITargetRecord. */
   readonly bornMs: number | undefined;
@@ -50,7 +50,7 @@
 }
 
 /** Outcomes that rest on a whole answer of the target itself. */
-const ANSWERED: ReadonlySet<GrantOutcome> = new Set([
+const OUTCOMES_WITH_RESPONSE: ReadonlySet<GrantOutcome> = new Set([
   GrantOutcome.Succeeded,
   GrantOutcome.Failed,
   GrantOutcome.Shed,
@@ -62,8 +62,8 @@
  * @example
  * isAnswered(GrantOutcome.Shed); // true
  */
-export function isAnswered(outcome: GrantOutcome): boolean {
-  return ANSWERED.has(outcome);
+export function hasCompleteResponse(outcome: GrantOutcome): boolean {
+  return OUTCOMES_WITH_RESPONSE.has(outcome);
 }
 
 /** What is asked for. */
@@ -110,7 +110,7 @@
   /** Identifiers of targets that it must not be sent to. */
   readonly excluded: readonly string[];
   /** Limits that targets of the service have named to the entry, the latest first. */
-  readonly limits: readonly INamedLimit[];
+  readonly limits: readonly IAdvertisedLimit[];
 }
 
 /** The decision on a request. */
--- a/packages/dispatch/src/grants/common/grantMessages.ts
+++ b/packages/dispatch/src/grants/common/grantMessages.ts
@@ -17,7 +17,7 @@
 
 const PERMILLE = 1000;
 /** Limits that go with one question to a home, so that it stays within one packet. */
-const MOST_LIMITS = 8;
+const MAX_LIMITS_PER_REQUEST = 8;
 const MILLI = 1000;
 const MAX_UINT32 = 0xffff_ffff;
 
@@ -77,7 +77,9 @@
     objectiveMs: Math.floor(request.objectiveMs),
     excluded: [...request.excluded],
     connected: [...request.connected],
-    limits: request.limits.slice(0, MOST_LIMITS).map((limit) => encodeLimit(limit, limit.ageMs)),
+    limits: request.limits
+      .slice(0, MAX_LIMITS_PER_REQUEST)
+      .map((limit) => encodeLimit(limit, limit.ageMs)),
   });
 }
 
--- a/packages/dispatch/src/grants/common/homeQuestion.ts
+++ b/packages/dispatch/src/grants/common/grantRequestSender.ts
@@ -7,14 +7,14 @@
  * A question is repeated when no answer came in this time, in ms: about ten round trips between
  * failure domains of a region, and more than a busy home needs to get to it.
  */
-const REPEAT_MS = 25;
+const RETRANSMIT_MS = 25;
 /** Times that a question is sent without any answer before its home counts as silent. */
-const SENDS_PER_HOME = 2;
+const MAX_UNANSWERED_SENDS = 2;
 /** A question that waits in the home's queue is repeated this often, in ms: its decision may be lost. */
-const QUEUED_REPEAT_MS = 150;
+const QUEUED_RETRANSMIT_MS = 150;
 
-/** Options of a {@link HomeQuestion}. */
-export interface IHomeQuestionOptions {
+/** Options of a {@link GrantRequestSender}. */
+export interface IGrantRequestSenderOptions {
   readonly clock: Clock;
   /** Aborting it ends the question. */
   readonly signal: AbortSignal;
@@ -28,15 +28,15 @@
  * @example
  * const decision = await new HomeQuestion({ clock, signal, send }).run();
  */
-export class HomeQuestion {
+export class GrantRequestSender {
   private readonly startMs: number;
   private timer: IDisposable | undefined;
   /** Sends since the home was last heard. */
-  private unheard = 0;
+  private unansweredSends = 0;
   private isQueued = false;
   private resolve: (decision: Decision | undefined) => void = () => undefined;
 
-  constructor(private readonly options: IHomeQuestionOptions) {
+  constructor(private readonly options: IGrantRequestSenderOptions) {
     this.startMs = options.clock.getMonotonicTime();
   }
 
@@ -61,18 +61,18 @@
       return;
     }
     this.isQueued = true;
-    this.unheard = 0;
-    this.startTimer(QUEUED_REPEAT_MS);
+    this.unansweredSends = 0;
+    this.startTimer(QUEUED_RETRANSMIT_MS);
   }
 
   private send(): void {
-    if (this.unheard >= SENDS_PER_HOME) {
+    if (this.unansweredSends >= MAX_UNANSWERED_SENDS) {
       this.finish(undefined);
       return;
     }
-    this.unheard += 1;
+    this.unansweredSends += 1;
     this.options.send(this.options.clock.getMonotonicTime() - this.startMs);
-    this.startTimer(this.isQueued ? QUEUED_REPEAT_MS : REPEAT_MS);
+    this.startTimer(this.isQueued ? QUEUED_RETRANSMIT_MS : RETRANSMIT_MS);
   }
 
   private startTimer(delayMs: number): void {
--- a/packages/dispatch/src/grants/common/grantServer.ts
+++ b/packages/dispatch/src/grants/common/grantServer.ts
@@ -4,14 +4,14 @@
 import type { Ask, Report } from '@parsleymux/schema';
 import { ReportReceivedSchema } from '@parsleymux/schema';
 import type { HomeService } from '../../home/common/homeService.js';
-import type { ServiceBook } from '../../home/common/serviceBook.js';
+import type { ServiceScheduler } from '../../home/common/serviceScheduler.js';
 import type { ITicket } from '../../home/common/ticket.js';
 import type { DatagramChannel } from './datagramChannel.js';
 import type { GrantDecision } from './grant.js';
 import { decodeAsk, decodeOutcome, decodeRate, encodeDecision } from './grantMessages.js';
 
 /** Answers are kept this long for repeated questions, in ms: longer than entries go on asking. */
-const REMEMBER_MS = 10_000;
+const TICKET_RETENTION_MS = 10_000;
 /** Tickets are looked through for old ones after this many new ones. */
 const PURGE_EVERY = 256;
 
@@ -22,8 +22,8 @@
   readonly clock: Clock;
 }
 
-interface IRemembered {
-  readonly book: ServiceBook;
+interface ICachedTicket {
+  readonly scheduler: ServiceScheduler;
   ticket: ITicket;
   isReported: boolean;
 }
@@ -35,26 +35,26 @@
  * server.handleAsk(sender, ask);
  */
 export class GrantServer {
-  private readonly remembered = new Map<string, IRemembered>();
-  private asked = 0;
+  private readonly tickets = new Map<string, ICachedTicket>();
+  private newTickets = 0;
 
   constructor(private readonly options: IGrantServerOptions) {}
 
   handleAsk(sender: string, ask: Ask): void {
     const key = formatKey(sender, ask.incarnation, ask.id);
-    const known = this.remembered.get(key);
+    const known = this.tickets.get(key);
     if (known !== undefined) {
       this.sendDecision(sender, ask.id, known.ticket.decision);
       return;
     }
     // Silence makes the entry go on to the next home; see HomeService.isInformed.
-    if (!this.options.homes.isInformed) return;
-    this.clearOld();
-    const book = this.options.homes.getBook(ask.service);
-    const ticket = book.requestGrant(decodeAsk(ask), sender, (decision) => {
+    if (!this.options.homes.hasReceivedTargets) return;
+    this.clearExpired();
+    const scheduler = this.options.homes.getScheduler(ask.service);
+    const ticket = scheduler.requestGrant(decodeAsk(ask), sender, (decision) => {
       this.sendDecision(sender, ask.id, decision);
     });
-    this.remembered.set(key, { book, ticket, isReported: false });
+    this.tickets.set(key, { scheduler, ticket, isReported: false });
     if (ticket.decision === undefined) this.sendDecision(sender, ask.id, undefined);
   }
 
@@ -62,12 +62,12 @@
     const { askId } = report;
     const received = create(ReportReceivedSchema, { askId });
     this.options.channel.send(sender, { case: 'reportReceived', value: received });
-    const known = this.remembered.get(formatKey(sender, report.incarnation, askId));
+    const known = this.tickets.get(formatKey(sender, report.incarnation, askId));
     if (known === undefined || known.isReported) return;
     known.isReported = true;
-    const { answerBytes, latencyMs, leaving: isLeaving, outcome, rateLimitMilli } = report;
-    const answer = { answerBytes, isLeaving, rateLimit: decodeRate(rateLimitMilli) };
-    known.book.recordOutcome(known.ticket, decodeOutcome(outcome), latencyMs, answer);
+    const { answerBytes, latencyMs, leaving: isDraining, outcome, rateLimitMilli } = report;
+    const response = { answerBytes, isDraining, rateLimit: decodeRate(rateLimitMilli) };
+    known.scheduler.recordOutcome(known.ticket, decodeOutcome(outcome), latencyMs, response);
   }
 
   private sendDecision(sender: string, askId: bigint, decision: GrantDecision | undefined): void {
@@ -75,13 +75,13 @@
     this.options.channel.send(sender, { case: 'decision', value });
   }
 
-  private clearOld(): void {
-    this.asked += 1;
-    if (this.asked % PURGE_EVERY !== 0) return;
-    const oldestMs = this.options.clock.getMonotonicTime() - REMEMBER_MS;
-    for (const [key, { ticket }] of this.remembered) {
-      const endMs = ticket.askedMs + ticket.request.remainingMs;
-      if (endMs < oldestMs) this.remembered.delete(key);
+  private clearExpired(): void {
+    this.newTickets += 1;
+    if (this.newTickets % PURGE_EVERY !== 0) return;
+    const oldestMs = this.options.clock.getMonotonicTime() - TICKET_RETENTION_MS;
+    for (const [key, { ticket }] of this.tickets) {
+      const endMs = ticket.requestedMs + ticket.request.remainingMs;
+      if (endMs < oldestMs) this.tickets.delete(key);
     }
   }
 }
--- a/packages/dispatch/src/grants/common/beliefSharing.ts
+++ b/packages/dispatch/src/grants/common/healthSharing.ts
@@ -3,21 +3,21 @@
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { Belief, Beliefs, TargetLimit } from '@parsleymux/schema';
 import { BeliefSchema, BeliefsSchema } from '@parsleymux/schema';
-import type { BookedTarget } from '../../home/common/bookedTarget.js';
+import type { TargetState } from '../../home/common/targetState.js';
 import type { HomeService } from '../../home/common/homeService.js';
-import type { ServiceBook } from '../../home/common/serviceBook.js';
+import type { ServiceScheduler } from '../../home/common/serviceScheduler.js';
 import type { DatagramChannel } from './datagramChannel.js';
 import { decodeBornMs, decodeRate, encodeBornMs, encodeLimit } from './grantMessages.js';
-import { AT_WORK_MS, SHARE_EVERY_MS } from './homePace.js';
+import { ACTIVE_MS, SHARE_INTERVAL_MS } from './sharingIntervals.js';
 
 /** Older beliefs have drifted back to what is true of any target, in ms. */
-const OLDEST_MS = 15_000;
+const MAX_AGE_MS = 15_000;
 /** Beliefs, and limits, in one datagram: some 20 and 40 bytes each. */
-const MAX_BELIEFS = 50;
+const MAX_ENTRIES_PER_DATAGRAM = 50;
 const PERMILLE = 1000;
 
-/** Options of a {@link BeliefSharing}. */
-export interface IBeliefSharingOptions {
+/** Options of a {@link HealthSharing}. */
+export interface IHealthSharingOptions {
   readonly channel: DatagramChannel;
   readonly homes: HomeService;
   readonly clock: Clock;
@@ -32,14 +32,15 @@
  * @example
  * sharing.start();
  */
-export class BeliefSharing implements IDisposable {
+export class HealthSharing implements IDisposable {
   private timer: IDisposable | undefined;
 
-  constructor(private readonly options: IBeliefSharingOptions) {}
+  constructor(private readonly options: IHealthSharingOptions) {}
 
   start(): void {
-    this.timer = this.options.clock.startTimer(SHARE_EVERY_MS, () => {
-      for (const [service, book] of this.options.homes.listBooks()) this.announce(service, book);
+    this.timer = this.options.clock.startTimer(SHARE_INTERVAL_MS, () => {
+      for (const [service, scheduler] of this.options.homes.listSchedulers())
+        this.announce(service, scheduler);
       this.start();
     });
   }
@@ -47,10 +48,10 @@
   /** Takes what another home believes. */
   handleBeliefs(sender: string, message: Beliefs): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    const book = this.options.homes.getBook(message.service);
+    const scheduler = this.options.homes.getScheduler(message.service);
     for (const { ageMs, bornMs, leaving, suspicionPermille, targetId } of message.beliefs) {
-      if (leaving) book.statements.applyLeaving(targetId, decodeBornMs(bornMs));
-      book.applyEvidence(targetId, decodeBornMs(bornMs), {
+      if (leaving) scheduler.notices.applyDraining(targetId, decodeBornMs(bornMs));
+      scheduler.applyEvidence(targetId, decodeBornMs(bornMs), {
         suspicion: suspicionPermille / PERMILLE,
         updatedMs: nowMs - ageMs,
       });
@@ -58,7 +59,7 @@
     for (const limit of message.limits) {
       const { ageMs, granted, rateMilli, targetId } = limit;
       const evidence = { ratePerS: decodeRate(rateMilli), atMs: nowMs - ageMs };
-      book.statements.applyLimit(targetId, decodeBornMs(limit.bornMs), evidence, {
+      scheduler.notices.applyLimit(targetId, decodeBornMs(limit.bornMs), evidence, {
         home: sender,
         granted: Number(granted),
       });
@@ -69,18 +70,18 @@
     void this.timer?.dispose();
   }
 
-  private announce(service: string, book: ServiceBook): void {
-    if (!book.isAtWork(AT_WORK_MS)) return;
+  private announce(service: string, scheduler: ServiceScheduler): void {
+    if (!scheduler.isActive(ACTIVE_MS)) return;
     const nowMs = this.options.clock.getMonotonicTime();
-    const targets = book.listTargets();
+    const targets = scheduler.listTargets();
     const beliefs = targets.flatMap((target) => encodeBelief(target, nowMs) ?? []);
     const limits = targets.flatMap((target) => encodeTargetLimit(target, nowMs) ?? []);
     const count = Math.max(beliefs.length, limits.length);
-    for (let first = 0; first < count; first += MAX_BELIEFS) {
+    for (let first = 0; first < count; first += MAX_ENTRIES_PER_DATAGRAM) {
       const value = create(BeliefsSchema, {
         service,
-        beliefs: beliefs.slice(first, first + MAX_BELIEFS),
-        limits: limits.slice(first, first + MAX_BELIEFS),
+        beliefs: beliefs.slice(first, first + MAX_ENTRIES_PER_DATAGRAM),
+        limits: limits.slice(first, first + MAX_ENTRIES_PER_DATAGRAM),
       });
       this.send(service, value);
     }
@@ -95,23 +96,23 @@
 }
 
 /** Also of a target that names no limit any more: other homes would go on keeping to it. */
-function encodeTargetLimit(target: BookedTarget, nowMs: number): TargetLimit | undefined {
+function encodeTargetLimit(target: TargetState, nowMs: number): TargetLimit | undefined {
   const { granted, rateLimit, record } = target;
   const { evidence } = rateLimit;
   if (evidence === undefined) return undefined;
   const { atMs, ratePerS } = evidence;
   const ageMs = nowMs - atMs;
-  if (ratePerS === undefined && ageMs > OLDEST_MS) return undefined;
+  if (ratePerS === undefined && ageMs > MAX_AGE_MS) return undefined;
   return encodeLimit({ targetId: record.id, bornMs: record.bornMs, ratePerS, granted }, ageMs);
 }
 
-function encodeBelief(target: BookedTarget, nowMs: number): Belief | undefined {
-  const evidence = target.belief.getEvidence();
-  if (evidence === undefined || nowMs - evidence.updatedMs > OLDEST_MS) return undefined;
+function encodeBelief(target: TargetState, nowMs: number): Belief | undefined {
+  const evidence = target.health.getEvidence();
+  if (evidence === undefined || nowMs - evidence.updatedMs > MAX_AGE_MS) return undefined;
   return create(BeliefSchema, {
     targetId: target.record.id,
     ...encodeBornMs(target.record.bornMs),
-    leaving: target.isLeaving,
+    leaving: target.hasReportedDraining,
     suspicionPermille: Math.round(evidence.suspicion * PERMILLE),
     ageMs: Math.round(nowMs - evidence.updatedMs),
   });
--- a/packages/dispatch/src/grants/common/homeHealth.ts
+++ b/packages/dispatch/src/grants/common/homeHealth.ts
@@ -2,11 +2,11 @@
 import type { Clock } from '@parsleymux/base';
 
 /** A home that left a question unanswered is passed over this long at first, in ms. */
-const FIRST_PAUSE_MS = 1000;
+const INITIAL_BACKOFF_MS = 1000;
 /** Each further silence doubles the pause, up to this, in ms. */
-const LONGEST_PAUSE_MS = 8000;
+const MAX_BACKOFF_MS = 8000;
 
-interface ISilence {
+interface IBackoff {
   readonly pauseMs: number;
   readonly untilMs: number;
 }
@@ -18,23 +18,23 @@
  * if (health.isSilent(home)) askNext();
  */
 export class HomeHealth {
-  private readonly silences = new Map<string, ISilence>();
+  private readonly backoffs = new Map<string, IBackoff>();
 
   constructor(private readonly clock: Clock) {}
 
-  isSilent(home: string): boolean {
-    const silence = this.silences.get(home);
-    return silence !== undefined && this.clock.getMonotonicTime() < silence.untilMs;
+  isUnresponsive(home: string): boolean {
+    const backoff = this.backoffs.get(home);
+    return backoff !== undefined && this.clock.getMonotonicTime() < backoff.untilMs;
   }
 
-  recordAnswer(home: string): void {
-    this.silences.delete(home);
+  recordResponse(home: string): void {
+    this.backoffs.delete(home);
   }
 
-  recordSilence(home: string): void {
-    const previousMs = this.silences.get(home)?.pauseMs ?? 0;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, previousMs * 2));
+  recordNoResponse(home: string): void {
+    const previousMs = this.backoffs.get(home)?.pauseMs ?? 0;
+    const pauseMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, previousMs * 2));
     const untilMs = this.clock.getMonotonicTime() + pauseMs;
-    this.silences.set(home, { pauseMs, untilMs });
+    this.backoffs.set(home, { pauseMs, untilMs });
   }
 }
--- a/packages/dispatch/src/grants/common/homeSelector.test.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.test.ts
@@ -51,7 +51,7 @@
   }
 
   getInUse(): number {
-    return this.homes.getBook('booking').listTargets()[0]?.inUse ?? 0;
+    return this.homes.getScheduler('booking').listTargets()[0]?.inUse ?? 0;
   }
 }
 
@@ -94,7 +94,7 @@
     await network.clock.advanceBy(1500);
   }
   await network.clock.advanceBy(5000);
-  home.homes.getBook('booking').advance();
+  home.homes.getScheduler('booking').advance();
   assert.equal(home.getInUse(), 0);
 });
 
@@ -145,7 +145,7 @@
   const withdrawn = entry.selector.choose(makeGrantRequest(), leaving.signal);
   const waiting = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(400);
-  assert.equal(home.homes.getBook('booking').queueLength, 2);
+  assert.equal(home.homes.getScheduler('booking').queueLength, 2);
   leaving.abort(new Error('the caller left'));
   await assert.rejects(withdrawn, /the caller left/);
   const first = await held[0]!;
@@ -153,7 +153,7 @@
   first.grant.report(GrantOutcome.Succeeded, 5);
   await network.clock.advanceBy(50);
   assert.equal((await waiting).kind, 'granted');
-  assert.equal(home.homes.getBook('booking').queueLength, 0);
+  assert.equal(home.homes.getScheduler('booking').queueLength, 0);
 });
 
 test('a target that the entry knows to be leaving is not taken from a home that does not', async () => {
@@ -208,7 +208,7 @@
   assert.equal(getHome(await asked), 'second');
   assert.deepEqual(heard, [false, false], 'one question, sent twice');
   const nowMs = network.clock.getMonotonicTime();
-  assert.deepEqual(second.homes.getBook('booking').retries.listOwn(nowMs).requests, []);
+  assert.deepEqual(second.homes.getScheduler('booking').retries.listOwn(nowMs).requests, []);
   assert.equal(home.getInUse(), 0);
 });
 
--- a/packages/dispatch/src/grants/common/homeSelector.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.ts
@@ -7,8 +7,8 @@
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { HomeService } from '../../home/common/homeService.js';
 import type { DatagramChannel } from './datagramChannel.js';
-import type { GrantOutcome, IGrantRequest, IReportedAnswer } from './grant.js';
-import { NO_ANSWER } from './grant.js';
+import type { GrantOutcome, IGrantRequest, IReportedResponse } from './grant.js';
+import { NO_RESPONSE } from './grant.js';
 import {
   decodeBornMs,
   decodeSuspicion,
@@ -17,14 +17,14 @@
   encodeRate,
 } from './grantMessages.js';
 import { HomeHealth } from './homeHealth.js';
-import { HomeQuestion } from './homeQuestion.js';
+import { GrantRequestSender } from './grantRequestSender.js';
 import type { IGrant, Selection } from './targetSelector.js';
 import { TargetSelector } from './targetSelector.js';
 
 /** Homes that are asked before this node decides alone. */
-const HOMES_ASKED = 2;
+const MAX_HOMES_TRIED = 2;
 /** Waits between the sends of a report that nobody confirmed, in ms. */
-const REPORT_REPEATS_MS = [40, 150, 600];
+const REPORT_RETRY_DELAYS_MS = [40, 150, 600];
 
 /** Options of a {@link HomeSelector}. */
 export interface IHomeSelectorOptions {
@@ -39,13 +39,14 @@
   readonly findTarget: (id: string) => ITargetRecord | undefined;
 }
 
-interface IPendingQuestion {
+interface IPendingRequest {
   readonly home: string;
-  readonly question: HomeQuestion;
+  readonly question: GrantRequestSender;
 }
 
 /** What one home said; undefined when it stayed silent. */
-type HomeAnswer = Selection | { readonly kind: 'unusable-target'; readonly id: string } | undefined;
+type HomeResponse =
+  Selection | { readonly kind: 'unusable-target'; readonly id: string } | undefined;
 
 /**
  * Asks the homes of a service in their order. The wait for silent homes is bounded, so the loss of
@@ -55,7 +56,7 @@
  * const selection = await selector.choose(request, signal);
  */
 export class HomeSelector extends TargetSelector {
-  private readonly pending = new Map<bigint, IPendingQuestion>();
+  private readonly pending = new Map<bigint, IPendingRequest>();
   private readonly unconfirmed = new Map<bigint, IDisposable>();
   private readonly health: HomeHealth;
   private nextId = 1n;
@@ -74,12 +75,14 @@
       return { ...request, isRepeated: true, remainingMs };
     };
     const homes = this.options.rankHomes(request.service);
-    const audible = homes.filter((home) => !this.health.isSilent(home)).slice(0, HOMES_ASKED);
+    const responsive = homes
+      .filter((home) => !this.health.isUnresponsive(home))
+      .slice(0, MAX_HOMES_TRIED);
     let asked = request;
-    for (const home of audible) {
+    for (const home of responsive) {
       if (home === channel.address) {
-        if (!this.options.homes.isInformed) continue;
-        return this.decideAlone(asked, signal);
+        if (!this.options.homes.hasReceivedTargets) continue;
+        return this.decideLocally(asked, signal);
       }
       const answer = await this.requestGrant(home, asked, signal);
       // Counted by each home that hears of it, one request would earn the service several shares of
@@ -90,18 +93,18 @@
         return this.choose({ ...asked, excluded }, signal);
       }
       if (answer !== undefined) return answer;
-      this.health.recordSilence(home);
+      this.health.recordNoResponse(home);
       log.warn('home is silent', { home, service: request.service });
     }
-    return this.decideAlone(this.removeLimited(asked), signal);
+    return this.decideLocally(this.removeLimitedTargets(asked), signal);
   }
 
   /**
    * A node that decides for itself knows nothing of what others send, so it avoids targets that name a
    * limit over all nodes.
    */
-  private removeLimited(request: IGrantRequest): IGrantRequest {
-    const targets = this.options.homes.findBook(request.service)?.listTargets() ?? [];
+  private removeLimitedTargets(request: IGrantRequest): IGrantRequest {
+    const targets = this.options.homes.findScheduler(request.service)?.listTargets() ?? [];
     const known = targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined);
     const named = request.limits.map(({ targetId }) => targetId);
     const excluded = [...request.excluded, ...named, ...known.map(({ record }) => record.id)];
@@ -112,7 +115,7 @@
   handleDecision(sender: string, decision: Decision): void {
     const pending = this.pending.get(decision.askId);
     if (pending?.home !== sender) return;
-    this.health.recordAnswer(sender);
+    this.health.recordResponse(sender);
     pending.question.handleDecision(decision);
   }
 
@@ -123,7 +126,7 @@
 
   /** A node said that it stops: it is not asked any more. */
   handleLeaving(sender: string): void {
-    this.health.recordSilence(sender);
+    this.health.recordNoResponse(sender);
   }
 
   /** Resolves with undefined when the home stays silent; rejects when `signal` aborts. */
@@ -131,10 +134,10 @@
     home: string,
     request: IGrantRequest,
     signal: AbortSignal,
-  ): Promise<HomeAnswer> {
+  ): Promise<HomeResponse> {
     const { channel, clock, incarnation } = this.options;
     const id = this.nextId++;
-    const question = new HomeQuestion({
+    const question = new GrantRequestSender({
       clock,
       signal,
       send: (elapsedMs) => {
@@ -158,7 +161,7 @@
     id: bigint,
     request: IGrantRequest,
     decision: Decision,
-  ): HomeAnswer {
+  ): HomeResponse {
     if (decision.kind !== DecisionKind.GRANTED) {
       const code = decision.resultCode as ResultCode;
       return { kind: 'refused', code, retryAfterMs: decision.retryAfterMs, home };
@@ -207,7 +210,7 @@
     targetId: string | undefined,
     outcome: GrantOutcome,
     latencyMs: number,
-    { answerBytes, isLeaving, rateLimit }: IReportedAnswer = NO_ANSWER,
+    { answerBytes, isDraining: isLeaving, rateLimit }: IReportedResponse = NO_RESPONSE,
   ): void {
     const rateLimitMilli = encodeRate(rateLimit);
     const value = create(ReportSchema, {
@@ -224,7 +227,7 @@
     });
     const send = (repeat: number) => {
       this.options.channel.send(home, { case: 'report', value });
-      const delayMs = REPORT_REPEATS_MS[repeat];
+      const delayMs = REPORT_RETRY_DELAYS_MS[repeat];
       if (delayMs === undefined) {
         this.unconfirmed.delete(askId);
         return;
@@ -237,8 +240,8 @@
     send(0);
   }
 
-  private decideAlone(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
-    const book = this.options.homes.getBook(request.service);
+  private decideLocally(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
+    const scheduler = this.options.homes.getScheduler(request.service);
     const home = this.options.channel.address;
     return new Promise((resolve, reject) => {
       if (signal.aborted) {
@@ -246,19 +249,19 @@
         return;
       }
       const onAbort = () => {
-        book.recordOutcome(ticket, 'abandoned', 0);
+        scheduler.recordOutcome(ticket, 'abandoned', 0);
         reject(toError(signal.reason));
       };
       signal.addEventListener('abort', onAbort, { once: true });
-      const ticket = book.requestGrant(request, home, (decision) => {
+      const ticket = scheduler.requestGrant(request, home, (decision) => {
         signal.removeEventListener('abort', onAbort);
         if (decision.kind === 'refused') {
           resolve({ ...decision, home });
           return;
         }
         const { needsFreshConnection, suspicion, target } = decision;
-        const report = (outcome: GrantOutcome, latencyMs: number, answer?: IReportedAnswer) => {
-          book.recordOutcome(ticket, outcome, latencyMs, answer);
+        const report = (outcome: GrantOutcome, latencyMs: number, answer?: IReportedResponse) => {
+          scheduler.recordOutcome(ticket, outcome, latencyMs, answer);
         };
         const grant = { target, home, suspicion, needsFreshConnection, report };
         resolve({ kind: 'granted', grant });
--- a/packages/dispatch/src/grants/common/retrySharing.test.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.test.ts
@@ -32,16 +32,16 @@
   }
 
   get retries(): RetryWindow {
-    return this.homes.getBook(SERVICE).retries;
+    return this.homes.getScheduler(SERVICE).retries;
   }
 
   /** Asks for so many retries; returns how many were granted. */
   ask(count: number): number {
-    const book = this.homes.getBook(SERVICE);
+    const scheduler = this.homes.getScheduler(SERVICE);
     let granted = 0;
     for (let index = 0; index < count; index += 1) {
       const request = makeGrantRequest({ attempt: 2, isIdempotent: true });
-      book.requestGrant(request, 'entry', ({ kind }) => {
+      scheduler.requestGrant(request, 'entry', ({ kind }) => {
         if (kind === 'granted') granted += 1;
       });
     }
@@ -88,7 +88,7 @@
 
 test('an entry that decides alone has no burst', async () => {
   // Symptom: repeats pile up while homes are silent. Sequence: entries ask two homes, hear nothing and
-  // decide by a book of their own. Cause: each of a hundred entries had half a burst.
+  // decide by a scheduler of their own. Cause: each of a hundred entries had half a burst.
   const { network, ranking } = openHomes();
   const entry = new Home(network, 'entry', () => ranking);
   await network.clock.advanceBy(12_000);
@@ -103,5 +103,5 @@
   Object.defineProperty(first.retries, 'partMs', { value: 1 });
   first.sharing.announce();
   await network.clock.advanceBy(10);
-  assert.equal(second.retries.countElsewhere(network.clock.getMonotonicTime()), 0);
+  assert.equal(second.retries.countPeerRetries(network.clock.getMonotonicTime()), 0);
 });
--- a/packages/dispatch/src/grants/common/retrySharing.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.ts
@@ -4,10 +4,10 @@
 import type { RetryUse } from '@parsleymux/schema';
 import { RetryCountsSchema, RetryUseSchema } from '@parsleymux/schema';
 import type { HomeService } from '../../home/common/homeService.js';
-import type { IRetryCounts } from '../../home/common/otherHomes.js';
-import type { ServiceBook } from '../../home/common/serviceBook.js';
+import type { IRetryCounts } from '../../home/common/peerRetryCounts.js';
+import type { ServiceScheduler } from '../../home/common/serviceScheduler.js';
 import type { DatagramChannel } from './datagramChannel.js';
-import { AT_WORK_MS, SHARE_EVERY_MS } from './homePace.js';
+import { ACTIVE_MS, SHARE_INTERVAL_MS } from './sharingIntervals.js';
 
 /** Options of a {@link RetrySharing}. */
 export interface IRetrySharingOptions {
@@ -35,14 +35,14 @@
   private readonly rankedSinceMs = new Map<string, number>();
 
   constructor(private readonly options: IRetrySharingOptions) {
-    this.opened = options.homes.onDidOpenBook((service) => {
+    this.opened = options.homes.onDidCreateScheduler((service) => {
       this.updateRank(service);
     });
   }
 
   start(): void {
     this.updateRanks();
-    this.timer = this.options.clock.startTimer(SHARE_EVERY_MS, () => {
+    this.timer = this.options.clock.startTimer(SHARE_INTERVAL_MS, () => {
       this.announce();
       this.start();
     });
@@ -50,15 +50,15 @@
 
   /** Tells at once: a home that stops would take along what it granted since it told last. */
   announce(): void {
-    for (const [service, book] of this.options.homes.listBooks()) {
-      if (book.isAtWork(AT_WORK_MS)) this.announceBook(service, book);
+    for (const [service, scheduler] of this.options.homes.listSchedulers()) {
+      if (scheduler.isActive(ACTIVE_MS)) this.announceScheduler(service, scheduler);
     }
   }
 
   /** Takes what another home told. */
   handleRetryUse(message: RetryUse): void {
     const { clock, homes } = this.options;
-    const { retries } = homes.getBook(message.service);
+    const { retries } = homes.getScheduler(message.service);
     // Parts of another length don't fit this window; the sender has other settings for a moment.
     if (message.partMs !== retries.partMs) return;
     const nowMs = clock.getMonotonicTime();
@@ -68,7 +68,7 @@
         const { home, requests, retries: sent, sequence } = one;
         return { home, sequence, requests, retries: sent, countedMs: nowMs - one.ageMs };
       });
-    retries.recordTold(counts, message.complete, nowMs);
+    retries.recordPeerCounts(counts, message.complete, nowMs);
   }
 
   dispose(): void {
@@ -93,10 +93,10 @@
     else if (!this.rankedSinceMs.has(service)) {
       this.rankedSinceMs.set(service, clock.getMonotonicTime());
     }
-    homes.findBook(service)?.retries.setWatchedSince(this.rankedSinceMs.get(service));
+    homes.findScheduler(service)?.retries.setReceivingSince(this.rankedSinceMs.get(service));
   }
 
-  private announceBook(service: string, { retries }: ServiceBook): void {
+  private announceScheduler(service: string, { retries }: ServiceScheduler): void {
     const { channel, clock, rankHomes } = this.options;
     const nowMs = clock.getMonotonicTime();
     this.sequence += 1n;
--- a/packages/dispatch/src/grants/common/homePace.ts
+++ b/packages/dispatch/src/grants/common/sharingIntervals.ts
@@ -5,6 +5,6 @@
  * turned gray in that time costs one more request, and retries of that time are covered by the part
  * of the burst that homes leave unused.
  */
-export const SHARE_EVERY_MS = 500;
+export const SHARE_INTERVAL_MS = 500;
 /** A home counts as at work while it was asked within this time, in ms. */
-export const AT_WORK_MS = 1500;
+export const ACTIVE_MS = 1500;
--- a/packages/dispatch/src/grants/common/targetSelector.ts
+++ b/packages/dispatch/src/grants/common/targetSelector.ts
@@ -1,6 +1,6 @@
 /** How an entry gets a target for a request: varies with who decides. */
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import type { GrantDecision, GrantOutcome, IGrantRequest, IReportedAnswer } from './grant.js';
+import type { GrantDecision, GrantOutcome, IGrantRequest, IReportedResponse } from './grant.js';
 
 /** A target that may be sent one request, until its outcome is reported. */
 export interface IGrant {
@@ -11,7 +11,7 @@
   /** Whether a kept connection must not be used: those of the service break lately. */
   readonly needsFreshConnection: boolean;
   /** Tells the home how it went; to be called exactly once. */
-  report(outcome: GrantOutcome, latencyMs: number, answer?: IReportedAnswer): void;
+  report(outcome: GrantOutcome, latencyMs: number, answer?: IReportedResponse): void;
 }
 
 /** What an entry gets. */
--- a/packages/dispatch/src/home/common/creditForecast.ts
+++ b/packages/dispatch/src/home/common/creditForecast.ts
@@ -1,12 +1,12 @@
 /** What an answer to one request will be worth, by when its work begins. */
 import type { IWaitingRequest } from './grantPolicy.js';
-import type { WorkTimes } from './workTimes.js';
+import type { ProcessingTimes } from './processingTimes.js';
 
 /**
  * The forecast rests on what sound targets took for the same route lately.
  *
  * @example
- * const forecast = new CreditForecast(waiting, workTimes, 0.7);
+ * const forecast = new CreditForecast(waiting, processingTimes, 0.7);
  * forecast.getCredit(0); // 0.97: nearly all answers come in time when the work begins now
  */
 export class CreditForecast {
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly waiting: IWaitingRequest,
-    private readonly workTimes: WorkTimes,
+    private readonly processingTimes: ProcessingTimes,
     /** Credit of an answer after the objective, as a share of one that comes in time. */
     private readonly lateCredit: number,
   ) {
@@ -35,6 +35,6 @@
 
   private getShareWithin(ms: number): number {
     const { objectiveMs, route } = this.waiting.request;
-    return this.workTimes.getShareWithin(route, objectiveMs, ms);
+    return this.processingTimes.getShareWithin(route, objectiveMs, ms);
   }
 }
--- a/packages/dispatch/src/home/common/creditSettings.ts
+++ b/packages/dispatch/src/home/common/creditSettings.ts
@@ -1,13 +1,13 @@
 /** Settings of the policy of expected credit, each with the load that it answers. */
-import type { IPlacingWeights } from './placingCost.js';
-import { DEFAULT_PLACING_WEIGHTS } from './placingCost.js';
+import type { IPlacementWeights } from './placementCost.js';
+import { DEFAULT_PLACEMENT_WEIGHTS } from './placementCost.js';
 
 /**
- * In credit of one request answered in time. None of them is a threshold on load or belief: these
+ * In credit of one request answered in time. None of them is a threshold on load or health: these
  * are learnt. Changing one by a half or by two is compared in docs/DECIDING.md.
  */
 export interface IExpectedCreditSettings {
-  readonly weights: IPlacingWeights;
+  readonly weights: IPlacementWeights;
   /**
    * Credit of a late answer. Callers agreed on a third to a half of a whole credit for it, and
    * count the share that is served at all besides, by orders of magnitude; together that makes an
@@ -59,7 +59,7 @@
 }
 
 export const DEFAULT_CREDIT_SETTINGS: IExpectedCreditSettings = {
-  weights: DEFAULT_PLACING_WEIGHTS,
+  weights: DEFAULT_PLACEMENT_WEIGHTS,
   lateCredit: 0.7,
   waitMargin: 0.15,
   nearTrials: 0.5,
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.ts
@@ -8,33 +8,33 @@
  */
 import { ResultCode } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { TargetState } from './targetState.js';
 import { CreditForecast } from './creditForecast.js';
 import type { IExpectedCreditSettings } from './creditSettings.js';
 import { DEFAULT_CREDIT_SETTINGS } from './creditSettings.js';
 import type { IServiceState, IWaitingRequest, PolicyDecision } from './grantPolicy.js';
-import { GrantPolicy, isFirstDue, listFree } from './grantPolicy.js';
-import { computeDistanceCost, computePlacingCost } from './placingCost.js';
+import { GrantPolicy, isFirstRequestDue, listFreeTargets } from './grantPolicy.js';
+import { computeDistanceCost, computePlacementCost } from './placementCost.js';
 
 /** Slots that count as there although every target is believed failing. */
-const LEAST_SLOTS = 0.5;
+const MIN_SLOTS = 0.5;
 /** A request whose time ends within so many times the usual work is late no longer, but last. */
-const LAST_CALL_FACTOR = 2;
+const NEAR_DEADLINE_FACTOR = 2;
 
 /** Headroom above the floor, since the share moves with every target that comes or goes. */
 const FLOOR_MARGIN = 0.08;
 /** Share of the likely sound targets that requests keep in use, also while all is well. */
-const TRIAL_SHARE = 0.86;
+const MIN_HEALTHY_SHARE_IN_USE = 0.86;
 /**
  * Where a target gets fewer requests than this in 2 s, those that can't be repeated try none: each
  * doubted target is tried every few seconds, which is over one in a hundred of so few requests.
  */
-const LEAST_REQUESTS_PER_TARGET = 6;
+const MIN_REQUESTS_PER_TARGET = 6;
 /**
  * Above this share of the retry allowance, trials leave the rest to requests that failed. Trouble uses
  * up half of it, and trials are needed then.
  */
-const MOST_RETRIES_USED = 0.8;
+const MAX_RETRIES_USED = 0.8;
 
 const REFUSAL: PolicyDecision = { kind: 'refuse', code: ResultCode.QueueFull };
 
@@ -42,12 +42,12 @@
 const Rank = { InTime: 0, Late: 1 } as const;
 
 /** What a decision on one request rests on. */
-interface IOutlook {
+interface IDecisionContext {
   readonly waiting: IWaitingRequest;
   readonly state: IServiceState;
   readonly forecast: CreditForecast;
   /** Slots of targets that the request may go to, each by the probability that it is sound. */
-  readonly soundSlots: number;
+  readonly healthySlots: number;
   /** Until a sound slot is free for it, in ms. */
   readonly waitMs: number;
   /** Expected credit of waiting. */
@@ -77,7 +77,7 @@
     if (isBoundHedge) return REFUSAL;
     // A second attempt can't be refused truthfully any more: its request may have run.
     if (request.attempt > 1) return { kind: 'wait' };
-    const { waitCredit, waitMs } = this.computeOutlook(waiting, state);
+    const { waitCredit, waitMs } = this.computeContext(waiting, state);
     const isNew = waiting.waitedMs === 0;
     if (isNew && waitMs > longestWait * request.objectiveMs) return REFUSAL;
     return waitCredit > refusalCredit ? { kind: 'wait' } : REFUSAL;
@@ -88,26 +88,29 @@
    * lets another one be in time. Served in the order of arrival, a burst makes all of them late
    * until the queue is empty again.
    */
-  override getRank(waiting: Omit<IWaitingRequest, 'ahead'>, { workTimes }: IServiceState): number {
+  override getRank(
+    waiting: Omit<IWaitingRequest, 'ahead'>,
+    { processingTimes }: IServiceState,
+  ): number {
     const { request, waitedMs } = waiting;
     if (!this.settings.servesInTimeFirst) return Rank.InTime;
-    const workMs = workTimes.getMeanMs(request.route, request.objectiveMs);
-    const isLate = waitedMs + workMs > request.objectiveMs;
-    const hasTime = request.remainingMs - waitedMs > workMs * LAST_CALL_FACTOR;
+    const processingMs = processingTimes.getMeanMs(request.route, request.objectiveMs);
+    const isLate = waitedMs + processingMs > request.objectiveMs;
+    const hasTime = request.remainingMs - waitedMs > processingMs * NEAR_DEADLINE_FACTOR;
     return isLate && hasTime ? Rank.Late : Rank.InTime;
   }
 
   override estimateWaitMs(request: IGrantRequest, ahead: number, state: IServiceState): number {
-    return computeWaitMs(request, ahead, countSoundSlots(request, state), state);
+    return computeWaitMs(request, ahead, countHealthySlots(request, state), state);
   }
 
-  private choose(waiting: IWaitingRequest, state: IServiceState): BookedTarget | undefined {
+  private choose(waiting: IWaitingRequest, state: IServiceState): TargetState | undefined {
     const { request } = waiting;
-    const free = listFree(request, state);
-    const due = free.find((target) => isFirstDue(target, request, state.nowMs));
+    const free = listFreeTargets(request, state);
+    const due = free.find((target) => isFirstRequestDue(target, request, state.nowMs));
     if (due !== undefined) return due;
-    const outlook = this.computeOutlook(waiting, state);
-    return this.findDue(free, outlook) ?? this.findBest(free, outlook);
+    const context = this.computeContext(waiting, state);
+    return this.findDue(free, context) ?? this.findBest(free, context);
   }
 
   /**
@@ -115,19 +118,22 @@
    * which targets in use are counted has already begun. Left alone, a calm load keeps to few targets,
    * and those that recovered stay unused, for no slot is wanted.
    */
-  private findDue(free: readonly BookedTarget[], outlook: IOutlook): BookedTarget | undefined {
-    const { state, waiting } = outlook;
-    const { due, share, soundShare } = state.use;
+  private findDue(
+    free: readonly TargetState[],
+    context: IDecisionContext,
+  ): TargetState | undefined {
+    const { state, waiting } = context;
+    const { due, share, healthyShare } = state.usage;
     if (!this.settings.keepsFloor) return undefined;
     const freeDue = free.filter((target) => due.includes(target));
     if (state.isFailing && share < state.floorShare + FLOOR_MARGIN) {
       // Beliefs may be wrong, and each target counts, whatever is believed of it.
-      return findLeastDoubtful(freeDue, state);
+      return findLeastSuspected(freeDue, state);
     }
-    if (soundShare >= TRIAL_SHARE) return undefined;
-    if (!waiting.request.mayRetry) return this.findTrialOfSingle(free, freeDue, outlook);
-    if (state.retriesUsed >= MOST_RETRIES_USED) return undefined;
-    return this.findBest(freeDue, outlook, -Infinity);
+    if (healthyShare >= MIN_HEALTHY_SHARE_IN_USE) return undefined;
+    if (!waiting.request.mayRetry) return this.findProbeWithoutRetry(free, freeDue, context);
+    if (state.retriesUsed >= MAX_RETRIES_USED) return undefined;
+    return this.findBest(freeDue, context, -Infinity);
   }
 
   /**
@@ -137,42 +143,42 @@
    * the next one waits. With a fixed share, or one trial in so many requests, trials go on when none
    * is needed.
    */
-  private findTrialOfSingle(
-    free: readonly BookedTarget[],
-    freeDue: readonly BookedTarget[],
-    outlook: IOutlook,
-  ): BookedTarget | undefined {
-    const { requestsPerTarget, soundShare } = outlook.state.use;
-    if (requestsPerTarget < LEAST_REQUESTS_PER_TARGET) return undefined;
-    const credits = free.map((target) => this.computeCredit(target, outlook));
-    const surest = Math.max(outlook.waitCredit, ...credits);
-    const mostLost = (TRIAL_SHARE - soundShare) * this.settings.trialLoss;
-    return this.findBest(freeDue, outlook, surest - mostLost);
+  private findProbeWithoutRetry(
+    free: readonly TargetState[],
+    freeDue: readonly TargetState[],
+    context: IDecisionContext,
+  ): TargetState | undefined {
+    const { requestsPerTarget, healthyShare } = context.state.usage;
+    if (requestsPerTarget < MIN_REQUESTS_PER_TARGET) return undefined;
+    const credits = free.map((target) => this.computeCredit(target, context));
+    const maxCredit = Math.max(context.waitCredit, ...credits);
+    const maxLoss = (MIN_HEALTHY_SHARE_IN_USE - healthyShare) * this.settings.trialLoss;
+    return this.findBest(freeDue, context, maxCredit - maxLoss);
   }
 
-  private computeOutlook(waiting: IWaitingRequest, state: IServiceState): IOutlook {
+  private computeContext(waiting: IWaitingRequest, state: IServiceState): IDecisionContext {
     const { ahead, request } = waiting;
-    const forecast = new CreditForecast(waiting, state.workTimes, this.settings.lateCredit);
-    const soundSlots = countSoundSlots(request, state);
-    const waitMs = computeWaitMs(request, ahead, soundSlots, state);
-    const waitCredit = forecast.getCredit(waitMs) * (1 - state.model.soundFailureRate);
-    return { waiting, state, forecast, soundSlots, waitMs, waitCredit };
+    const forecast = new CreditForecast(waiting, state.processingTimes, this.settings.lateCredit);
+    const healthySlots = countHealthySlots(request, state);
+    const waitMs = computeWaitMs(request, ahead, healthySlots, state);
+    const waitCredit = forecast.getCredit(waitMs) * (1 - state.model.healthyFailureRate);
+    return { waiting, state, forecast, healthySlots: healthySlots, waitMs, waitCredit };
   }
 
   /** The best target that is worth taking now; undefined when waiting or refusing is better. */
   private findBest(
-    free: readonly BookedTarget[],
-    outlook: IOutlook,
-    least = this.getLeastCredit(outlook),
-  ): BookedTarget | undefined {
-    const { state, waiting } = outlook;
+    free: readonly TargetState[],
+    context: IDecisionContext,
+    least = this.getMinCredit(context),
+  ): TargetState | undefined {
+    const { state, waiting } = context;
     const { weights } = this.settings;
-    let best: BookedTarget | undefined;
+    let best: TargetState | undefined;
     let bestCredit = -Infinity;
     for (const target of free) {
-      const credit = this.computeCredit(target, outlook);
-      if (credit + this.computeNearCredit(target, outlook) < least) continue;
-      const placed = credit - computePlacingCost(target, waiting.request, weights, state);
+      const credit = this.computeCredit(target, context);
+      if (credit + this.computeLocalityCredit(target, context) < least) continue;
+      const placed = credit - computePlacementCost(target, waiting.request, weights, state);
       if (placed <= bestCredit) continue;
       best = target;
       bestCredit = placed;
@@ -181,7 +187,7 @@
   }
 
   /** Expected credit below which waiting or refusing is better. */
-  private getLeastCredit({ waitCredit, waiting }: IOutlook): number {
+  private getMinCredit({ waitCredit, waiting }: IDecisionContext): number {
     const { refusalCredit, waitMargin } = this.settings;
     return Math.max(waitCredit - waitMargin, waiting.request.attempt === 1 ? refusalCredit : 0);
   }
@@ -191,7 +197,7 @@
    * it saves the way of all that follow. Without it, a near target that nothing was heard of for a
    * while is passed over for a far one that is known to be sound, and never heard of again.
    */
-  private computeNearCredit(target: BookedTarget, { state, waiting }: IOutlook): number {
+  private computeLocalityCredit(target: TargetState, { state, waiting }: IDecisionContext): number {
     const { nearTrials, weights } = this.settings;
     const { request } = waiting;
     const isNear = target.record.failureDomain === request.failureDomain;
@@ -200,21 +206,21 @@
   }
 
   /** Expected credit of granting `target` now. */
-  private computeCredit(target: BookedTarget, outlook: IOutlook): number {
-    const { forecast, state } = outlook;
-    const { failingFailureRate, soundFailureRate } = state.model;
-    const suspicion = target.belief.getSuspicion(state.nowMs);
-    const failure = suspicion * failingFailureRate + (1 - suspicion) * soundFailureRate;
+  private computeCredit(target: TargetState, context: IDecisionContext): number {
+    const { forecast, state } = context;
+    const { failingFailureRate, healthyFailureRate } = state.model;
+    const suspicion = target.health.getSuspicion(state.nowMs);
+    const failure = suspicion * failingFailureRate + (1 - suspicion) * healthyFailureRate;
     const credit = (1 - failure) * forecast.getCredit(0);
-    const probe = this.settings.valuesProbes ? computeProbeCredit(target, suspicion, outlook) : 0;
-    return credit + failure * this.computeRetryCredit(outlook) + probe;
+    const probe = this.settings.valuesProbes ? computeProbeCredit(target, suspicion, context) : 0;
+    return credit + failure * this.computeRetryCredit(context) + probe;
   }
 
   /**
    * Credit that is left after a failed attempt: none where the request can't be repeated; else that
    * of a second attempt, which waits for a sound slot like any other, as far as there are retries.
    */
-  private computeRetryCredit({ state, waitCredit, waiting }: IOutlook): number {
+  private computeRetryCredit({ state, waitCredit, waiting }: IDecisionContext): number {
     if (!waiting.request.mayRetry) return 0;
     const left = 1 - state.retriesUsed * state.retriesUsed;
     return left * Math.max(0, waitCredit - this.settings.retryCost);
@@ -225,29 +231,33 @@
  * What the waiting requests gain if this target turns out sound: all get a slot sooner. A target
  * that is being tried already tells no more by a second request.
  */
-function computeProbeCredit(target: BookedTarget, suspicion: number, outlook: IOutlook): number {
-  const { forecast, soundSlots, state, waiting } = outlook;
+function computeProbeCredit(
+  target: TargetState,
+  suspicion: number,
+  context: IDecisionContext,
+): number {
+  const { forecast, healthySlots: healthySlots, state, waiting } = context;
   if (target.inUse > 0 || state.queued === 0) return 0;
   const { request } = waiting;
   const wait = (slots: number) => computeWaitMs(request, state.queued / 2, slots, state);
-  const now = forecast.getCredit(wait(soundSlots));
-  const then = forecast.getCredit(wait(soundSlots + target.record.slots * suspicion));
+  const now = forecast.getCredit(wait(healthySlots));
+  const then = forecast.getCredit(wait(healthySlots + target.record.slots * suspicion));
   return (1 - suspicion) * state.queued * Math.max(0, then - now);
 }
 
-function countSoundSlots(request: IGrantRequest, state: IServiceState): number {
-  const { nowMs, targets, workTimes } = state;
-  const workMs = workTimes.getServiceMeanMs(request.objectiveMs);
+function countHealthySlots(request: IGrantRequest, state: IServiceState): number {
+  const { nowMs, targets, processingTimes } = state;
+  const processingMs = processingTimes.getServiceMeanMs(request.objectiveMs);
   let slots = 0;
   let usable = 0;
   for (const target of targets) {
-    const { belief, isReady, record } = target;
+    const { health, isReady, record } = target;
     if (!isReady || request.excluded.includes(record.id)) continue;
-    const ofTarget = target.countUsableSlots(workMs);
+    const ofTarget = target.countUsableSlots(processingMs);
     usable += ofTarget;
-    slots += ofTarget * (1 - belief.getSuspicion(nowMs));
+    slots += ofTarget * (1 - health.getSuspicion(nowMs));
   }
-  return Math.max(usable > 0 ? Math.min(LEAST_SLOTS, usable) : LEAST_SLOTS, slots);
+  return Math.max(usable > 0 ? Math.min(MIN_SLOTS, usable) : MIN_SLOTS, slots);
 }
 
 /**
@@ -258,20 +268,20 @@
 function computeWaitMs(
   request: IGrantRequest,
   ahead: number,
-  soundSlots: number,
-  { workTimes }: IServiceState,
+  healthySlots: number,
+  { processingTimes }: IServiceState,
 ): number {
-  return ((ahead + 1) * workTimes.getServiceMeanMs(request.objectiveMs)) / soundSlots;
+  return ((ahead + 1) * processingTimes.getServiceMeanMs(request.objectiveMs)) / healthySlots;
 }
 
-function findLeastDoubtful(
-  targets: readonly BookedTarget[],
+function findLeastSuspected(
+  targets: readonly TargetState[],
   { nowMs }: IServiceState,
-): BookedTarget | undefined {
-  let least: BookedTarget | undefined;
+): TargetState | undefined {
+  let least: TargetState | undefined;
   for (const target of targets) {
-    const suspicion = target.belief.getSuspicion(nowMs);
-    if (least === undefined || suspicion < least.belief.getSuspicion(nowMs)) least = target;
+    const suspicion = target.health.getSuspicion(nowMs);
+    if (least === undefined || suspicion < least.health.getSuspicion(nowMs)) least = target;
   }
   return least;
 }
--- a/packages/dispatch/src/home/common/failureModel.ts
+++ b/packages/dispatch/src/home/common/failureModel.ts
@@ -7,19 +7,19 @@
  */
 
 /** Starting values, until outcomes outweigh them. */
-const PRIOR_SOUND_FAILURE_RATE = 0.01;
-const PRIOR_SOUND_REQUESTS = 200;
+const PRIOR_HEALTHY_FAILURE_RATE = 0.01;
+const PRIOR_HEALTHY_REQUESTS = 200;
 const PRIOR_FAILING_FAILURE_RATE = 0.75;
 const PRIOR_FAILING_REQUESTS = 8;
 /** Mean time for which a target stays sound, in ms: a guess that some minutes of traffic replace. */
-const PRIOR_SOUND_MS = 40_000;
+const PRIOR_HEALTHY_MS = 40_000;
 /** Mean time for which a target keeps failing, in ms: a guess like the one above. */
 const PRIOR_FAILING_MS = 8000;
 /** Turns that the guesses of times count for. */
-const PRIOR_TURNS = 6;
+const PRIOR_TRANSITIONS = 6;
 /** Estimates stay inside these bounds, so that no run of luck makes the model certain. */
-const MIN_SOUND_FAILURE_RATE = 0.002;
-const MAX_SOUND_FAILURE_RATE = 0.1;
+const MIN_HEALTHY_FAILURE_RATE = 0.002;
+const MAX_HEALTHY_FAILURE_RATE = 0.1;
 const MIN_FAILING_FAILURE_RATE = 0.4;
 const MAX_FAILING_FAILURE_RATE = 0.95;
 
@@ -45,24 +45,24 @@
 }
 
 /** A mean time until something happens, estimated from the times seen and how often it happened. */
-class EstimatedTime {
-  private turns = PRIOR_TURNS;
+class EstimatedDuration {
+  private transitions = PRIOR_TRANSITIONS;
   private totalMs: number;
 
   constructor(meanMs: number) {
-    this.totalMs = meanMs * PRIOR_TURNS;
+    this.totalMs = meanMs * PRIOR_TRANSITIONS;
   }
 
   get perMs(): number {
-    return this.turns / this.totalMs;
+    return this.transitions / this.totalMs;
   }
 
-  recordTime(durationMs: number): void {
+  recordDuration(durationMs: number): void {
     this.totalMs += durationMs;
   }
 
-  recordTurn(): void {
-    this.turns += 1;
+  recordTransition(): void {
+    this.transitions += 1;
   }
 }
 
@@ -74,40 +74,40 @@
  * model.recordOnset();
  */
 export class FailureModel {
-  private readonly sound = new EstimatedRate(PRIOR_SOUND_FAILURE_RATE, PRIOR_SOUND_REQUESTS);
+  private readonly healthy = new EstimatedRate(PRIOR_HEALTHY_FAILURE_RATE, PRIOR_HEALTHY_REQUESTS);
   private readonly failing = new EstimatedRate(PRIOR_FAILING_FAILURE_RATE, PRIOR_FAILING_REQUESTS);
-  private readonly soundTime = new EstimatedTime(PRIOR_SOUND_MS);
-  private readonly failingTime = new EstimatedTime(PRIOR_FAILING_MS);
+  private readonly healthyDuration = new EstimatedDuration(PRIOR_HEALTHY_MS);
+  private readonly failingDuration = new EstimatedDuration(PRIOR_FAILING_MS);
 
   /** Share of requests that a sound target fails. */
-  get soundFailureRate(): number {
-    return toBounded(this.sound.value, MIN_SOUND_FAILURE_RATE, MAX_SOUND_FAILURE_RATE);
+  get healthyFailureRate(): number {
+    return toClamped(this.healthy.value, MIN_HEALTHY_FAILURE_RATE, MAX_HEALTHY_FAILURE_RATE);
   }
 
   /** Share of requests that a failing target fails. */
   get failingFailureRate(): number {
-    return toBounded(this.failing.value, MIN_FAILING_FAILURE_RATE, MAX_FAILING_FAILURE_RATE);
+    return toClamped(this.failing.value, MIN_FAILING_FAILURE_RATE, MAX_FAILING_FAILURE_RATE);
   }
 
   /** Turns from sound to failing, per ms of a sound target. */
   get onsetPerMs(): number {
-    return this.soundTime.perMs;
+    return this.healthyDuration.perMs;
   }
 
   /** Turns from failing to sound, per ms of a failing target. */
   get recoveryPerMs(): number {
-    return this.failingTime.perMs;
+    return this.failingDuration.perMs;
   }
 
   /** Probability that a target of which nothing is known is failing. */
-  get stationary(): number {
+  get stationaryProbability(): number {
     return this.onsetPerMs / (this.onsetPerMs + this.recoveryPerMs);
   }
 
   /** A target that is taken for sound answered; `sinceMs` after its last answer. */
-  recordSound(isFailure: boolean, sinceMs: number): void {
-    this.sound.record(isFailure);
-    this.soundTime.recordTime(sinceMs);
+  recordHealthy(isFailure: boolean, sinceMs: number): void {
+    this.healthy.record(isFailure);
+    this.healthyDuration.recordDuration(sinceMs);
   }
 
   /** A target that is taken for failing answered. */
@@ -117,16 +117,16 @@
 
   /** A sound target began to fail. */
   recordOnset(): void {
-    this.soundTime.recordTurn();
+    this.healthyDuration.recordTransition();
   }
 
   /** A target failed for about `durationMs` and then succeeded again. */
   recordEpisode(durationMs: number): void {
-    this.failingTime.recordTime(durationMs);
-    this.failingTime.recordTurn();
+    this.failingDuration.recordDuration(durationMs);
+    this.failingDuration.recordTransition();
   }
 }
 
-function toBounded(value: number, low: number, high: number): number {
+function toClamped(value: number, low: number, high: number): number {
   return Math.min(high, Math.max(low, value));
 }
--- a/packages/dispatch/src/home/common/grantPolicy.ts
+++ b/packages/dispatch/src/home/common/grantPolicy.ts
@@ -1,16 +1,16 @@
 /** Deciding what becomes of a request: granted a target now, left to wait, or refused. */
 import type { ResultCode } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
-import type { AnswerSizes } from './answerSizes.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { ResponseSizes } from './responseSizes.js';
+import type { TargetState } from './targetState.js';
 import type { FailureModel } from './failureModel.js';
-import type { ITargetUse } from './servedWindow.js';
-import type { WorkTimes } from './workTimes.js';
+import type { ITargetUsage } from './outcomeWindow.js';
+import type { ProcessingTimes } from './processingTimes.js';
 
 /** A new target gets its first request this long after it joined, in ms. */
-const FIRST_IDEMPOTENT_AFTER_MS = 500;
+const FIRST_IDEMPOTENT_REQUEST_DELAY_MS = 500;
 /** Requests that can't be repeated try a new target only if no others came in this time, in ms. */
-const FIRST_REQUEST_AFTER_MS = 2000;
+const FIRST_REQUEST_DELAY_MS = 2000;
 
 /** A request that wants a target. */
 export interface IWaitingRequest {
@@ -23,15 +23,15 @@
 
 /** A service at the moment of a decision. */
 export interface IServiceState {
-  readonly targets: readonly BookedTarget[];
+  readonly targets: readonly TargetState[];
   readonly model: FailureModel;
-  readonly workTimes: WorkTimes;
-  readonly answerSizes: AnswerSizes;
+  readonly processingTimes: ProcessingTimes;
+  readonly responseSizes: ResponseSizes;
   /** Share of the service's retry allowance that is used up, from 0 to 1. */
   readonly retriesUsed: number;
   /** Whether many requests fail; see ServedWindow. */
   readonly isFailing: boolean;
-  readonly use: ITargetUse;
+  readonly usage: ITargetUsage;
   /** Share of the sound targets that must be in use while many requests fail, from 0 to 1. */
   readonly floorShare: number;
   /** Requests that wait for a slot. */
@@ -41,7 +41,7 @@
 
 /** What becomes of a request. */
 export type PolicyDecision =
-  | { readonly kind: 'grant'; readonly target: BookedTarget }
+  | { readonly kind: 'grant'; readonly target: TargetState }
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse'; readonly code: ResultCode };
 
@@ -61,18 +61,22 @@
 }
 
 /** Targets that a request can be sent to right now. */
-export function listFree(
+export function listFreeTargets(
   { excluded }: IGrantRequest,
   { nowMs, targets }: IServiceState,
-): readonly BookedTarget[] {
+): readonly TargetState[] {
   return targets.filter((target) => {
     return target.isReady && target.hasFreeSlot(nowMs) && !excluded.includes(target.record.id);
   });
 }
 
 /** A target that never got a request is idle capacity, and nothing is known of it until it does. */
-export function isFirstDue(target: BookedTarget, request: IGrantRequest, nowMs: number): boolean {
+export function isFirstRequestDue(
+  target: TargetState,
+  request: IGrantRequest,
+  nowMs: number,
+): boolean {
   if (!target.isNew || target.granted > 0 || request.attempt > 1) return false;
-  const waitMs = request.isIdempotent ? FIRST_IDEMPOTENT_AFTER_MS : FIRST_REQUEST_AFTER_MS;
+  const waitMs = request.isIdempotent ? FIRST_IDEMPOTENT_REQUEST_DELAY_MS : FIRST_REQUEST_DELAY_MS;
   return nowMs > target.joinedMs + waitMs;
 }
--- a/packages/dispatch/src/home/common/grantQueue.ts
+++ b/packages/dispatch/src/home/common/grantQueue.ts
@@ -6,7 +6,7 @@
 }
 
 /** Lower ranks first; the same request may have another rank later. */
-export type RankOf<T> = (item: T) => number;
+export type RankFunction<T> = (item: T) => number;
 
 /**
  * A short list; a home refuses requests long before it grows.
@@ -32,7 +32,7 @@
   }
 
   /** The items at this moment: by priority, rank and arrival. */
-  list(getRank: RankOf<T>): readonly T[] {
+  list(getRank: RankFunction<T>): readonly T[] {
     if (this.items.length < 2) return [...this.items];
     const ranked = this.items.map((item) => ({ item, rank: getRank(item) }));
     ranked.sort((left, right) => {
@@ -47,7 +47,7 @@
   }
 
   /** Items that get a slot before a new one. */
-  countAhead(item: T, getRank: RankOf<T>): number {
+  countAhead(item: T, getRank: RankFunction<T>): number {
     if (this.items.length === 0) return 0;
     const { priority } = item.request;
     const rank = getRank(item);
--- a/packages/dispatch/src/home/common/outcomeIntake.ts
+++ b/packages/dispatch/src/home/common/outcomeRecorder.ts
@@ -3,12 +3,12 @@
 import { GrantOutcome } from '../../grants/common/grant.js';
 import { formatLife } from '../../catalog/common/catalog.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
-import type { AnswerSizes } from './answerSizes.js';
-import type { BookedTarget } from './bookedTarget.js';
-import type { ServedWindow } from './servedWindow.js';
+import type { ResponseSizes } from './responseSizes.js';
+import type { TargetState } from './targetState.js';
+import type { OutcomeWindow } from './outcomeWindow.js';
 import type { ServiceLog } from './serviceLog.js';
 import type { Ticket } from './ticket.js';
-import type { WorkTimes } from './workTimes.js';
+import type { ProcessingTimes } from './processingTimes.js';
 
 /** A target that said it was full is left alone this long, in ms: less than most requests take. */
 const BUSY_MS = 100;
@@ -18,18 +18,18 @@
  */
 const AVOID_REUSE_MS = 5000;
 
-/** Options of an {@link OutcomeIntake}. */
-export interface IOutcomeIntakeOptions {
+/** Options of an {@link OutcomeRecorder}. */
+export interface IOutcomeRecorderOptions {
   readonly clock: Clock;
   readonly serviceLog: ServiceLog;
-  readonly served: ServedWindow;
-  readonly workTimes: WorkTimes;
-  readonly answerSizes: AnswerSizes;
+  readonly outcomeWindow: OutcomeWindow;
+  readonly processingTimes: ProcessingTimes;
+  readonly responseSizes: ResponseSizes;
   readonly quarantine: RequestQuarantine;
 }
 
 /** How a grant ended. */
-export interface IGrantEnd {
+export interface IGrantResult {
   readonly outcome: GrantOutcome;
   readonly latencyMs: number;
   /** Size of the answer's body; 0 where there was none. */
@@ -42,23 +42,23 @@
  * @example
  * intake.record(ticket, target, { outcome: GrantOutcome.Succeeded, latencyMs: 240, answerBytes: 0 });
  */
-export class OutcomeIntake {
+export class OutcomeRecorder {
   private lastStaleMs = -Infinity;
 
-  constructor(private readonly options: IOutcomeIntakeOptions) {}
+  constructor(private readonly options: IOutcomeRecorderOptions) {}
 
   /** Whether kept connections of the service break lately. */
   isReuseAvoided(nowMs: number): boolean {
     return nowMs - this.lastStaleMs < AVOID_REUSE_MS;
   }
 
-  record(ticket: Ticket, target: BookedTarget, end: IGrantEnd): void {
-    const { answerSizes, serviceLog } = this.options;
-    serviceLog.watchBelief(ticket, target, end.outcome, () => {
+  record(ticket: Ticket, target: TargetState, end: IGrantResult): void {
+    const { responseSizes, serviceLog } = this.options;
+    serviceLog.trackHealthChange(ticket, target, end.outcome, () => {
       this.update(ticket, target, end);
     });
     this.recordForRequest(ticket, target, end.outcome);
-    if (end.answerBytes > 0) answerSizes.record(ticket.request.route, end.answerBytes);
+    if (end.answerBytes > 0) responseSizes.record(ticket.request.route, end.answerBytes);
   }
 
   /**
@@ -70,12 +70,12 @@
     const { target } = ticket;
     ticket.isOverdue = true;
     if (target === undefined) return;
-    serviceLog.watchBelief(ticket, target, 'overdue', () => {
-      target.belief.recordFailure(clock.getMonotonicTime());
+    serviceLog.trackHealthChange(ticket, target, 'overdue', () => {
+      target.health.recordFailure(clock.getMonotonicTime());
     });
   }
 
-  private update(ticket: Ticket, target: BookedTarget, { latencyMs, outcome }: IGrantEnd): void {
+  private update(ticket: Ticket, target: TargetState, { latencyMs, outcome }: IGrantResult): void {
     const nowMs = this.options.clock.getMonotonicTime();
     switch (outcome) {
       case GrantOutcome.Succeeded:
@@ -86,7 +86,7 @@
         break;
       case GrantOutcome.Shed:
         // A target that is full for others' work, or for slots that ended late, isn't failing.
-        if (target.inUse + 1 < target.record.slots) target.belief.recordFailure(nowMs);
+        if (target.inUse + 1 < target.record.slots) target.health.recordFailure(nowMs);
         target.busyUntilMs = nowMs + BUSY_MS;
         break;
       case GrantOutcome.Misdirected:
@@ -107,7 +107,7 @@
   }
 
   /** What an outcome tells of the request itself: whether targets are lost under it. */
-  private recordForRequest(ticket: Ticket, target: BookedTarget, outcome: GrantOutcome): void {
+  private recordForRequest(ticket: Ticket, target: TargetState, outcome: GrantOutcome): void {
     const { quarantine } = this.options;
     const { fingerprints, requestId } = ticket.request;
     const life = formatLife(target.record);
@@ -137,17 +137,17 @@
     }
   }
 
-  private recordFailure(ticket: Ticket, target: BookedTarget, nowMs: number): void {
-    if (!ticket.isOverdue) target.belief.recordFailure(nowMs);
-    if (!ticket.request.isIdempotent) this.options.served.record(false, nowMs);
+  private recordFailure(ticket: Ticket, target: TargetState, nowMs: number): void {
+    if (!ticket.isOverdue) target.health.recordFailure(nowMs);
+    if (!ticket.request.isIdempotent) this.options.outcomeWindow.record(false, nowMs);
   }
 
-  private recordSuccess(ticket: Ticket, target: BookedTarget, latencyMs: number): void {
-    const { clock, served, workTimes } = this.options;
+  private recordSuccess(ticket: Ticket, target: TargetState, latencyMs: number): void {
+    const { clock, outcomeWindow, processingTimes } = this.options;
     const nowMs = clock.getMonotonicTime();
-    served.record(true, nowMs);
-    workTimes.record(ticket.request.route, ticket.request.objectiveMs, latencyMs);
+    outcomeWindow.record(true, nowMs);
+    processingTimes.record(ticket.request.route, ticket.request.objectiveMs, latencyMs);
     // A late success is no proof of a sound target: it was noted as overdue before.
-    if (!ticket.isOverdue) target.belief.recordSuccess(nowMs);
+    if (!ticket.isOverdue) target.health.recordSuccess(nowMs);
   }
 }
--- a/packages/dispatch/src/home/common/otherHomes.ts
+++ b/packages/dispatch/src/home/common/peerRetryCounts.ts
@@ -13,8 +13,8 @@
   readonly retries: readonly number[];
 }
 
-/** Options of an {@link OtherHomes}. */
-export interface IOtherHomesOptions {
+/** Options of an {@link PeerRetryCounts}. */
+export interface IPeerRetryCountsOptions {
   readonly windowMs: number;
   /** Length of one part of the window, in ms. */
   readonly partMs: number;
@@ -28,10 +28,10 @@
  * others.take(counts);
  * const { retries } = others.count(now);
  */
-export class OtherHomes {
+export class PeerRetryCounts {
   private readonly homes = new Map<string, IRetryCounts>();
 
-  constructor(private readonly options: IOtherHomesOptions) {}
+  constructor(private readonly options: IPeerRetryCountsOptions) {}
 
   /** Takes what a home counted, unless something newer of the same home is known. */
   take(counts: IRetryCounts): void {
@@ -46,8 +46,8 @@
     let requests = 0;
     let retries = 0;
     for (const counts of this.list(nowMs)) {
-      requests += this.addParts(counts.requests, counts.countedMs, nowMs);
-      retries += this.addParts(counts.retries, counts.countedMs, nowMs);
+      requests += this.countInWindow(counts.requests, counts.countedMs, nowMs);
+      retries += this.countInWindow(counts.retries, counts.countedMs, nowMs);
     }
     return { requests, retries };
   }
@@ -60,7 +60,7 @@
     return [...this.homes.values()];
   }
 
-  private addParts(parts: readonly number[], countedMs: number, nowMs: number): number {
+  private countInWindow(parts: readonly number[], countedMs: number, nowMs: number): number {
     const { partMs, windowMs } = this.options;
     const ageMs = nowMs - countedMs;
     return parts.reduce((sum, count, part) => {
--- a/packages/dispatch/src/home/common/placingCost.ts
+++ b/packages/dispatch/src/home/common/placementCost.ts
@@ -3,13 +3,13 @@
  * request is worth: distance, load and a cold start, in one unit.
  */
 import type { IGrantRequest } from '../../grants/common/grant.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { TargetState } from './targetState.js';
 import type { IServiceState } from './grantPolicy.js';
 
 const BYTES_PER_KIB = 1024;
 
 /** Parts of the cost, each as a share of a request's worth. */
-export interface IPlacingWeights {
+export interface IPlacementWeights {
   /**
    * Carrying 1,024 bytes of answer between failure domains. Providers bill such bytes, and never
    * those within one; the value lies between those of three firms, which are 0.013 to 0.065.
@@ -30,7 +30,7 @@
 }
 
 /** See the comment of each weight. */
-export const DEFAULT_PLACING_WEIGHTS: IPlacingWeights = {
+export const DEFAULT_PLACEMENT_WEIGHTS: IPlacementWeights = {
   crossDomainKib: 0.03,
   crossDomain: 0.01,
   fullTarget: 0.06,
@@ -44,11 +44,11 @@
  * @example
  * const cost = computePlacingCost(target, request, DEFAULT_PLACING_WEIGHTS, state);
  */
-export function computePlacingCost(
-  target: BookedTarget,
+export function computePlacementCost(
+  target: TargetState,
   request: IGrantRequest,
-  weights: IPlacingWeights,
-  state: Pick<IServiceState, 'answerSizes' | 'nowMs'>,
+  weights: IPlacementWeights,
+  state: Pick<IServiceState, 'responseSizes' | 'nowMs'>,
 ): number {
   const load = (target.inUse + 1) / Math.max(1, target.record.slots);
   let cost = weights.fullTarget * load * load;
@@ -63,9 +63,9 @@
 /** What it costs to place a request in another failure domain. */
 export function computeDistanceCost(
   request: IGrantRequest,
-  weights: IPlacingWeights,
-  { answerSizes }: Pick<IServiceState, 'answerSizes'>,
+  weights: IPlacementWeights,
+  { responseSizes }: Pick<IServiceState, 'responseSizes'>,
 ): number {
-  const kib = answerSizes.getMeanBytes(request.route) / BYTES_PER_KIB;
+  const kib = responseSizes.getMeanBytes(request.route) / BYTES_PER_KIB;
   return weights.crossDomain + weights.crossDomainKib * kib;
 }
--- a/packages/dispatch/src/home/common/workTimes.ts
+++ b/packages/dispatch/src/home/common/processingTimes.ts
@@ -1,11 +1,11 @@
 /** How long the targets of one service work on a request, learnt for each route. */
 
 /** Answers that are remembered for a route: enough for its 95th percentile. */
-const REMEMBERED = 64;
+const MAX_SAMPLES = 64;
 /** Routes that are told apart; further ones share one memory. A service seldom has so many. */
 const MAX_ROUTES = 64;
 /** With fewer answers than this, the guess below counts as several of them. */
-const GUESSES = 4;
+const GUESS_SAMPLES = 4;
 /** Share of its objective that a request is expected to take before anything was measured. */
 const INITIAL_SHARE = 0.35;
 
@@ -17,7 +17,7 @@
   private sum = 0;
 
   constructor(guessMs: number) {
-    for (let index = 0; index < GUESSES; index += 1) this.record(guessMs);
+    for (let index = 0; index < GUESS_SAMPLES; index += 1) this.record(guessMs);
   }
 
   get meanMs(): number {
@@ -31,7 +31,7 @@
       this.sum -= old;
     }
     this.ring[this.next] = ms;
-    this.next = (this.next + 1) % REMEMBERED;
+    this.next = (this.next + 1) % MAX_SAMPLES;
     this.sum += ms;
     this.sorted.splice(countUpTo(this.sorted, ms), 0, ms);
   }
@@ -50,16 +50,16 @@
  * times.record('orders', 1000, 240);
  * times.getShareWithin('orders', 1000, 500);
  */
-export class WorkTimes {
+export class ProcessingTimes {
   private readonly byRoute = new Map<string, RecentTimes>();
   /** Of all routes together: what a slot is busy with as a rule. */
-  private ofService: RecentTimes | undefined;
+  private serviceTimes: RecentTimes | undefined;
 
   /** An answer took `ms`; `objectiveMs` gives the guess for a route that is new. */
   record(route: string, objectiveMs: number, ms: number): void {
     this.getTimes(route, objectiveMs).record(ms);
-    this.ofService ??= new RecentTimes(objectiveMs * INITIAL_SHARE);
-    this.ofService.record(ms);
+    this.serviceTimes ??= new RecentTimes(objectiveMs * INITIAL_SHARE);
+    this.serviceTimes.record(ms);
   }
 
   /**
@@ -67,7 +67,7 @@
    * `objectiveMs` gives the guess before anything was measured.
    */
   getServiceMeanMs(objectiveMs: number): number {
-    return this.ofService?.meanMs ?? objectiveMs * INITIAL_SHARE;
+    return this.serviceTimes?.meanMs ?? objectiveMs * INITIAL_SHARE;
   }
 
   getMeanMs(route: string, objectiveMs: number): number {
--- a/packages/dispatch/src/home/common/answerSizes.ts
+++ b/packages/dispatch/src/home/common/responseSizes.ts
@@ -12,7 +12,7 @@
  * sizes.record('orders', 1500);
  * sizes.getMeanBytes('orders');
  */
-export class AnswerSizes {
+export class ResponseSizes {
   private readonly means = new Map<string, number>();
 
   record(route: string, bytes: number): void {
--- a/packages/dispatch/src/home/common/retryWindow.test.ts
+++ b/packages/dispatch/src/home/common/retryWindow.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { IRetryCounts } from './otherHomes.js';
+import type { IRetryCounts } from './peerRetryCounts.js';
 import { RetryWindow } from './retryWindow.js';
 
 const WINDOW_MS = 10_000;
@@ -12,7 +12,7 @@
 
 function openWindow(watchedSinceMs = LONG_AGO_MS): RetryWindow {
   const window = openUnranked();
-  window.setWatchedSince(watchedSinceMs);
+  window.setReceivingSince(watchedSinceMs);
   return window;
 }
 
@@ -34,9 +34,9 @@
   for (let index = 0; index < 100; index += 1) former.recordRequest(1000);
   assert.equal(spendAll(former, 1000), 0.95 * 0.2 * 100 + 50);
   const next = openWindow();
-  next.recordTold([makeCounts(former, 'former', 1000)], true, 1000);
+  next.recordPeerCounts([makeCounts(former, 'former', 1000)], true, 1000);
   assert.equal(spendAll(next, 1500), 0);
-  assert.equal(next.countElsewhere(1500), 69);
+  assert.equal(next.countPeerRetries(1500), 69);
   next.recordRequest(1500);
   assert.ok(spendAll(next, 1000 + WINDOW_MS + 500) >= 50, 'counts leave the window with time');
 });
@@ -46,13 +46,13 @@
   const started = openWindow(0);
   assert.equal(spendAll(started, 5000), 5, 'the one that was at work may be gone');
   assert.equal(spendAll(openWindow(0), WINDOW_MS), 50, 'nobody told anything for a window');
-  started.recordTold([], true, 5000);
+  started.recordPeerCounts([], true, 5000);
   assert.equal(spendAll(started, 5000), 45);
 });
 
 test('what a home was told by one that does not know all is no ground for a burst', () => {
   const window = openWindow(0);
-  window.recordTold([], false, 1000);
+  window.recordPeerCounts([], false, 1000);
   assert.equal(spendAll(window, 1000), 5);
 });
 
@@ -69,7 +69,7 @@
   home.recordRetry(600);
   const late = makeCounts(home, 'home', 600, 2n);
   const window = openWindow();
-  window.recordTold([late], true, 600);
-  window.recordTold([early], true, 700);
-  assert.equal(window.countElsewhere(700), 2);
+  window.recordPeerCounts([late], true, 600);
+  window.recordPeerCounts([early], true, 700);
+  assert.equal(window.countPeerRetries(700), 2);
 });
--- a/packages/dispatch/src/home/common/retryWindow.ts
+++ b/packages/dispatch/src/home/common/retryWindow.ts
@@ -1,6 +1,6 @@
 /** The fleet's retries of one service, kept within a share of its requests. */
-import type { IRetryCounts } from './otherHomes.js';
-import { OtherHomes } from './otherHomes.js';
+import type { IRetryCounts } from './peerRetryCounts.js';
+import { PeerRetryCounts } from './peerRetryCounts.js';
 import { SlidingCount } from './slidingCount.js';
 
 /** Options of a {@link RetryWindow}. */
@@ -26,7 +26,7 @@
  * would get no retry at all for a window after a start; ten such homes in one window stay within the
  * part that homes leave unused.
  */
-const UNTOLD_BURST_SHARE = 0.05;
+const INCOMPLETE_BURST_SHARE = 0.05;
 /** The rest covers arrivals that the window of the observer counts and ours no longer does. */
 const RATIO_SHARE = 0.95;
 
@@ -45,15 +45,15 @@
 export class RetryWindow {
   private readonly requests: SlidingCount;
   private readonly retries: SlidingCount;
-  private readonly others: OtherHomes;
-  private watchedSinceMs: number | undefined;
-  private toldMs = -Infinity;
+  private readonly peerCounts: PeerRetryCounts;
+  private receivingSinceMs: number | undefined;
+  private completeCountsMs = -Infinity;
 
   constructor(private options: IRetryWindowOptions) {
     const { windowMs } = options;
     this.requests = new SlidingCount(windowMs);
     this.retries = new SlidingCount(windowMs);
-    this.others = new OtherHomes({ windowMs, partMs: this.partMs });
+    this.peerCounts = new PeerRetryCounts({ windowMs, partMs: this.partMs });
   }
 
   /** Length of one part of the window, in ms. */
@@ -70,8 +70,8 @@
    * Since when homes at work would have told this node what they count, in ms; undefined if they
    * would not, for it is not among those that take over.
    */
-  setWatchedSince(ms: number | undefined): void {
-    this.watchedSinceMs = ms;
+  setReceivingSince(ms: number | undefined): void {
+    this.receivingSinceMs = ms;
   }
 
   recordRequest(nowMs: number): void {
@@ -83,16 +83,16 @@
   }
 
   /** Takes what another home told; `isComplete` if no retry of the window is unknown to it. */
-  recordTold(counts: readonly IRetryCounts[], isComplete: boolean, nowMs: number): void {
-    for (const one of counts) this.others.take(one);
-    if (isComplete) this.toldMs = nowMs;
+  recordPeerCounts(counts: readonly IRetryCounts[], isComplete: boolean, nowMs: number): void {
+    for (const one of counts) this.peerCounts.take(one);
+    if (isComplete) this.completeCountsMs = nowMs;
   }
 
   /** Whether no retry of the window is unknown: the home was told, or heard of none all along. */
   isComplete(nowMs: number): boolean {
-    if (this.watchedSinceMs === undefined) return false;
-    const hasWatched = nowMs - this.watchedSinceMs >= this.options.windowMs;
-    return hasWatched || this.toldMs >= this.watchedSinceMs;
+    if (this.receivingSinceMs === undefined) return false;
+    const hasReceivedForWindow = nowMs - this.receivingSinceMs >= this.options.windowMs;
+    return hasReceivedForWindow || this.completeCountsMs >= this.receivingSinceMs;
   }
 
   /** Whether one more may be sent besides `pending` that were let in and not sent yet. */
@@ -106,8 +106,8 @@
   }
 
   /** Retries within the window that other homes counted. */
-  countElsewhere(nowMs: number): number {
-    return this.others.count(nowMs).retries;
+  countPeerRetries(nowMs: number): number {
+    return this.peerCounts.count(nowMs).retries;
   }
 
   listOwn(nowMs: number): OwnCounts {
@@ -115,22 +115,22 @@
   }
 
   listOthers(nowMs: number): readonly IRetryCounts[] {
-    return this.others.list(nowMs);
+    return this.peerCounts.list(nowMs);
   }
 
   private countRetries(nowMs: number): number {
-    return this.retries.count(nowMs) + this.others.count(nowMs).retries;
+    return this.retries.count(nowMs) + this.peerCounts.count(nowMs).retries;
   }
 
   private getAllowance(nowMs: number): number {
     const { ratio, burst } = this.options;
-    const requests = this.requests.count(nowMs) + this.others.count(nowMs).requests;
+    const requests = this.requests.count(nowMs) + this.peerCounts.count(nowMs).requests;
     return RATIO_SHARE * ratio * requests + this.getBurstShare(nowMs) * burst;
   }
 
   /** None for a node that is not among the homes: it decides alone, as a hundred others may. */
   private getBurstShare(nowMs: number): number {
-    if (this.watchedSinceMs === undefined) return 0;
-    return this.isComplete(nowMs) ? BURST_SHARE : UNTOLD_BURST_SHARE;
+    if (this.receivingSinceMs === undefined) return 0;
+    return this.isComplete(nowMs) ? BURST_SHARE : INCOMPLETE_BURST_SHARE;
   }
 }
--- a/packages/dispatch/src/home/common/serviceLog.ts
+++ b/packages/dispatch/src/home/common/serviceLog.ts
@@ -3,7 +3,7 @@
 import { getResultInfo } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import type { IQuotaFacts } from '../../quotas/common/tenantQuotas.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { TargetState } from './targetState.js';
 
 const SHARE_PLACES = 1000;
 
@@ -19,7 +19,7 @@
   readonly request: IGrantRequest;
   /** Node that asked. */
   readonly node: string;
-  readonly askedMs: number;
+  readonly requestedMs: number;
 }
 
 /** What a refusal rests on. */
@@ -36,7 +36,7 @@
 }
 
 /** What a home goes by that takes over. */
-export interface ITakeOverFacts {
+export interface ITakeoverFacts {
   /** Whether it knows of all retries that were sent before it. */
   readonly knowsRetries: boolean;
   readonly retriesElsewhere: number;
@@ -47,25 +47,25 @@
  * Writes lines that carry the request's identifier, so that they can be found from a complaint.
  *
  * @example
- * serviceLog.watchBelief(ticket, target, 'failed', () => target.belief.recordFailure(now));
+ * serviceLog.watchBelief(ticket, target, 'failed', () => target.health.recordFailure(now));
  */
 export class ServiceLog {
   constructor(private readonly options: IServiceLogOptions) {}
 
   /** Makes a change and writes a line if the target is doubted, or trusted again, because of it. */
-  watchBelief(
+  trackHealthChange(
     ticket: ILoggedTicket,
-    target: BookedTarget,
+    target: TargetState,
     cause: string,
     change: () => void,
   ): void {
-    const { belief } = target;
+    const { health } = target;
     const nowMs = this.options.clock.getMonotonicTime();
-    const before = belief.getSuspicion(nowMs);
-    const wasFailing = belief.isFailing(nowMs);
-    const { lastSuccessMs } = belief;
+    const before = health.getSuspicion(nowMs);
+    const wasFailing = health.isFailing(nowMs);
+    const { lastSuccessMs } = health;
     change();
-    if (belief.isFailing(nowMs) === wasFailing) return;
+    if (health.isFailing(nowMs) === wasFailing) return;
     this.options.log.info(wasFailing ? 'target trusted' : 'target doubted', {
       request: ticket.request.requestId,
       entry: ticket.node,
@@ -73,12 +73,12 @@
       target: target.record.id,
       cause,
       suspicionBefore: toPlaces(before),
-      suspicion: toPlaces(belief.getSuspicion(nowMs)),
+      suspicion: toPlaces(health.getSuspicion(nowMs)),
       lastSuccessAgeMs: lastSuccessMs === undefined ? null : Math.round(nowMs - lastSuccessMs),
     });
   }
 
-  logLeaving({ node, request }: ILoggedTicket, target: BookedTarget): void {
+  logDraining({ node, request }: ILoggedTicket, target: TargetState): void {
     this.options.log.info('target says that it leaves', {
       request: request.requestId,
       entry: node,
@@ -91,7 +91,7 @@
   /** The target names another limit than `before`, or none any more. */
   logLimit(
     { node, request }: ILoggedTicket,
-    target: BookedTarget,
+    target: TargetState,
     before: number | undefined,
   ): void {
     this.options.log.info('target changes its limit', {
@@ -105,18 +105,18 @@
   }
 
   /** Retries and grants of one moment that several homes gave are found by these lines. */
-  logTakeOver(facts: ITakeOverFacts): void {
+  logTakeover(facts: ITakeoverFacts): void {
     this.options.log.info('home takes over', { service: this.options.service, ...facts });
   }
 
   logRefusal(
     ticket: ILoggedTicket,
-    targets: readonly BookedTarget[],
+    targets: readonly TargetState[],
     { code, queue, quota, retriesElsewhere, retriesUsed, retryAfterMs }: IRefusalFacts,
   ): void {
     const { request } = ticket;
     const nowMs = this.options.clock.getMonotonicTime();
-    const waitedMs = nowMs - ticket.askedMs;
+    const waitedMs = nowMs - ticket.requestedMs;
     const ready = targets.filter(({ isReady }) => isReady);
     this.options.log.warn('grant refused', {
       request: request.requestId,
--- a/packages/dispatch/src/home/common/serviceBook.test.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.test.ts
@@ -4,14 +4,14 @@
 import type { GrantDecision, IGrantRequest } from '../../grants/common/grant.js';
 import { GrantOutcome } from '../../grants/common/grant.js';
 import { makeGrantRequest, makeQuarantine, makeTarget } from '../../test/builders.js';
-import { ServiceBook } from './serviceBook.js';
+import { ServiceScheduler } from './serviceScheduler.js';
 import type { ITicket } from './ticket.js';
 
 const LATENCY_MS = 200;
 
 class Bench {
   readonly clock = new ManualClock();
-  readonly book = new ServiceBook({
+  readonly scheduler = new ServiceScheduler({
     service: 'booking',
     clock: this.clock,
     log: createSilentLogger(),
@@ -22,15 +22,15 @@
 
   constructor() {
     // A home of long standing, which knows that no other one sent retries.
-    this.book.retries.setWatchedSince(-Infinity);
+    this.scheduler.retries.setReceivingSince(-Infinity);
   }
 
   ask(fields: Partial<IGrantRequest> = {}, node = 'n1'): ITicket {
-    return this.book.requestGrant(makeGrantRequest(fields), node, () => undefined);
+    return this.scheduler.requestGrant(makeGrantRequest(fields), node, () => undefined);
   }
 
   finish(ticket: ITicket, outcome: GrantOutcome): void {
-    this.book.recordOutcome(ticket, outcome, LATENCY_MS);
+    this.scheduler.recordOutcome(ticket, outcome, LATENCY_MS);
   }
 }
 
@@ -45,7 +45,7 @@
 
 test('no target is granted more often than it has slots, the rest waits and is served in order', () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 2 }), makeTarget('t2', { slots: 2 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 2 }), makeTarget('t2', { slots: 2 })]);
   const tickets = Array.from({ length: 4 }, () => bench.ask());
   const counts = new Map<string, number>();
   for (const { decision } of tickets) {
@@ -66,7 +66,7 @@
   // fails most of its work at once, so it always has free slots. Cause: a detector that waits for
   // several failures, or a picker that prefers free slots, goes on sending there.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2')]);
   for (let round = 0; round < 4; round += 1) {
     const tickets = [bench.ask(), bench.ask()];
     for (const ticket of tickets) bench.finish(ticket, GrantOutcome.Succeeded);
@@ -85,11 +85,11 @@
   // Symptom: bookings pile up at a target that never answers. Sequence: it accepts work and is
   // silent; its slots free up only at the deadline. Cause: outcomes alone come too late.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2')]);
   const hanging = bench.ask({ objectiveMs: 500 });
   const hangingId = getTargetId(hanging.decision);
   await bench.clock.advanceBy(600);
-  bench.book.advance();
+  bench.scheduler.advance();
   assert.notEqual(getTargetId(bench.ask().decision), hangingId);
 });
 
@@ -97,7 +97,7 @@
   // Symptom: a healthy target is left out by all nodes. Sequence: one node loses its path to it.
   // Cause: a failed connection was taken for a failure of the target.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2', { failureDomain: 'south' })]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2', { failureDomain: 'south' })]);
   bench.finish(bench.ask({}, 'n1'), GrantOutcome.Unreachable);
   bench.finish(bench.ask({}, 'n1'), GrantOutcome.Unreachable);
   assert.equal(getTargetId(bench.ask({}, 'n2').decision), 't1');
@@ -109,7 +109,7 @@
   // Symptom: retries multiply the load on a service that fails. Sequence: every request fails and
   // is sent again. Cause: nobody adds up the retries of all nodes.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 100 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 100 })]);
   for (let index = 0; index < 50; index += 1) bench.finish(bench.ask(), GrantOutcome.Succeeded);
   const retries = Array.from({ length: 60 }, () => bench.ask({ attempt: 2, isIdempotent: true }));
   const granted = retries.filter(({ decision }) => decision?.kind === 'granted').length;
@@ -125,7 +125,7 @@
   // second attempts wait for a slot; each was let in while none of them had been sent. Cause: only
   // those that were granted were counted.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 1 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 1 })]);
   const running = bench.ask({ remainingMs: 60_000 });
   const retries = Array.from({ length: 40 }, () => {
     return bench.ask({ attempt: 2, isIdempotent: true, remainingMs: 60_000, objectiveMs: 30_000 });
@@ -139,7 +139,7 @@
   // Symptom: doubtful targets get requests though nobody fails. Sequence: under load, hedges are
   // refused one after the other. Cause: each counted as a failure, and failures turn spreading on.
   const bench = new Bench();
-  bench.book.setTargets(['t1', 't2', 't3'].map((id) => makeTarget(id, { slots: 1 })));
+  bench.scheduler.setTargets(['t1', 't2', 't3'].map((id) => makeTarget(id, { slots: 1 })));
   await bench.clock.advanceBy(10_000);
   const excluded = ['t3'];
   const hedge = { attempt: 2, isIdempotent: true, isHedge: true, excluded } as const;
@@ -147,7 +147,7 @@
   assert.equal(waiting.decision, undefined, 'slots are short');
   const refused = Array.from({ length: 5 }, () => bench.ask(hedge).decision?.kind);
   assert.ok(refused.every((kind) => kind === 'refused'));
-  assert.equal(bench.book.isFailing(), false);
+  assert.equal(bench.scheduler.isFailing(), false);
 });
 
 test('requests that may be repeated stop trying doubtful targets when retries run short', async () => {
@@ -156,7 +156,7 @@
   // final. Cause: a failed attempt was taken for cheap however many retries were left.
   const bench = new Bench();
   const near = makeTarget('t1', { slots: 500 });
-  bench.book.setTargets([near, makeTarget('t2', { slots: 500, failureDomain: 'south' })]);
+  bench.scheduler.setTargets([near, makeTarget('t2', { slots: 500, failureDomain: 'south' })]);
   const ask = (attempt: number): ITicket => bench.ask({ attempt, isIdempotent: true });
   for (let index = 0; index < 20; index += 1) bench.finish(ask(1), GrantOutcome.Succeeded);
   for (let index = 0; index < 20; index += 1) bench.finish(ask(2), GrantOutcome.Abandoned);
@@ -172,7 +172,7 @@
   // can't be reached, and each request asks several times before it is sent. Cause: the allowance
   // grew with the questions instead of the requests.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 500 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 500 })]);
   for (let index = 0; index < 200; index += 1) {
     bench.finish(bench.ask({ isRepeated: true }), GrantOutcome.Succeeded);
   }
@@ -183,11 +183,11 @@
 
 test('while many requests fail, all targets are used rather than ever fewer', async () => {
   // Symptom: a service serves from two of ten targets while half its requests fail. Sequence: a
-  // wrong belief ejects targets, the rest are overloaded and fail, and are ejected too. Cause: no
+  // wrong health ejects targets, the rest are overloaded and fail, and are ejected too. Cause: no
   // floor under the share of targets in use.
   const bench = new Bench();
   const targets = Array.from({ length: 10 }, (_, index) => makeTarget(`t${index}`));
-  bench.book.setTargets(targets);
+  bench.scheduler.setTargets(targets);
   await bench.clock.advanceBy(10_000);
   const used = new Set<string>();
   for (let round = 0; round < 60; round += 1) {
@@ -201,16 +201,16 @@
 
 test('a target that joins gets its first request soon', async () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2')]);
   await bench.clock.advanceBy(5000);
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2'), makeTarget('t3')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2'), makeTarget('t3')]);
   await bench.clock.advanceBy(2500);
   assert.equal(getTargetId(bench.ask().decision), 't3');
 });
 
 test('draining targets and replaced ones get nothing', () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { isDraining: true }), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1', { isDraining: true }), makeTarget('t2')]);
   const ticket = bench.ask();
   assert.equal(getTargetId(ticket.decision), 't2');
   bench.finish(ticket, GrantOutcome.Misdirected);
@@ -220,22 +220,22 @@
 
 test('a report that never comes does not hold its slot for ever', async () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 1 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 1 })]);
   bench.ask({ remainingMs: 1000 });
   const waiting = bench.ask({ remainingMs: 5000 });
   assert.ok(!isGranted(waiting));
   await bench.clock.advanceBy(1600);
-  bench.book.advance();
+  bench.scheduler.advance();
   assert.ok(isGranted(waiting));
 });
 
 test('a request that cannot be served in time is refused while it waits, with when to come back', async () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1', { slots: 1 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { slots: 1 })]);
   bench.ask({ remainingMs: 10_000 });
   const waiting = bench.ask({ remainingMs: 400 });
   await bench.clock.advanceBy(350);
-  bench.book.advance();
+  bench.scheduler.advance();
   assert.ok(waiting.decision?.kind === 'refused');
   assert.ok(waiting.decision.retryAfterMs > 0);
 });
@@ -244,7 +244,7 @@
   // Symptom: a caller waits until its deadline is near and is refused then. Sequence: its node can
   // reach none of the targets and excludes them all. Cause: it was queued for a slot of any target.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2')]);
   const { decision } = bench.ask({ excluded: ['t1', 't2'] });
   assert.ok(decision?.kind === 'refused');
   assert.equal(decision.code, ResultCode.NoTarget);
@@ -256,14 +256,14 @@
   // stops, the next begins with no beliefs. Cause: beliefs lived in one process only.
   const former = new Bench();
   const targets = [makeTarget('t1'), makeTarget('t2')];
-  former.book.setTargets(targets);
+  former.scheduler.setTargets(targets);
   const failing = former.ask();
   former.finish(failing, GrantOutcome.Failed);
   former.finish(former.ask(), GrantOutcome.Succeeded);
   const next = new Bench();
-  next.book.setTargets(targets);
-  for (const { belief, record } of former.book.listTargets()) {
-    next.book.applyEvidence(record.id, record.bornMs, belief.getEvidence()!);
+  next.scheduler.setTargets(targets);
+  for (const { health, record } of former.scheduler.listTargets()) {
+    next.scheduler.applyEvidence(record.id, record.bornMs, health.getEvidence()!);
   }
   assert.notEqual(getTargetId(next.ask().decision), getTargetId(failing.decision));
 });
@@ -271,35 +271,35 @@
 test('a target that starts anew under its identifier begins without what its former life left', async () => {
   // Symptom: a target that is back gets no work, or more than it has slots for. Sequence: it fails
   // and crashes with requests under way, starts again under its identifier, and the reports of the
-  // former life arrive. Cause: belief and slots were kept by identifier alone.
+  // former life arrive. Cause: health and slots were kept by identifier alone.
   const bench = new Bench();
   const former = makeTarget('t1', { slots: 2, bornMs: 1000 });
-  bench.book.setTargets([former]);
+  bench.scheduler.setTargets([former]);
   bench.finish(bench.ask(), GrantOutcome.Failed);
   bench.finish(bench.ask(), GrantOutcome.Misdirected);
-  bench.book.setTargets([{ ...former, bornMs: 2000 }]);
+  bench.scheduler.setTargets([{ ...former, bornMs: 2000 }]);
   const first = bench.ask();
   assert.ok(isGranted(first), 'the mark of another target at its address is gone');
   bench.finish(first, GrantOutcome.Succeeded);
   await bench.clock.advanceBy(100);
   const underWay = [bench.ask(), bench.ask()];
-  bench.book.setTargets([{ ...former, bornMs: 3000 }]);
+  bench.scheduler.setTargets([{ ...former, bornMs: 3000 }]);
   const next = [bench.ask(), bench.ask()];
   assert.ok(next.every(isGranted), 'slots of the former life are not held');
   for (const ticket of underWay) bench.finish(ticket, GrantOutcome.Broken);
-  const [target] = bench.book.listTargets();
+  const [target] = bench.scheduler.listTargets();
   assert.equal(target?.inUse, 2);
-  assert.equal(target.belief.lastFailureMs, undefined);
+  assert.equal(target.health.lastFailureMs, undefined);
   assert.ok(!isGranted(bench.ask()), 'late reports free no slot of the next life');
-  bench.book.applyEvidence('t1', 2000, { suspicion: 0.99, updatedMs: 100 });
-  assert.ok(!target.belief.isFailing(100), 'beliefs of the former life are not taken over');
+  bench.scheduler.applyEvidence('t1', 2000, { suspicion: 0.99, updatedMs: 100 });
+  assert.ok(!target.health.isFailing(100), 'beliefs of the former life are not taken over');
 });
 
 test('after a kept connection broke, the requests of the service take new ones for a while', async () => {
   // Reads that may be sent once more go on to use kept ones: a quarter of all new connections of a
   // busy day with targets that flap were theirs, though a broken one costs them some ms.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2'), makeTarget('t3')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2'), makeTarget('t3')]);
   const needsFresh = (mayRetry = false) => {
     const ticket = bench.ask({ isIdempotent: mayRetry, mayRetry });
     const { decision } = ticket;
@@ -319,23 +319,23 @@
   // Symptom: each entry sends a leaving target one request more, until each has been told by itself. Cause:
   // the home goes by the list of targets, which may be seconds late while the store is away.
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1'), makeTarget('t2')]);
+  bench.scheduler.setTargets([makeTarget('t1'), makeTarget('t2')]);
   const told = bench.ask();
   const leavingId = getTargetId(told.decision);
-  const answer = { answerBytes: 10, isLeaving: true };
-  bench.book.recordOutcome(told, GrantOutcome.Succeeded, LATENCY_MS, answer);
+  const answer = { answerBytes: 10, isDraining: true };
+  bench.scheduler.recordOutcome(told, GrantOutcome.Succeeded, LATENCY_MS, answer);
   const next = Array.from({ length: 4 }, () => getTargetId(bench.ask({}, 'n2').decision));
   assert.ok(!next.includes(leavingId));
-  bench.book.setTargets([makeTarget('t1', { bornMs: 5 }), makeTarget('t2', { bornMs: 5 })]);
+  bench.scheduler.setTargets([makeTarget('t1', { bornMs: 5 }), makeTarget('t2', { bornMs: 5 })]);
   const reborn = Array.from({ length: 8 }, () => getTargetId(bench.ask({}, 'n2').decision));
   assert.ok(reborn.includes(leavingId));
 });
 
 test('a service whose targets all say that they leave refuses at once', () => {
   const bench = new Bench();
-  bench.book.setTargets([makeTarget('t1')]);
-  const answer = { answerBytes: 10, isLeaving: true };
-  bench.book.recordOutcome(bench.ask(), GrantOutcome.Succeeded, LATENCY_MS, answer);
+  bench.scheduler.setTargets([makeTarget('t1')]);
+  const answer = { answerBytes: 10, isDraining: true };
+  bench.scheduler.recordOutcome(bench.ask(), GrantOutcome.Succeeded, LATENCY_MS, answer);
   const { decision } = bench.ask();
   assert.ok(decision?.kind === 'refused');
   assert.equal(decision.code, ResultCode.NoTarget);
--- a/packages/dispatch/src/home/common/serviceBook.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.ts
@@ -2,45 +2,45 @@
 import type { Clock, Logger } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import type { GrantDecision, IGrantRequest, IReportedAnswer } from '../../grants/common/grant.js';
-import { GrantOutcome, NO_ANSWER } from '../../grants/common/grant.js';
+import type { GrantDecision, IGrantRequest, IReportedResponse } from '../../grants/common/grant.js';
+import { GrantOutcome, NO_RESPONSE } from '../../grants/common/grant.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import type { TenantAdmission } from '../../quotas/common/tenantAdmission.js';
 import type { IQuotaFacts } from '../../quotas/common/tenantQuotas.js';
-import { AnswerSizes } from './answerSizes.js';
-import type { BookedTarget } from './bookedTarget.js';
+import { ResponseSizes } from './responseSizes.js';
+import type { TargetState } from './targetState.js';
 import { FailureModel } from './failureModel.js';
 import { ExpectedCreditPolicy } from './expectedCreditPolicy.js';
 import type { GrantPolicy, IServiceState } from './grantPolicy.js';
 import { GrantQueue } from './grantQueue.js';
-import { OutcomeIntake } from './outcomeIntake.js';
+import { OutcomeRecorder } from './outcomeRecorder.js';
 import type { IRetryWindowOptions } from './retryWindow.js';
 import { RetryWindow } from './retryWindow.js';
 import { ServiceLog } from './serviceLog.js';
 import { ServiceTargets } from './serviceTargets.js';
-import { ServedWindow } from './servedWindow.js';
-import type { ITargetEvidence } from './targetBelief.js';
-import { TargetStatements } from './targetStatements.js';
+import { OutcomeWindow } from './outcomeWindow.js';
+import type { IHealthEvidence } from './targetHealthEstimate.js';
+import { TargetNoticeRecorder } from './targetNoticeRecorder.js';
 import type { ITicket } from './ticket.js';
 import { Ticket } from './ticket.js';
-import { WorkTimes } from './workTimes.js';
+import { ProcessingTimes } from './processingTimes.js';
 
 /** Slots whose report never came are freed this long after their request has ended, in ms. */
-const REPORT_SLACK_MS = 500;
+const REPORT_GRACE_MS = 500;
 /** When no target is known at all: the time in which one may register, in ms. */
-const NO_TARGET_RETRY_MS = 500;
+const NO_TARGET_RETRY_AFTER_MS = 500;
 /** Shortest and longest time that a refused caller is told to stay away, in ms. */
-const LEAST_RETRY_MS = 100;
-const MOST_RETRY_MS = 5000;
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 5000;
 /** A home that was asked nothing for this long is logged as taking over, in ms: a window of retries. */
-const TAKE_OVER_MS = 10_000;
+const TAKEOVER_IDLE_MS = 10_000;
 /** Above this share of the retry allowance, no request is risked on a kept connection that may be broken. */
-const MOST_USED_FOR_REUSE = 0.5;
+const MAX_RETRIES_USED_FOR_REUSE = 0.5;
 /** Waiting requests that a pass for one free slot looks at, at most. */
-const MOST_PASSED_OVER = 16;
+const MAX_SKIPPED = 16;
 
 /** Refusals that say something of the caller, and nothing of how the service fares. */
-const REFUSALS_OF_CALLERS: ReadonlySet<ResultCode> = new Set([
+const CALLER_REFUSALS: ReadonlySet<ResultCode> = new Set([
   ResultCode.RequestQuarantined,
   ResultCode.UnknownKey,
   ResultCode.QuotaExceeded,
@@ -53,8 +53,8 @@
   readonly floorShare: number;
 }
 
-/** Options of a {@link ServiceBook}. */
-export interface IServiceBookOptions extends IServiceBounds {
+/** Options of a {@link ServiceScheduler}. */
+export interface IServiceSchedulerOptions extends IServiceBounds {
   readonly service: string;
   readonly clock: Clock;
   readonly log: Logger;
@@ -71,36 +71,36 @@
  * so slots are never granted twice and one node's failure warns all others at once.
  *
  * @example
- * const ticket = book.requestGrant(request, node, (decision) => send(decision));
- * book.recordOutcome(ticket, GrantOutcome.Succeeded, 240);
+ * const ticket = scheduler.requestGrant(request, node, (decision) => send(decision));
+ * scheduler.recordOutcome(ticket, GrantOutcome.Succeeded, 240);
  */
-export class ServiceBook {
+export class ServiceScheduler {
   /** Retries of the whole fleet, as far as this home knows. */
   readonly retries: RetryWindow;
   /** What its targets say of themselves. */
-  readonly statements: TargetStatements;
+  readonly notices: TargetNoticeRecorder;
   private readonly serviceLog: ServiceLog;
   private bounds: IServiceBounds;
   private readonly clock: Clock;
   private readonly model = new FailureModel();
   private readonly targets: ServiceTargets;
   private readonly queue = new GrantQueue<Ticket>();
-  private readonly open = new Set<Ticket>();
-  private readonly served = new ServedWindow();
-  private readonly intake: OutcomeIntake;
+  private readonly openGrants = new Set<Ticket>();
+  private readonly outcomeWindow = new OutcomeWindow();
+  private readonly outcomeRecorder: OutcomeRecorder;
   private readonly policy: GrantPolicy;
   private readonly quarantine: RequestQuarantine;
   private readonly admission: TenantAdmission | undefined;
-  private readonly workTimes = new WorkTimes();
-  private readonly answerSizes = new AnswerSizes();
-  private lastAskedMs = -Infinity;
+  private readonly processingTimes = new ProcessingTimes();
+  private readonly responseSizes = new ResponseSizes();
+  private lastRequestMs = -Infinity;
 
-  constructor(options: IServiceBookOptions) {
+  constructor(options: IServiceSchedulerOptions) {
     this.serviceLog = new ServiceLog(options);
     this.bounds = options;
     this.clock = options.clock;
     this.targets = new ServiceTargets({ clock: options.clock, model: this.model });
-    this.statements = new TargetStatements({
+    this.notices = new TargetNoticeRecorder({
       clock: options.clock,
       targets: this.targets,
       serviceLog: this.serviceLog,
@@ -109,14 +109,14 @@
     this.quarantine = options.quarantine;
     this.admission = options.admission;
     this.policy = options.policy ?? new ExpectedCreditPolicy();
-    const { answerSizes, clock, quarantine, served, serviceLog, workTimes } = this;
-    this.intake = new OutcomeIntake({
-      answerSizes,
+    const { responseSizes, clock, quarantine, outcomeWindow, serviceLog, processingTimes } = this;
+    this.outcomeRecorder = new OutcomeRecorder({
+      responseSizes,
       clock,
       quarantine,
-      served,
+      outcomeWindow,
       serviceLog,
-      workTimes,
+      processingTimes,
     });
   }
 
@@ -140,9 +140,9 @@
   ): ITicket {
     const nowMs = this.clock.getMonotonicTime();
     const ticket = new Ticket(request, node, nowMs, respond);
-    this.logTakeOver(nowMs);
-    this.lastAskedMs = nowMs;
-    this.statements.applyNamed(request.limits);
+    this.logTakeover(nowMs);
+    this.lastRequestMs = nowMs;
+    this.notices.applyAdvertisedLimits(request.limits);
     if (!request.isRetry && !request.isRepeated) this.retries.recordRequest(nowMs);
     const admitted = this.admission?.check(request, node);
     if (admitted?.kind === 'refused') {
@@ -152,21 +152,21 @@
     ticket.token = admitted?.token;
     const refusal = this.findRefusal(ticket, nowMs);
     if (refusal !== undefined) this.refuse(ticket, refusal);
-    else this.takeNew(ticket);
+    else this.handleNew(ticket);
     return ticket;
   }
 
   /** Tells what a home goes by that was not asked for a while: it may have taken over. */
-  private logTakeOver(nowMs: number): void {
-    if (nowMs - this.lastAskedMs < TAKE_OVER_MS) return;
-    this.serviceLog.logTakeOver({
+  private logTakeover(nowMs: number): void {
+    if (nowMs - this.lastRequestMs < TAKEOVER_IDLE_MS) return;
+    this.serviceLog.logTakeover({
       knowsRetries: this.retries.isComplete(nowMs),
-      retriesElsewhere: this.retries.countElsewhere(nowMs),
+      retriesElsewhere: this.retries.countPeerRetries(nowMs),
       targets: this.targets.size,
     });
   }
 
-  private takeNew(ticket: Ticket): void {
+  private handleNew(ticket: Ticket): void {
     const state = this.getState();
     const ahead = this.queue.countAhead(ticket, this.makeRanking(state));
     if (!this.settle(ticket, ahead, state)) this.queue.push(ticket);
@@ -177,25 +177,29 @@
     ticket: ITicket,
     outcome: GrantOutcome,
     latencyMs: number,
-    answer: IReportedAnswer = NO_ANSWER,
+    answer: IReportedResponse = NO_RESPONSE,
   ): void {
     if (!(ticket instanceof Ticket)) return;
     this.queue.remove(ticket);
     const { target } = ticket;
     this.releaseToken(ticket, target === undefined ? undefined : outcome);
-    if (target !== undefined) this.statements.record(ticket, target, outcome, answer);
-    if (!this.open.delete(ticket) || target === undefined) return;
+    if (target !== undefined) this.notices.record(ticket, target, outcome, answer);
+    if (!this.openGrants.delete(ticket) || target === undefined) return;
     target.inUse -= 1;
-    this.intake.record(ticket, target, { outcome, latencyMs, answerBytes: answer.answerBytes });
+    this.outcomeRecorder.record(ticket, target, {
+      outcome,
+      latencyMs,
+      answerBytes: answer.answerBytes,
+    });
     this.serveQueue();
   }
 
   /** Looks after what time alone changes; to be called several times a second. */
   advance(): void {
     const nowMs = this.clock.getMonotonicTime();
-    for (const ticket of this.open) this.checkOpen(ticket, nowMs);
+    for (const ticket of this.openGrants) this.checkOpenGrant(ticket, nowMs);
     for (const ticket of this.queue.list(() => 0)) {
-      if (!this.isHopeless(ticket, nowMs)) continue;
+      if (!this.isTooLate(ticket, nowMs)) continue;
       this.queue.remove(ticket);
       this.refuse(ticket, ResultCode.QueueTimeout);
     }
@@ -203,23 +207,23 @@
   }
 
   /** Takes what another home of the service believes of a target. */
-  applyEvidence(targetId: string, bornMs: number | undefined, evidence: ITargetEvidence): void {
+  applyEvidence(targetId: string, bornMs: number | undefined, evidence: IHealthEvidence): void {
     this.targets.applyEvidence(targetId, bornMs, evidence);
   }
 
   /** Whether this node was asked for a grant within the last `windowMs`. */
-  isAtWork(windowMs: number): boolean {
-    return this.clock.getMonotonicTime() - this.lastAskedMs < windowMs;
+  isActive(windowMs: number): boolean {
+    return this.clock.getMonotonicTime() - this.lastRequestMs < windowMs;
   }
 
   /** Targets with what is believed of them, for status pages and logs. */
-  listTargets(): readonly BookedTarget[] {
+  listTargets(): readonly TargetState[] {
     return this.targets.list();
   }
 
   /** Whether so many requests fail that targets without requests have to be used, also doubtful ones. */
   isFailing(): boolean {
-    return this.served.isFailing(this.clock.getMonotonicTime());
+    return this.outcomeWindow.isFailing(this.clock.getMonotonicTime());
   }
 
   get queueLength(): number {
@@ -243,11 +247,11 @@
     return {
       targets,
       model: this.model,
-      workTimes: this.workTimes,
-      answerSizes: this.answerSizes,
+      processingTimes: this.processingTimes,
+      responseSizes: this.responseSizes,
       retriesUsed: this.retries.getUsedShare(nowMs),
-      isFailing: this.served.isFailing(nowMs),
-      use: this.served.getUse(targets, nowMs),
+      isFailing: this.outcomeWindow.isFailing(nowMs),
+      usage: this.outcomeWindow.getUsage(targets, nowMs),
       floorShare: this.bounds.floorShare,
       queued: this.queue.size,
       nowMs,
@@ -255,10 +259,10 @@
   }
 
   private getMeanWorkMs({ objectiveMs, route }: IGrantRequest): number {
-    return this.workTimes.getMeanMs(route, objectiveMs);
+    return this.processingTimes.getMeanMs(route, objectiveMs);
   }
 
-  private isHopeless(ticket: Ticket, nowMs: number): boolean {
+  private isTooLate(ticket: Ticket, nowMs: number): boolean {
     return ticket.endMs - nowMs < this.getMeanWorkMs(ticket.request) / 2;
   }
 
@@ -277,22 +281,22 @@
   ): void {
     this.releaseToken(ticket, undefined);
     // The request of a refused hedge goes on: counted as unserved, hedges would turn spreading on.
-    const isCounted = !ticket.request.isHedge && !REFUSALS_OF_CALLERS.has(code);
-    if (isCounted) this.served.record(false, this.clock.getMonotonicTime());
+    const isCounted = !ticket.request.isHedge && !CALLER_REFUSALS.has(code);
+    if (isCounted) this.outcomeWindow.record(false, this.clock.getMonotonicTime());
     this.serviceLog.logRefusal(ticket, this.targets.list(), {
       code,
       retryAfterMs,
       queue: this.queue.size,
       quota,
       retriesUsed: this.retries.getUsedShare(this.clock.getMonotonicTime()),
-      retriesElsewhere: this.retries.countElsewhere(this.clock.getMonotonicTime()),
+      retriesElsewhere: this.retries.countPeerRetries(this.clock.getMonotonicTime()),
     });
     ticket.settle({ kind: 'refused', code, retryAfterMs });
   }
 
   /** When a refused caller should come back, in ms. */
   private computeRetryAfterMs(ticket: Ticket, code: ResultCode): number {
-    if (code === ResultCode.NoTarget) return NO_TARGET_RETRY_MS;
+    if (code === ResultCode.NoTarget) return NO_TARGET_RETRY_AFTER_MS;
     const { request } = ticket;
     if (code === ResultCode.RequestQuarantined) {
       return Math.ceil(this.quarantine.getHoldMs(request.fingerprints));
@@ -300,7 +304,7 @@
     const state = this.getState();
     const ahead = this.queue.countAhead(ticket, this.makeRanking(state));
     const waitMs = this.policy.estimateWaitMs(request, ahead, state);
-    return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, Math.ceil(waitMs)));
+    return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs)));
   }
 
   /** Grants or refuses; false when the request has to wait. */
@@ -312,13 +316,13 @@
     }
     const waitedMs = ticket.getWaitedMs(state.nowMs);
     const decision = this.policy.decide({ request: ticket.request, waitedMs, ahead }, state);
-    if (decision.kind === 'grant') this.settleWith(ticket, decision.target, state.nowMs);
+    if (decision.kind === 'grant') this.settleGranted(ticket, decision.target, state.nowMs);
     if (decision.kind === 'refuse') this.refuse(ticket, decision.code);
     return decision.kind !== 'wait';
   }
 
-  private settleWith(ticket: Ticket, target: BookedTarget, nowMs: number): void {
-    const suspicion = target.belief.getSuspicion(nowMs);
+  private settleGranted(ticket: Ticket, target: TargetState, nowMs: number): void {
+    const suspicion = target.health.getSuspicion(nowMs);
     if (ticket.request.isRetry) this.retries.recordRetry(nowMs);
     this.quarantine.recordGrant(ticket.request);
     target.rateLimit.recordGrant(nowMs);
@@ -327,7 +331,7 @@
     target.lastGrantMs = nowMs;
     ticket.target = target;
     ticket.grantedMs = nowMs;
-    this.open.add(ticket);
+    this.openGrants.add(ticket);
     const needsFreshConnection = this.isReuseRisky(ticket.request, nowMs);
     ticket.settle({ kind: 'granted', target: target.record, suspicion, needsFreshConnection });
   }
@@ -337,13 +341,13 @@
    * are sent once more. New connections are what a busy fleet pays most for.
    */
   private isReuseRisky({ mayRetry }: IGrantRequest, nowMs: number): boolean {
-    if (!this.intake.isReuseAvoided(nowMs)) return false;
-    return !mayRetry || this.retries.getUsedShare(nowMs) > MOST_USED_FOR_REUSE;
+    if (!this.outcomeRecorder.isReuseAvoided(nowMs)) return false;
+    return !mayRetry || this.retries.getUsedShare(nowMs) > MAX_RETRIES_USED_FOR_REUSE;
   }
 
   /** Gives out slots that have got free. */
   private serveQueue(): void {
-    if (this.queue.size > 0) this.serveWaiting(MOST_PASSED_OVER);
+    if (this.queue.size > 0) this.serveWaiting(MAX_SKIPPED);
   }
 
   /**
@@ -351,12 +355,12 @@
    * ends where no slot is free, or where `mostPassedOver` requests would rather wait: those behind
    * them see the same targets.
    */
-  private serveWaiting(mostPassedOver: number): void {
+  private serveWaiting(maxSkipped: number): void {
     let state = this.getState();
     let ahead = 0;
     for (const ticket of this.queue.list(this.makeRanking(state))) {
-      const isBounded = mostPassedOver < Infinity;
-      if (isBounded && (ahead >= mostPassedOver || !hasFreeTarget(state))) return;
+      const isBounded = maxSkipped < Infinity;
+      if (isBounded && (ahead >= maxSkipped || !hasFreeTarget(state))) return;
       if (!this.settle(ticket, ahead, state)) {
         ahead += 1;
         continue;
@@ -373,13 +377,13 @@
     };
   }
 
-  private checkOpen(ticket: Ticket, nowMs: number): void {
-    if (nowMs > ticket.endMs + REPORT_SLACK_MS) {
+  private checkOpenGrant(ticket: Ticket, nowMs: number): void {
+    if (nowMs > ticket.endMs + REPORT_GRACE_MS) {
       this.recordOutcome(ticket, GrantOutcome.Abandoned, nowMs - ticket.grantedMs);
       return;
     }
     const isOverdue = nowMs - ticket.grantedMs > ticket.request.objectiveMs;
-    if (isOverdue && !ticket.isOverdue) this.intake.recordOverdue(ticket);
+    if (isOverdue && !ticket.isOverdue) this.outcomeRecorder.recordOverdue(ticket);
   }
 }
 
--- a/packages/dispatch/src/home/common/serviceTargets.ts
+++ b/packages/dispatch/src/home/common/serviceTargets.ts
@@ -3,16 +3,16 @@
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { isSameLife } from '../../catalog/common/catalog.js';
 import type { IGrantRequest } from '../../grants/common/grant.js';
-import { BookedTarget } from './bookedTarget.js';
+import { TargetState } from './targetState.js';
 import type { FailureModel } from './failureModel.js';
-import type { ITargetEvidence } from './targetBelief.js';
+import type { IHealthEvidence } from './targetHealthEstimate.js';
 import type { IRateEvidence } from './targetRateLimit.js';
 
 /** Targets that become known within this time of the home's start were there before, in ms. */
-const SETTLING_MS = 2000;
+const INITIAL_TARGETS_MS = 2000;
 
 /** What another home has granted a target. */
-export interface IHomeGrants {
+export interface IPeerGrants {
   /** Address of the home. */
   readonly home: string;
   readonly granted: number;
@@ -30,7 +30,7 @@
  * if (!targets.hasUsable(request)) refuse();
  */
 export class ServiceTargets {
-  private readonly targets = new Map<string, BookedTarget>();
+  private readonly targets = new Map<string, TargetState>();
   private readonly startMs: number;
 
   constructor(private readonly options: IServiceTargetsOptions) {
@@ -41,7 +41,7 @@
     return this.targets.size;
   }
 
-  list(): readonly BookedTarget[] {
+  list(): readonly TargetState[] {
     return [...this.targets.values()];
   }
 
@@ -62,14 +62,14 @@
   }
 
   /** Takes what another home of the service believes of a target. */
-  applyEvidence(targetId: string, bornMs: number | undefined, evidence: ITargetEvidence): void {
-    this.find(targetId, bornMs)?.belief.applyEvidence(evidence);
+  applyEvidence(targetId: string, bornMs: number | undefined, evidence: IHealthEvidence): void {
+    this.find(targetId, bornMs)?.health.applyEvidence(evidence);
   }
 
   /** Another home was told that a target leaves. */
-  applyLeaving(targetId: string, bornMs: number | undefined): void {
+  applyDraining(targetId: string, bornMs: number | undefined): void {
     const target = this.find(targetId, bornMs);
-    if (target !== undefined) target.isLeaving = true;
+    if (target !== undefined) target.hasReportedDraining = true;
   }
 
   /** Takes what is known elsewhere of the limit that a target names. */
@@ -79,13 +79,13 @@
   }
 
   /** Another home has granted a target `granted` requests since it knows it. */
-  recordGrantedElsewhere(
+  recordPeerGrants(
     targetId: string,
     bornMs: number | undefined,
-    { granted, home }: IHomeGrants,
+    { granted, home }: IPeerGrants,
   ): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    this.find(targetId, bornMs)?.rateLimit.recordElsewhere(home, granted, nowMs);
+    this.find(targetId, bornMs)?.rateLimit.recordPeerGrants(home, granted, nowMs);
   }
 
   /** Without one, waiting for a slot would only end the request's time. */
@@ -93,14 +93,14 @@
     return this.list().some(({ isReady, record }) => isReady && !excluded.includes(record.id));
   }
 
-  private find(targetId: string, bornMs: number | undefined): BookedTarget | undefined {
+  private find(targetId: string, bornMs: number | undefined): TargetState | undefined {
     const target = this.targets.get(targetId);
     return target?.record.bornMs === bornMs ? target : undefined;
   }
 
   /** Targets that were there before this home are not new: trying each would cost requests. */
-  private createTarget(record: ITargetRecord, nowMs: number): BookedTarget {
-    const isNew = nowMs > this.startMs + SETTLING_MS;
-    return new BookedTarget(record, this.options.model, nowMs, isNew);
+  private createTarget(record: ITargetRecord, nowMs: number): TargetState {
+    const isNew = nowMs > this.startMs + INITIAL_TARGETS_MS;
+    return new TargetState(record, this.options.model, nowMs, isNew);
   }
 }
--- a/packages/dispatch/src/home/common/targetStatements.ts
+++ b/packages/dispatch/src/home/common/targetNoticeRecorder.ts
@@ -1,15 +1,19 @@
 /** What the targets of one service say of themselves in answers: that they leave, or which limit they have. */
 import type { Clock } from '@parsleymux/base';
-import type { GrantOutcome, INamedLimit, IReportedAnswer } from '../../grants/common/grant.js';
-import { isAnswered } from '../../grants/common/grant.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type {
+  GrantOutcome,
+  IAdvertisedLimit,
+  IReportedResponse,
+} from '../../grants/common/grant.js';
+import { hasCompleteResponse } from '../../grants/common/grant.js';
+import type { TargetState } from './targetState.js';
 import type { ServiceLog } from './serviceLog.js';
-import type { IHomeGrants, ServiceTargets } from './serviceTargets.js';
+import type { IPeerGrants, ServiceTargets } from './serviceTargets.js';
 import type { IRateEvidence } from './targetRateLimit.js';
 import type { Ticket } from './ticket.js';
 
-/** Options of {@link TargetStatements}. */
-export interface ITargetStatementsOptions {
+/** Options of {@link TargetNoticeRecorder}. */
+export interface ITargetNoticeRecorderOptions {
   readonly clock: Clock;
   readonly targets: ServiceTargets;
   readonly serviceLog: ServiceLog;
@@ -21,22 +25,22 @@
  * @example
  * statements.record(ticket, target, outcome, answer);
  */
-export class TargetStatements {
-  constructor(private readonly options: ITargetStatementsOptions) {}
+export class TargetNoticeRecorder {
+  constructor(private readonly options: ITargetNoticeRecorderOptions) {}
 
   /** Takes what the answer to a request says, and what it does not say any more. */
   record(
     ticket: Ticket,
-    target: BookedTarget,
+    target: TargetState,
     outcome: GrantOutcome,
-    { isLeaving, rateLimit }: IReportedAnswer,
+    { isDraining: isLeaving, rateLimit }: IReportedResponse,
   ): void {
-    if (isLeaving) this.recordLeaving(ticket, target);
-    if (isAnswered(outcome)) this.recordLimit(ticket, target, rateLimit);
+    if (isLeaving) this.recordDraining(ticket, target);
+    if (hasCompleteResponse(outcome)) this.recordLimit(ticket, target, rateLimit);
   }
 
   /** Takes limits that an entry knows which asks for a grant. */
-  applyNamed(limits: readonly INamedLimit[]): void {
+  applyAdvertisedLimits(limits: readonly IAdvertisedLimit[]): void {
     const nowMs = this.options.clock.getMonotonicTime();
     for (const { ageMs, bornMs, ratePerS, targetId } of limits) {
       this.options.targets.applyLimit(targetId, bornMs, { ratePerS, atMs: nowMs - ageMs });
@@ -44,8 +48,8 @@
   }
 
   /** Another home was told that a target leaves. */
-  applyLeaving(targetId: string, bornMs: number | undefined): void {
-    this.options.targets.applyLeaving(targetId, bornMs);
+  applyDraining(targetId: string, bornMs: number | undefined): void {
+    this.options.targets.applyDraining(targetId, bornMs);
   }
 
   /** Another home knows of the limit that a target names, and has granted it requests itself. */
@@ -53,24 +57,24 @@
     targetId: string,
     bornMs: number | undefined,
     evidence: IRateEvidence,
-    grants: IHomeGrants,
+    grants: IPeerGrants,
   ): void {
     const { targets } = this.options;
     targets.applyLimit(targetId, bornMs, evidence);
-    targets.recordGrantedElsewhere(targetId, bornMs, grants);
+    targets.recordPeerGrants(targetId, bornMs, grants);
   }
 
-  private recordLeaving(ticket: Ticket, target: BookedTarget): void {
-    if (target.isLeaving) return;
-    target.isLeaving = true;
-    this.options.serviceLog.logLeaving(ticket, target);
+  private recordDraining(ticket: Ticket, target: TargetState): void {
+    if (target.hasReportedDraining) return;
+    target.hasReportedDraining = true;
+    this.options.serviceLog.logDraining(ticket, target);
   }
 
   /**
    * An answer that names no limit is as of its request's grant or later, so it ends only a limit that was
    * named before: answers of slower requests come in any order.
    */
-  private recordLimit(ticket: Ticket, target: BookedTarget, ratePerS: number | undefined): void {
+  private recordLimit(ticket: Ticket, target: TargetState, ratePerS: number | undefined): void {
     const { clock, serviceLog } = this.options;
     const nowMs = clock.getMonotonicTime();
     const before = target.rateLimit.ratePerS;
--- a/packages/dispatch/src/home/common/targetRateLimit.test.ts
+++ b/packages/dispatch/src/home/common/targetRateLimit.test.ts
@@ -4,7 +4,7 @@
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import { GrantOutcome } from '../../grants/common/grant.js';
 import { makeGrantRequest, makeQuarantine, makeTarget } from '../../test/builders.js';
-import { ServiceBook } from './serviceBook.js';
+import { ServiceScheduler } from './serviceScheduler.js';
 import { TargetRateLimit } from './targetRateLimit.js';
 import type { ITicket } from './ticket.js';
 
@@ -23,10 +23,10 @@
 }
 
 class Home {
-  readonly book: ServiceBook;
+  readonly scheduler: ServiceScheduler;
 
   constructor(readonly clock = new ManualClock()) {
-    this.book = new ServiceBook({
+    this.scheduler = new ServiceScheduler({
       service: 'booking',
       clock,
       log: createSilentLogger(),
@@ -34,20 +34,20 @@
       floorShare: 0.7,
       retries: { windowMs: 10_000, ratio: 0.2, burst: 10 },
     });
-    this.book.setTargets([LIMITED]);
+    this.scheduler.setTargets([LIMITED]);
   }
 
   ask(fields: Partial<IGrantRequest> = {}): ITicket {
-    return this.book.requestGrant(makeGrantRequest(fields), 'n1', () => undefined);
+    return this.scheduler.requestGrant(makeGrantRequest(fields), 'n1', () => undefined);
   }
 
   finish(ticket: ITicket, rateLimit?: number): void {
-    const answer = { answerBytes: 0, isLeaving: false, rateLimit };
-    this.book.recordOutcome(ticket, GrantOutcome.Succeeded, 50, answer);
+    const answer = { answerBytes: 0, isDraining: false, rateLimit };
+    this.scheduler.recordOutcome(ticket, GrantOutcome.Succeeded, 50, answer);
   }
 
   get ratePerS(): number | undefined {
-    return this.book.listTargets()[0]?.rateLimit.ratePerS;
+    return this.scheduler.listTargets()[0]?.rateLimit.ratePerS;
   }
 
   /** Asks for more than the target takes, until `forMs` have passed; how many were granted. */
@@ -59,7 +59,7 @@
       if (ticket.decision?.kind === 'granted') {
         granted += 1;
         this.finish(ticket, this.ratePerS);
-      } else this.book.recordOutcome(ticket, GrantOutcome.Abandoned, 0);
+      } else this.scheduler.recordOutcome(ticket, GrantOutcome.Abandoned, 0);
       await this.clock.advanceBy(50);
     }
     return granted;
@@ -89,7 +89,7 @@
       granted[index]! += takeAll(limit, nowMs, nowMs + 500).length;
     }
     for (const [index, limit] of limits.entries()) {
-      limit.recordElsewhere(`home-${1 - index}`, granted[1 - index]!, nowMs + 500);
+      limit.recordPeerGrants(`home-${1 - index}`, granted[1 - index]!, nowMs + 500);
     }
   }
   const both = granted[0]! + granted[1]!;
@@ -122,7 +122,7 @@
   const home = new Home();
   await home.clock.advanceBy(5000);
   const limits = [{ targetId: 't1', bornMs: undefined, ratePerS: 1, ageMs: 900 }];
-  home.book.recordOutcome(home.ask({ limits }), GrantOutcome.Abandoned, 0);
+  home.scheduler.recordOutcome(home.ask({ limits }), GrantOutcome.Abandoned, 0);
   const granted = await home.countGrants(4000);
   assert.ok(granted >= 3 && granted <= 5, `${granted}`);
 });
--- a/packages/dispatch/src/home/common/targetRateLimit.ts
+++ b/packages/dispatch/src/home/common/targetRateLimit.ts
@@ -4,9 +4,9 @@
 /** Requests that may be sent at once after a pause. */
 const BURST = 1;
 /** Requests beyond the limit that are made up for at most, as the limit's requests of so many s. */
-const MOST_DEBT_S = 1;
+const MAX_DEBT_S = 1;
 /** A target that gets nothing could never say that it takes more again. */
-const LEAST_RATE_PER_S = 0.2;
+const MIN_RATE_PER_S = 0.2;
 
 /** What a target said of its limit, or did not say any more. */
 export interface IRateEvidence {
@@ -29,7 +29,7 @@
   private tokens = 0;
   private filledMs = 0;
   /** Grants of other homes, as they counted them when they were heard last. */
-  private readonly grantedElsewhere = new Map<string, number>();
+  private readonly grantedByPeer = new Map<string, number>();
 
   /** Undefined until the target has named a limit once. */
   get evidence(): IRateEvidence | undefined {
@@ -43,7 +43,7 @@
 
   /** Requests a second that it is granted at most; infinite while it names no limit. */
   get grantsPerS(): number {
-    return this.ratePerS === undefined ? Infinity : Math.max(LEAST_RATE_PER_S, this.ratePerS);
+    return this.ratePerS === undefined ? Infinity : Math.max(MIN_RATE_PER_S, this.ratePerS);
   }
 
   /** Takes newer evidence. Absence of a limit is no evidence where none was named before. */
@@ -70,9 +70,9 @@
   }
 
   /** Another home has granted the target `granted` requests since it knows it. */
-  recordElsewhere(home: string, granted: number, nowMs: number): void {
-    const before = this.grantedElsewhere.get(home) ?? granted;
-    this.grantedElsewhere.set(home, granted);
+  recordPeerGrants(home: string, granted: number, nowMs: number): void {
+    const before = this.grantedByPeer.get(home) ?? granted;
+    this.grantedByPeer.set(home, granted);
     // A home that has started anew counts from nothing.
     this.take(Math.max(0, granted - before), nowMs);
   }
@@ -81,8 +81,8 @@
     const { ratePerS } = this;
     if (ratePerS === undefined) return;
     this.advance(nowMs);
-    const mostDebt = Math.max(1, ratePerS * MOST_DEBT_S);
-    this.tokens = Math.max(-mostDebt, this.tokens - requests);
+    const maxDebt = Math.max(1, ratePerS * MAX_DEBT_S);
+    this.tokens = Math.max(-maxDebt, this.tokens - requests);
   }
 
   private advance(nowMs: number): void {
--- a/packages/dispatch/src/home/common/bookedTarget.ts
+++ b/packages/dispatch/src/home/common/targetState.ts
@@ -1,18 +1,18 @@
-/** One target as the home of its service keeps it: its belief, and who uses its slots. */
+/** One target as the home of its service keeps it: its health, and who uses its slots. */
 import { MS_PER_SECOND } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { FailureModel } from './failureModel.js';
-import { TargetBelief } from './targetBelief.js';
+import { TargetHealthEstimate } from './targetHealthEstimate.js';
 import { TargetRateLimit } from './targetRateLimit.js';
 
 /** Reports of nodes that could not connect are put together over this time, in ms. */
 const UNREACHABLE_WINDOW_MS = 2000;
 /** One node alone may have lost its own path; two blame the target. */
-const UNREACHABLE_WITNESSES = 2;
+const MIN_UNREACHABLE_REPORTERS = 2;
 
 /** A target and its bookkeeping. */
-export class BookedTarget {
-  readonly belief: TargetBelief;
+export class TargetState {
+  readonly health: TargetHealthEstimate;
   readonly rateLimit = new TargetRateLimit();
   /** Requests that hold a slot. */
   inUse = 0;
@@ -24,7 +24,7 @@
   /** Another target answered at its address. */
   isReplaced = false;
   /** It said in an answer that it leaves, whatever the list of targets says. */
-  isLeaving = false;
+  hasReportedDraining = false;
   private readonly unreachableFrom = new Map<string, number>();
 
   constructor(
@@ -34,12 +34,12 @@
     /** Whether it registered while the home was at work, and no request has tried it yet. */
     readonly isNew: boolean,
   ) {
-    this.belief = new TargetBelief(model, joinedMs);
+    this.health = new TargetHealthEstimate(model, joinedMs);
   }
 
   /** Whether it may be given work at all. */
   get isReady(): boolean {
-    return !this.record.isDraining && !this.isReplaced && !this.isLeaving;
+    return !this.record.isDraining && !this.isReplaced && !this.hasReportedDraining;
   }
 
   hasFreeSlot(nowMs: number): boolean {
@@ -47,10 +47,10 @@
     return hasSlot && this.rateLimit.isOpen(nowMs);
   }
 
-  /** Slots that are in use at most, where work takes `workMs`: a named limit leaves some empty. */
-  countUsableSlots(workMs: number): number {
+  /** Slots that are in use at most, where work takes `processingMs`: a named limit leaves some empty. */
+  countUsableSlots(processingMs: number): number {
     const { grantsPerS } = this.rateLimit;
-    return Math.min(this.record.slots, (grantsPerS * workMs) / MS_PER_SECOND);
+    return Math.min(this.record.slots, (grantsPerS * processingMs) / MS_PER_SECOND);
   }
 
   isCold(nowMs: number): boolean {
@@ -66,11 +66,11 @@
     this.unreachableFrom.set(node, nowMs);
     for (const [other, atMs] of this.unreachableFrom) {
       const isOld = atMs < nowMs - UNREACHABLE_WINDOW_MS;
-      const isRefuted = atMs < (this.belief.lastSuccessMs ?? -Infinity);
+      const isRefuted = atMs < (this.health.lastSuccessMs ?? -Infinity);
       if (isOld || isRefuted) this.unreachableFrom.delete(other);
     }
-    if (this.unreachableFrom.size < UNREACHABLE_WITNESSES) return;
+    if (this.unreachableFrom.size < MIN_UNREACHABLE_REPORTERS) return;
     this.unreachableFrom.clear();
-    this.belief.recordFailure(nowMs);
+    this.health.recordFailure(nowMs);
   }
 }
--- a/packages/dispatch/src/home/common/ticket.ts
+++ b/packages/dispatch/src/home/common/ticket.ts
@@ -1,7 +1,7 @@
 /** One request at the home, from its question to its report. */
 import type { GrantDecision, IGrantRequest } from '../../grants/common/grant.js';
 import type { IQuotaToken } from '../../quotas/common/tenantAdmission.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { TargetState } from './targetState.js';
 
 /** What others see of it. */
 export interface ITicket {
@@ -10,14 +10,14 @@
   readonly node: string;
   /** The decision once there is one; undefined in the queue. */
   readonly decision: GrantDecision | undefined;
-  readonly askedMs: number;
+  readonly requestedMs: number;
 }
 
 /** The home's own view. */
 export class Ticket implements ITicket {
   decision: GrantDecision | undefined;
   /** The target that was granted: of the life that it had then. */
-  target: BookedTarget | undefined;
+  target: TargetState | undefined;
   grantedMs = 0;
   isOverdue = false;
   /** Taken from the quota of the request's tenant; given back if the request doesn't run. */
@@ -26,16 +26,16 @@
   constructor(
     readonly request: IGrantRequest,
     readonly node: string,
-    readonly askedMs: number,
+    readonly requestedMs: number,
     private readonly respond: (decision: GrantDecision) => void,
   ) {}
 
   get endMs(): number {
-    return this.askedMs + this.request.remainingMs;
+    return this.requestedMs + this.request.remainingMs;
   }
 
   getWaitedMs(nowMs: number): number {
-    return nowMs - this.askedMs;
+    return nowMs - this.requestedMs;
   }
 
   /** Takes the decision and answers the question; once. */
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -1,6 +1,6 @@
 /** What part of the tenants' limits is this home's to spend. */
 import type { Clock } from '@parsleymux/base';
-import { AT_WORK_MS } from '../../grants/common/homePace.js';
+import { ACTIVE_MS } from '../../grants/common/sharingIntervals.js';
 import { RequestRate } from './requestRate.js';
 
 /** What another home announced is out of date after this time, in ms: four announcements. */
@@ -67,7 +67,7 @@
   /** Counts a request of a tenant. */
   record(tenant: string): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    if (nowMs - this.lastMs > AT_WORK_MS) this.sinceMs = nowMs;
+    if (nowMs - this.lastMs > ACTIVE_MS) this.sinceMs = nowMs;
     this.lastMs = nowMs;
     this.total.add(nowMs);
     const rate = this.rates.get(tenant) ?? new RequestRate();
--- a/packages/dispatch/src/quotas/common/quotaSharing.ts
+++ b/packages/dispatch/src/quotas/common/quotaSharing.ts
@@ -4,7 +4,7 @@
 import type { TenantUse } from '@parsleymux/schema';
 import { TenantRateSchema, TenantUseSchema } from '@parsleymux/schema';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
-import { AT_WORK_MS, SHARE_EVERY_MS } from '../../grants/common/homePace.js';
+import { ACTIVE_MS, SHARE_INTERVAL_MS } from '../../grants/common/sharingIntervals.js';
 import type { HomeService } from '../../home/common/homeService.js';
 import type { QuotaShares } from './quotaShares.js';
 
@@ -40,9 +40,9 @@
 
   /** Announces from the first time that this node is asked as a home; most nodes never are. */
   start(): void {
-    if (this.options.homes.listBooks().length > 0) this.startTimer();
+    if (this.options.homes.listSchedulers().length > 0) this.startTimer();
     else
-      this.opened = this.options.homes.onDidOpenBook(() => {
+      this.opened = this.options.homes.onDidCreateScheduler(() => {
         void this.opened?.dispose();
         this.startTimer();
       });
@@ -63,7 +63,7 @@
   }
 
   private startTimer(): void {
-    this.timer = this.options.clock.startTimer(SHARE_EVERY_MS, () => {
+    this.timer = this.options.clock.startTimer(SHARE_INTERVAL_MS, () => {
       this.announce();
       this.startTimer();
     });
@@ -71,7 +71,7 @@
 
   private announce(): void {
     const { channel, getLimit, hasQuotas, homes, shares } = this.options;
-    const isAtWork = homes.listBooks().some(([, book]) => book.isAtWork(AT_WORK_MS));
+    const isAtWork = homes.listSchedulers().some(([, scheduler]) => scheduler.isActive(ACTIVE_MS));
     if (!isAtWork || !hasQuotas()) return;
     shares.clearIdle();
     const use = shares.summarize(getLimit);
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -3,7 +3,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { CaseStore, DatagramChannel, GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
 import {
-  BeliefSharing,
+  HealthSharing,
   CaseKeeper,
   DEFAULT_TENANT_BOUNDS,
   GrantServer,
@@ -47,7 +47,7 @@
   readonly runner: RequestRunner;
   readonly transport: ModelledTransport;
   private readonly homes: HomeService;
-  private readonly beliefs: BeliefSharing;
+  private readonly beliefs: HealthSharing;
   private readonly retries: RetrySharing;
   private readonly quarantine: QuarantineSharing;
   private readonly keeper: CaseKeeper;
@@ -91,7 +91,7 @@
       findTarget,
     });
     const server = new GrantServer({ channel, homes, clock });
-    const beliefs = new BeliefSharing({ channel, homes, clock, rankHomes });
+    const beliefs = new HealthSharing({ channel, homes, clock, rankHomes });
     const retries = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
     const sharing = new QuarantineSharing({
       channel,
--- a/packages/lab/src/experiment/policies/freeSlotCost.ts
+++ b/packages/lab/src/experiment/policies/freeSlotCost.ts
@@ -3,7 +3,7 @@
  * grants the target with the lowest cost, so detection, load and distance weigh against each other
  * in one unit, and no threshold decides alone.
  */
-import type { BookedTarget, IGrantRequest } from '@parsleymux/dispatch';
+import type { TargetState, IGrantRequest } from '@parsleymux/dispatch';
 
 /** Weights of the parts of a cost, each as a share of a request's worth. */
 export interface ITargetCostWeights {
@@ -55,9 +55,9 @@
  * @example
  * const cost = computeTargetCost(target, { request, weights, failingFailureRate: 0.7, retriesUsed: 0, nowMs });
  */
-export function computeTargetCost(target: BookedTarget, context: ICostContext): number {
+export function computeTargetCost(target: TargetState, context: ICostContext): number {
   const { request, weights, failingFailureRate, nowMs } = context;
-  const suspicion = target.belief.getSuspicion(nowMs);
+  const suspicion = target.health.getSuspicion(nowMs);
   const loss = computeLoss(context);
   const load = (target.inUse + 1) / Math.max(1, target.record.slots);
   let cost = suspicion * failingFailureRate * loss;
--- a/packages/lab/src/experiment/policies/freeSlotPolicy.ts
+++ b/packages/lab/src/experiment/policies/freeSlotPolicy.ts
@@ -1,13 +1,13 @@
 /** Grants whatever slot is free, the least doubtful first; requests wait only while none is. */
 import { ResultCode } from '@parsleymux/base';
 import type {
-  BookedTarget,
+  TargetState,
   IGrantRequest,
   IServiceState,
   IWaitingRequest,
   PolicyDecision,
 } from '@parsleymux/dispatch';
-import { GrantPolicy, isFirstDue, listFree } from '@parsleymux/dispatch';
+import { GrantPolicy, isFirstRequestDue, listFreeTargets } from '@parsleymux/dispatch';
 import type { ITargetCostWeights } from './freeSlotCost.js';
 import { computeTargetCost, DEFAULT_COST_WEIGHTS } from './freeSlotCost.js';
 
@@ -30,7 +30,7 @@
     const target = ahead > 0 && waitedMs === 0 ? undefined : this.pick(request, state);
     if (target !== undefined) return { kind: 'grant', target };
     if (waitedMs > 0 || ahead === 0) return { kind: 'wait' };
-    const meanMs = state.workTimes.getMeanMs(request.route, request.objectiveMs);
+    const meanMs = state.processingTimes.getMeanMs(request.route, request.objectiveMs);
     const neededMs = this.estimateWaitMs(request, ahead, state) + meanMs / 2;
     if (neededMs > request.remainingMs) return { kind: 'refuse', code: ResultCode.QueueFull };
     return { kind: 'wait' };
@@ -44,27 +44,27 @@
     const slots = state.targets
       .filter(({ isReady }) => isReady)
       .reduce((sum, { record }) => sum + record.slots, 0);
-    const meanMs = state.workTimes.getMeanMs(request.route, request.objectiveMs);
+    const meanMs = state.processingTimes.getMeanMs(request.route, request.objectiveMs);
     return (ahead * meanMs) / Math.max(1, slots);
   }
 
-  private pick(request: IGrantRequest, state: IServiceState): BookedTarget | undefined {
-    const free = listFree(request, state);
-    const untried = free.find((target) => isFirstDue(target, request, state.nowMs));
+  private pick(request: IGrantRequest, state: IServiceState): TargetState | undefined {
+    const free = listFreeTargets(request, state);
+    const untried = free.find((target) => isFirstRequestDue(target, request, state.nowMs));
     if (untried !== undefined) return untried;
-    if (state.isFailing && state.use.share < state.floorShare) return findLeastRecent(free);
+    if (state.isFailing && state.usage.share < state.floorShare) return findLeastRecent(free);
     return this.findCheapest(free, request, state);
   }
 
   private findCheapest(
-    free: readonly BookedTarget[],
+    free: readonly TargetState[],
     request: IGrantRequest,
     state: IServiceState,
-  ): BookedTarget | undefined {
+  ): TargetState | undefined {
     const { model, nowMs, retriesUsed } = state;
     const { failingFailureRate } = model;
     const context = { request, weights: this.weights, failingFailureRate, retriesUsed, nowMs };
-    let best: BookedTarget | undefined;
+    let best: TargetState | undefined;
     let bestCost = Infinity;
     for (const target of free) {
       const cost = computeTargetCost(target, context);
@@ -76,8 +76,8 @@
   }
 }
 
-function findLeastRecent(free: readonly BookedTarget[]): BookedTarget | undefined {
-  let least: BookedTarget | undefined;
+function findLeastRecent(free: readonly TargetState[]): TargetState | undefined {
+  let least: TargetState | undefined;
   for (const target of free) {
     const isLess = (target.lastGrantMs ?? 0) < (least?.lastGrantMs ?? 0);
     if (least === undefined || isLess) least = target;
--- a/packages/lab/src/experiment/policies/oraclePolicy.ts
+++ b/packages/lab/src/experiment/policies/oraclePolicy.ts
@@ -1,6 +1,6 @@
 /** Decides as if it knew which targets fail: what is lost then, nobody can avoid. */
 import type { IServiceState, IWaitingRequest, PolicyDecision } from '@parsleymux/dispatch';
-import { ExpectedCreditPolicy, listFree } from '@parsleymux/dispatch';
+import { ExpectedCreditPolicy, listFreeTargets } from '@parsleymux/dispatch';
 
 /** Tells whether a target is failing at this moment. */
 export type FailureOracle = (targetId: string) => boolean;
@@ -16,7 +16,7 @@
 
   override decide(waiting: IWaitingRequest, state: IServiceState): PolicyDecision {
     const targets = state.targets.filter(({ record }) => !this.isFailing(record.id));
-    const free = listFree(waiting.request, { ...state, targets });
+    const free = listFreeTargets(waiting.request, { ...state, targets });
     const decision = super.decide(waiting, { ...state, targets });
     const [first] = free;
     if (decision.kind === 'grant' || first === undefined || waiting.request.isHedge)
--- a/packages/lab/src/soak/breaks/node/deafToDrains.ts
+++ b/packages/lab/src/soak/breaks/node/deafToDrains.ts
@@ -2,9 +2,9 @@
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
-const MODULE = 'dispatch/dist/home/common/serviceBook.js';
+const MODULE = 'dispatch/dist/home/common/serviceScheduler.js';
 
-await wrapMethod(MODULE, 'ServiceBook', 'setTargets', (original) => {
+await wrapMethod(MODULE, 'ServiceScheduler', 'setTargets', (original) => {
   return function (records) {
     const staying = (records as readonly LooseObject[]).map((record) => {
       return { ...record, isDraining: false };
