--- a/packages/dispatch/src/grants/common/datagramChannel.ts
+++ b/packages/dispatch/src/grants/common/datagramChannel.ts
@@ -1,19 +1,19 @@
-/** Messages between nodes that may be lost, repeated or late. */
+/** Datagrams between nodes, which may be lost, duplicated or delayed. */
 import type { IDisposable } from '@parsleymux/base';
 import type { Datagram } from '@parsleymux/schema';
 
-/** Body of a datagram: one of the messages of the schema. */
+/** Body of a datagram: one of the schema's messages. */
 export type DatagramBody = Exclude<Datagram['body'], { case: undefined }>;
 
-/** Sends datagrams to nodes by address and passes on those that arrive. */
+/** Sends datagrams to nodes by address and delivers incoming ones to a handler. */
 export abstract class DatagramChannel implements IDisposable {
-  /** Address by which other nodes reach this one: IP number and port. */
+  /** Address at which other nodes reach this one: IP address and port. */
   abstract readonly address: string;
 
-  /** Sends without waiting; what can't be sent is counted and lost. */
+  /** Sends without waiting; datagrams that can't be sent are counted and dropped. */
   abstract send(address: string, body: DatagramBody): void;
 
-  /** Calls the handler with each datagram that arrives. */
+  /** Sets the handler that is called with each received datagram. */
   abstract setHandler(handler: (sender: string, body: DatagramBody) => void): void;
 
   abstract dispose(): void | Promise<void>;
--- a/packages/dispatch/src/grants/common/grant.ts
+++ b/packages/dispatch/src/grants/common/grant.ts
@@ -1,55 +1,55 @@
-/** Asking for targets: what an entry says, and what it gets. */
+/** Grant requests, decisions and outcomes, as exchanged between entries and homes. */
 import type { ResultCode } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 
-/** How a request that was granted a target fared. */
+/** The outcome of a request that was granted a target. */
 export const GrantOutcome = {
   Succeeded: 'succeeded',
-  /** The target answered with a failure of its own. */
+  /** The target responded with an error. */
   Failed: 'failed',
-  /** The target said that it did not run the request. */
+  /** The target rejected the request without running it. */
   Shed: 'shed',
   /** No connection could be made. */
   Unreachable: 'unreachable',
-  /** The connection broke, or the answer was not whole. */
+  /** The connection broke, or the response was incomplete. */
   Broken: 'broken',
-  /** Nothing came in time. */
+  /** No response arrived in time. */
   TimedOut: 'timed-out',
-  /** The caller left, or the grant was not used. */
+  /** The caller disconnected, or the grant was not used. */
   Abandoned: 'abandoned',
-  /** The address belongs to another target now. */
+  /** Another target responded at the address. */
   Misdirected: 'misdirected',
-  /** A kept connection broke when it was used again, before any byte of an answer. */
+  /** A kept connection broke on reuse, before any byte of a response. */
   Stale: 'stale',
 } as const;
 
 export type GrantOutcome = (typeof GrantOutcome)[keyof typeof GrantOutcome];
 
-/** What a home is told of an answer besides how the request fared. */
+/** What an entry reports of a response in addition to the outcome. */
 export interface IReportedResponse {
-  /** Size of the body; 0 where there was none. */
+  /** Size of the body in bytes; 0 without a body. */
   readonly answerBytes: number;
-  /** Whether the target has told the entry that it leaves. */
+  /** Whether the target has reported to the entry that it is draining. */
   readonly isDraining: boolean;
-  /** Requests a second that the target takes, if its answer named a limit. */
+  /** Advertised limit in requests per second, if the response contained one. */
   readonly rateLimit?: number | undefined;
 }
 
-/** No answer came. */
+/** The report without a response. */
 export const NO_RESPONSE: IReportedResponse = { answerBytes: 0, isDraining: false };
 
-/** A limit of requests that a target has named to an entry. */
+/** A rate limit that a target has advertised to an entry. */
 export interface IAdvertisedLimit {
   readonly targetId: string;
-  /** The target's life, see ITargetRecord. */
+  /** The target's incarnation, see ITargetRecord. */
   readonly bornMs: number | undefined;
-  /** Requests a second that the target takes from all nodes together. */
+  /** Limit in requests per second, for all nodes together. */
   readonly ratePerS: number;
-  /** Since it was named, in ms. */
+  /** Time since it was advertised, in ms. */
   readonly ageMs: number;
 }
 
-/** Outcomes that rest on a whole answer of the target itself. */
+/** Outcomes with a complete response of the target itself. */
 const OUTCOMES_WITH_RESPONSE: ReadonlySet<GrantOutcome> = new Set([
   GrantOutcome.Succeeded,
   GrantOutcome.Failed,
@@ -57,59 +57,59 @@
 ]);
 
 /**
- * Whether the target itself has answered, so that what the answer doesn't say is known too.
+ * Whether the target itself sent a complete response, so that the absence of a notice is known too.
  *
  * @example
- * isAnswered(GrantOutcome.Shed); // true
+ * hasCompleteResponse(GrantOutcome.Shed); // true
  */
 export function hasCompleteResponse(outcome: GrantOutcome): boolean {
   return OUTCOMES_WITH_RESPONSE.has(outcome);
 }
 
-/** What is asked for. */
+/** A request for a grant. */
 export interface IGrantRequest {
   /** The caller's identifier of the request, for logs. */
   readonly requestId: string;
-  /** Names of what is asked for, hashed: the same for all copies of a request. */
+  /** Hashes that identify what is requested: the same for all copies of a request. */
   readonly fingerprints: readonly string[];
-  /** Name of the request's route: requests of one route take similar work. */
+  /** Name of the request's route: requests of one route have similar processing times. */
   readonly route: string;
   readonly service: string;
   /** Failure domain of the entry. */
   readonly failureDomain: string;
-  /** 1 for the first time that the request is sent. */
+  /** 1 for the first attempt. */
   readonly attempt: number;
   /**
-   * Whether the request asked before, and nothing came of it: its grant was not used, or the home that
-   * was asked first said nothing. It may have been counted there.
+   * Whether a grant was already requested without success: the grant was not used, or the first home did
+   * not respond. That home may have counted the request.
    */
   readonly isRepeated: boolean;
   /**
-   * Whether the request reached a target before. One that answered that it is another target has not
-   * run it, but was reached: the limit of retries counts what arrives.
+   * Whether the request reached a target before, including another target at the same address that did
+   * not run it: the retry limit applies to requests that arrive.
    */
   readonly isRetry: boolean;
   readonly isIdempotent: boolean;
-  /** Whether it may be sent once more if this attempt fails. */
+  /** Whether it may be retried if this attempt fails. */
   readonly mayRetry: boolean;
-  /** Whether an attempt of the request is still under way, and this one would run beside it. */
+  /** Whether another attempt of the request is in progress, so that this one would run concurrently. */
   readonly isHedge: boolean;
-  /** Digest of the caller's key; undefined where none is needed. */
+  /** Digest of the caller's key; undefined if none is required. */
   readonly key: string | undefined;
-  /** Version of the configuration by which the entry let the request in. */
+  /** Version of the configuration with which the entry admitted the request. */
   readonly catalogVersion: number;
-  /** Whether an earlier attempt may have run, so that the request holds a token of its quota. */
+  /** Whether an earlier attempt may have run, so that the request already holds a quota token. */
   readonly isCharged: boolean;
   readonly priority: number;
-  /** Time that is left to the request, in ms. */
+  /** Time until the request's deadline, in ms. */
   readonly remainingMs: number;
-  /** Time within which an answer is worth most, in ms. */
+  /** Time within which a response has full credit, in ms. */
   readonly objectiveMs: number;
-  /** Identifiers of targets to which the entry keeps a connection that waits for a request. */
+  /** Identifiers of targets to which the entry keeps an idle connection. */
   readonly connected: readonly string[];
-  /** Identifiers of targets that it must not be sent to. */
+  /** Identifiers of targets that must not be granted. */
   readonly excluded: readonly string[];
-  /** Limits that targets of the service have named to the entry, the latest first. */
+  /** Limits that targets of the service have advertised to the entry, latest first. */
   readonly limits: readonly IAdvertisedLimit[];
 }
 
@@ -118,14 +118,14 @@
   | {
       readonly kind: 'granted';
       readonly target: ITargetRecord;
-      /** Probability that the target is failing, as decided upon. */
+      /** Probability that the target is failing, as estimated at the decision. */
       readonly suspicion: number;
-      /** Whether a kept connection must not be used: those of the service break lately. */
+      /** Whether a kept connection must not be used, because those of the service have broken recently. */
       readonly needsFreshConnection: boolean;
     }
   | {
       readonly kind: 'refused';
       readonly code: ResultCode;
-      /** When to come back, in ms; 0 if that would change nothing. */
+      /** Retry-After in ms; 0 if a later retry would not help. */
       readonly retryAfterMs: number;
     };
--- a/packages/dispatch/src/grants/common/grantMessages.ts
+++ b/packages/dispatch/src/grants/common/grantMessages.ts
@@ -1,4 +1,4 @@
-/** Translation between grants and the messages that carry them. */
+/** Encodes and decodes the protobuf messages of grants. */
 import { create } from '@bufbuild/protobuf';
 import type { Ask, Decision, TargetLimit } from '@parsleymux/schema';
 import {
@@ -16,7 +16,7 @@
 import { GrantOutcome } from './grant.js';
 
 const PERMILLE = 1000;
-/** Limits that go with one question to a home, so that it stays within one packet. */
+/** Maximum number of limits in one grant request, so that it fits into one packet. */
 const MAX_LIMITS_PER_REQUEST = 8;
 const MILLI = 1000;
 const MAX_UINT32 = 0xffff_ffff;
@@ -45,7 +45,7 @@
   return OUTCOMES[outcome];
 }
 
-/** An outcome of a newer version says nothing that this one could use. */
+/** Unknown outcomes of a newer version are decoded as abandoned, which is no evidence. */
 export function decodeOutcome(outcome: Outcome): GrantOutcome {
   return OUTCOME_NAMES.get(outcome) ?? GrantOutcome.Abandoned;
 }
@@ -83,7 +83,7 @@
   });
 }
 
-/** The request that an entry asks for. */
+/** Decodes a grant request. */
 export function decodeAsk(ask: Ask): IGrantRequest {
   return {
     requestId: ask.requestId,
@@ -99,7 +99,7 @@
     catalogVersion: Number(ask.catalogVersion),
     isCharged: ask.charged,
     isRepeated: ask.repeated,
-    // An older entry doesn't say it: what it sends more than once is a retry all the same.
+    // Older entries don't set the field; any attempt after the first one is a retry.
     isRetry: ask.retry || ask.attempt > 1,
     priority: ask.priority,
     remainingMs: ask.remainingMs,
@@ -114,7 +114,7 @@
   };
 }
 
-/** What a home answers; undefined stands for a place in its queue. */
+/** Encodes a decision; undefined stands for a queued request. */
 export function encodeDecision(askId: bigint, decision: GrantDecision | undefined): Decision {
   if (decision === undefined) {
     return create(DecisionSchema, { askId, kind: DecisionKind.QUEUED });
@@ -137,17 +137,17 @@
   });
 }
 
-/** The field that names a target's life; none where the target doesn't tell its lives apart. */
+/** Encodes the target's incarnation; omits the field if the target doesn't distinguish incarnations. */
 export function encodeBornMs(bornMs: number | undefined): { readonly bornMs?: bigint } {
   return bornMs === undefined ? {} : { bornMs: BigInt(bornMs) };
 }
 
-/** In ms of Unix time. */
+/** Decodes the start of a target's incarnation, in ms of Unix time. */
 export function decodeBornMs(bornMs: bigint | undefined): number | undefined {
   return bornMs === undefined ? undefined : Number(bornMs);
 }
 
-/** A target's limit; `ageMs` since the answer that it rests on. */
+/** Encodes a target's limit, received in a response `ageMs` ago. */
 export function encodeLimit(
   limit: {
     readonly targetId: string;
@@ -167,17 +167,17 @@
   });
 }
 
-/** Thousandths of a request a second; undefined stays undefined: there is no limit. */
+/** Encodes a rate in thousandths of a request per second; undefined stands for no limit. */
 export function encodeRate(ratePerS: number | undefined): number | undefined {
   return ratePerS === undefined ? undefined : Math.min(MAX_UINT32, Math.floor(ratePerS * MILLI));
 }
 
-/** Requests a second. */
+/** Decodes a rate to requests per second. */
 export function decodeRate(rateMilli: number | undefined): number | undefined {
   return rateMilli === undefined ? undefined : rateMilli / MILLI;
 }
 
-/** Probability from 0 to 1. */
+/** Decodes the probability that the target is failing, from 0 to 1. */
 export function decodeSuspicion(decision: Decision): number {
   return decision.suspicionPermille / PERMILLE;
 }
--- a/packages/dispatch/src/grants/common/grantRequestSender.ts
+++ b/packages/dispatch/src/grants/common/grantRequestSender.ts
@@ -1,37 +1,37 @@
-/** One question to one home: repeated while no answer comes, for datagrams may be lost. */
+/** Sends one grant request to one home, with retransmission because datagrams may be lost. */
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { Decision } from '@parsleymux/schema';
 import { DecisionKind } from '@parsleymux/schema';
 
 /**
- * A question is repeated when no answer came in this time, in ms: about ten round trips between
- * failure domains of a region, and more than a busy home needs to get to it.
+ * Retransmission timeout in ms: about ten round trips between failure domains of a region, and longer
+ * than a busy home takes to process a request.
  */
 const RETRANSMIT_MS = 25;
-/** Times that a question is sent without any answer before its home counts as silent. */
+/** Number of transmissions without a response after which the home is considered unresponsive. */
 const MAX_UNANSWERED_SENDS = 2;
-/** A question that waits in the home's queue is repeated this often, in ms: its decision may be lost. */
+/** Retransmission interval of a request queued at the home, in ms: its decision may have been lost. */
 const QUEUED_RETRANSMIT_MS = 150;
 
 /** Options of a {@link GrantRequestSender}. */
 export interface IGrantRequestSenderOptions {
   readonly clock: Clock;
-  /** Aborting it ends the question. */
+  /** Aborting it ends the request. */
   readonly signal: AbortSignal;
-  /** Sends the question; `elapsedMs` have passed since it was asked first. */
+  /** Sends the request; `elapsedMs` is the time since the first transmission. */
   readonly send: (elapsedMs: number) => void;
 }
 
 /**
- * Runs once.
+ * Handles a single request; not reusable.
  *
  * @example
- * const decision = await new HomeQuestion({ clock, signal, send }).run();
+ * const decision = await new GrantRequestSender({ clock, signal, send }).run();
  */
 export class GrantRequestSender {
   private readonly startMs: number;
   private timer: IDisposable | undefined;
-  /** Sends since the home was last heard. */
+  /** Number of transmissions since the last response. */
   private unansweredSends = 0;
   private isQueued = false;
   private resolve: (decision: Decision | undefined) => void = () => undefined;
@@ -40,7 +40,7 @@
     this.startMs = options.clock.getMonotonicTime();
   }
 
-  /** The final decision; undefined when the home stays silent or the signal aborts. */
+  /** Resolves with the final decision, or undefined if the home does not respond or the signal aborts. */
   run(): Promise<Decision | undefined> {
     return new Promise((resolve) => {
       this.resolve = resolve;
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Takes an answer of the home. */
+  /** Handles a response of the home. */
   handleDecision(decision: Decision): void {
     if (decision.kind !== DecisionKind.QUEUED) {
       this.finish(decision);
--- a/packages/dispatch/src/grants/common/grantServer.ts
+++ b/packages/dispatch/src/grants/common/grantServer.ts
@@ -1,4 +1,4 @@
-/** The home's side of asking: answers questions of other nodes, once each however often they arrive. */
+/** The home's side of grant requests: decides each request of another node once, however often it arrives. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '@parsleymux/base';
 import type { Ask, Report } from '@parsleymux/schema';
@@ -10,9 +10,9 @@
 import type { GrantDecision } from './grant.js';
 import { decodeAsk, decodeOutcome, decodeRate, encodeDecision } from './grantMessages.js';
 
-/** Answers are kept this long for repeated questions, in ms: longer than entries go on asking. */
+/** Tickets are kept this long after their deadline for repeated requests, in ms: longer than entries retransmit. */
 const TICKET_RETENTION_MS = 10_000;
-/** Tickets are looked through for old ones after this many new ones. */
+/** Expired tickets are removed after this number of new ones. */
 const PURGE_EVERY = 256;
 
 /** Options of a {@link GrantServer}. */
@@ -29,7 +29,7 @@
 }
 
 /**
- * Serves the questions that arrive on a channel.
+ * Serves the grant requests and reports that arrive on a channel.
  *
  * @example
  * server.handleAsk(sender, ask);
@@ -47,7 +47,7 @@
       this.sendDecision(sender, ask.id, known.ticket.decision);
       return;
     }
-    // Silence makes the entry go on to the next home; see HomeService.isInformed.
+    // Without a response the entry tries the next home; see HomeService.hasReceivedTargets.
     if (!this.options.homes.hasReceivedTargets) return;
     this.clearExpired();
     const scheduler = this.options.homes.getScheduler(ask.service);
--- a/packages/dispatch/src/grants/common/healthSharing.ts
+++ b/packages/dispatch/src/grants/common/healthSharing.ts
@@ -1,4 +1,4 @@
-/** Homes at work tell the nodes that would take over from them what they believe of targets. */
+/** Sends the health estimates of active homes to the nodes that would take over from them. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { Belief, Beliefs, TargetLimit } from '@parsleymux/schema';
@@ -10,9 +10,9 @@
 import { decodeBornMs, decodeRate, encodeBornMs, encodeLimit } from './grantMessages.js';
 import { ACTIVE_MS, SHARE_INTERVAL_MS } from './sharingIntervals.js';
 
-/** Older beliefs have drifted back to what is true of any target, in ms. */
+/** Older estimates are not sent, in ms: they have converged to the average of all targets. */
 const MAX_AGE_MS = 15_000;
-/** Beliefs, and limits, in one datagram: some 20 and 40 bytes each. */
+/** Maximum number of estimates and of limits in one datagram: about 20 and 40 bytes each. */
 const MAX_ENTRIES_PER_DATAGRAM = 50;
 const PERMILLE = 1000;
 
@@ -21,13 +21,13 @@
   readonly channel: DatagramChannel;
   readonly homes: HomeService;
   readonly clock: Clock;
-  /** Homes of a service, best first. */
+  /** Homes of a service in order of preference. */
   readonly rankHomes: (service: string) => readonly string[];
 }
 
 /**
- * Without it, every home that starts, stops or dies would take all that the fleet has learnt of its
- * services with it, and the next home would find each gray target again by losing requests to it.
+ * Preserves the health estimates when the home of a service changes. Without them, the next home would
+ * detect each failing target again by losing requests to it.
  *
  * @example
  * sharing.start();
@@ -45,7 +45,7 @@
     });
   }
 
-  /** Takes what another home believes. */
+  /** Applies the estimates and limits of another home. */
   handleBeliefs(sender: string, message: Beliefs): void {
     const nowMs = this.options.clock.getMonotonicTime();
     const scheduler = this.options.homes.getScheduler(message.service);
@@ -95,7 +95,7 @@
   }
 }
 
-/** Also of a target that names no limit any more: other homes would go on keeping to it. */
+/** Includes targets that no longer advertise a limit; otherwise other homes would keep enforcing it. */
 function encodeTargetLimit(target: TargetState, nowMs: number): TargetLimit | undefined {
   const { granted, rateLimit, record } = target;
   const { evidence } = rateLimit;
--- a/packages/dispatch/src/grants/common/homeHealth.ts
+++ b/packages/dispatch/src/grants/common/homeHealth.ts
@@ -1,9 +1,9 @@
-/** Which homes answer this node, learnt from its own questions. */
+/** Tracks which homes respond to the grant requests of this node. */
 import type { Clock } from '@parsleymux/base';
 
-/** A home that left a question unanswered is passed over this long at first, in ms. */
+/** Initial backoff of a home that did not respond, in ms. */
 const INITIAL_BACKOFF_MS = 1000;
-/** Each further silence doubles the pause, up to this, in ms. */
+/** The backoff doubles with each further missing response, up to this, in ms. */
 const MAX_BACKOFF_MS = 8000;
 
 interface IBackoff {
@@ -12,10 +12,10 @@
 }
 
 /**
- * Passes over homes that are silent, and tries them again after a while.
+ * Skips unresponsive homes for an exponential backoff.
  *
  * @example
- * if (health.isSilent(home)) askNext();
+ * if (health.isUnresponsive(home)) tryNext();
  */
 export class HomeHealth {
   private readonly backoffs = new Map<string, IBackoff>();
--- a/packages/dispatch/src/grants/common/homeSelector.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.ts
@@ -1,4 +1,4 @@
-/** Gets targets from the homes of services, and decides alone when none can be asked. */
+/** Obtains targets from the homes of services, and decides locally if none of them responds. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, Logger } from '@parsleymux/base';
 import type { ResultCode } from '@parsleymux/base';
@@ -21,9 +21,9 @@
 import type { IGrant, Selection } from './targetSelector.js';
 import { TargetSelector } from './targetSelector.js';
 
-/** Homes that are asked before this node decides alone. */
+/** Number of homes tried before this node decides locally. */
 const MAX_HOMES_TRIED = 2;
-/** Waits between the sends of a report that nobody confirmed, in ms. */
+/** Delays between transmissions of an unconfirmed report, in ms. */
 const REPORT_RETRY_DELAYS_MS = [40, 150, 600];
 
 /** Options of a {@link HomeSelector}. */
@@ -32,25 +32,25 @@
   readonly homes: HomeService;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Tells this start of the process from earlier ones. */
+  /** Distinguishes this process from earlier ones at the same address. */
   readonly incarnation: number;
-  /** Homes of a service, best first; this node's own address may be among them. */
+  /** Homes of a service in order of preference; may contain this node's own address. */
   readonly rankHomes: (service: string) => readonly string[];
   readonly findTarget: (id: string) => ITargetRecord | undefined;
 }
 
 interface IPendingRequest {
   readonly home: string;
-  readonly question: GrantRequestSender;
+  readonly requestSender: GrantRequestSender;
 }
 
-/** What one home said; undefined when it stayed silent. */
+/** The response of one home; undefined if there was none. */
 type HomeResponse =
   Selection | { readonly kind: 'unusable-target'; readonly id: string } | undefined;
 
 /**
- * Asks the homes of a service in their order. The wait for silent homes is bounded, so the loss of
- * a home costs precision and some tens of ms, never a request.
+ * Tries the homes of a service in order. The wait for unresponsive homes is bounded, so a crashed home
+ * costs accuracy and some tens of ms, but never a request.
  *
  * @example
  * const selection = await selector.choose(request, signal);
@@ -69,8 +69,8 @@
   override async choose(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
     const { channel, clock, log } = this.options;
     const endMs = clock.getMonotonicTime() + request.remainingMs;
-    // Each home lets a request wait for as long as it is told, whatever other questions took.
-    const makeRepeat = (): IGrantRequest => {
+    // A home queues a request for the remaining time it receives, so earlier homes' time must be deducted.
+    const makeRepeatedRequest = (): IGrantRequest => {
       const remainingMs = Math.max(0, endMs - clock.getMonotonicTime());
       return { ...request, isRepeated: true, remainingMs };
     };
@@ -78,45 +78,48 @@
     const responsive = homes
       .filter((home) => !this.health.isUnresponsive(home))
       .slice(0, MAX_HOMES_TRIED);
-    let asked = request;
+    let current = request;
     for (const home of responsive) {
       if (home === channel.address) {
         if (!this.options.homes.hasReceivedTargets) continue;
-        return this.decideLocally(asked, signal);
+        return this.decideLocally(current, signal);
       }
-      const answer = await this.requestGrant(home, asked, signal);
-      // Counted by each home that hears of it, one request would earn the service several shares of
-      // a retry.
-      asked = makeRepeat();
-      if (answer?.kind === 'unusable-target') {
-        const excluded = [...request.excluded, answer.id];
-        return this.choose({ ...asked, excluded }, signal);
+      const response = await this.requestGrant(home, current, signal);
+      // If several homes counted the same request, it would increase the retry allowance several times.
+      current = makeRepeatedRequest();
+      if (response?.kind === 'unusable-target') {
+        const excluded = [...request.excluded, response.id];
+        return this.choose({ ...current, excluded }, signal);
       }
-      if (answer !== undefined) return answer;
+      if (response !== undefined) return response;
       this.health.recordNoResponse(home);
       log.warn('home is silent', { home, service: request.service });
     }
-    return this.decideLocally(this.removeLimitedTargets(asked), signal);
+    return this.decideLocally(this.removeLimitedTargets(current), signal);
   }
 
   /**
-   * A node that decides for itself knows nothing of what others send, so it avoids targets that name a
-   * limit over all nodes.
+   * A node that decides locally doesn't know what other nodes send, so it avoids targets that advertise a
+   * limit for all nodes together.
    */
   private removeLimitedTargets(request: IGrantRequest): IGrantRequest {
     const targets = this.options.homes.findScheduler(request.service)?.listTargets() ?? [];
-    const known = targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined);
-    const named = request.limits.map(({ targetId }) => targetId);
-    const excluded = [...request.excluded, ...named, ...known.map(({ record }) => record.id)];
+    const limited = targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined);
+    const advertised = request.limits.map(({ targetId }) => targetId);
+    const excluded = [
+      ...request.excluded,
+      ...advertised,
+      ...limited.map(({ record }) => record.id),
+    ];
     return { ...request, excluded };
   }
 
-  /** Takes a decision that arrived. */
+  /** Handles a received decision. */
   handleDecision(sender: string, decision: Decision): void {
     const pending = this.pending.get(decision.askId);
     if (pending?.home !== sender) return;
     this.health.recordResponse(sender);
-    pending.question.handleDecision(decision);
+    pending.requestSender.handleDecision(decision);
   }
 
   handleReportReceived(askId: bigint): void {
@@ -124,12 +127,12 @@
     this.unconfirmed.delete(askId);
   }
 
-  /** A node said that it stops: it is not asked any more. */
+  /** Handles the shutdown notice of a node: no further requests are sent to it. */
   handleLeaving(sender: string): void {
     this.health.recordNoResponse(sender);
   }
 
-  /** Resolves with undefined when the home stays silent; rejects when `signal` aborts. */
+  /** Resolves with undefined if the home does not respond; rejects if `signal` aborts. */
   private async requestGrant(
     home: string,
     request: IGrantRequest,
@@ -137,18 +140,18 @@
   ): Promise<HomeResponse> {
     const { channel, clock, incarnation } = this.options;
     const id = this.nextId++;
-    const question = new GrantRequestSender({
+    const requestSender = new GrantRequestSender({
       clock,
       signal,
       send: (elapsedMs) => {
-        const remaining = { ...request, remainingMs: request.remainingMs - elapsedMs };
-        channel.send(home, { case: 'ask', value: encodeAsk(remaining, id, incarnation) });
+        const remainingRequest = { ...request, remainingMs: request.remainingMs - elapsedMs };
+        channel.send(home, { case: 'ask', value: encodeAsk(remainingRequest, id, incarnation) });
       },
     });
-    this.pending.set(id, { home, question });
-    const decision = await question.run().finally(() => this.pending.delete(id));
+    this.pending.set(id, { home, requestSender });
+    const decision = await requestSender.run().finally(() => this.pending.delete(id));
     if (decision === undefined) {
-      // The home may have granted already, or will when a slot gets free.
+      // The home may already have granted a slot, or may grant one later if the request is queued.
       this.sendReport(home, id, request, undefined, 'abandoned', 0);
       signal.throwIfAborted();
       return undefined;
@@ -167,9 +170,9 @@
       return { kind: 'refused', code, retryAfterMs: decision.retryAfterMs, home };
     }
     const target = this.options.findTarget(decision.targetId);
-    // Either side may have older news: the home knows a target that this node has not heard of, or a
-    // home that stood still for a while grants one that this node knows to be leaving. Where they
-    // know different lives of a target, its address may have changed too.
+    // Either side may have older data: the home may know a target that this node has not learned of, or a
+    // home that was paused may grant one that this node knows to be draining. If they know different
+    // incarnations of a target, its address may have changed too.
     const isSameLife = target?.bornMs === decodeBornMs(decision.bornMs);
     if (target === undefined || target.isDraining || !isSameLife) {
       this.sendReport(home, id, request, undefined, 'abandoned', 0);
@@ -197,8 +200,8 @@
       home,
       suspicion: decodeSuspicion(decision),
       needsFreshConnection: decision.freshConnection,
-      report: (outcome, latencyMs, answer) => {
-        this.sendReport(home, id, request, target.id, outcome, latencyMs, answer);
+      report: (outcome, latencyMs, response) => {
+        this.sendReport(home, id, request, target.id, outcome, latencyMs, response);
       },
     };
   }
@@ -210,13 +213,13 @@
     targetId: string | undefined,
     outcome: GrantOutcome,
     latencyMs: number,
-    { answerBytes, isDraining: isLeaving, rateLimit }: IReportedResponse = NO_RESPONSE,
+    { answerBytes, isDraining, rateLimit }: IReportedResponse = NO_RESPONSE,
   ): void {
     const rateLimitMilli = encodeRate(rateLimit);
     const value = create(ReportSchema, {
       ...(rateLimitMilli === undefined ? {} : { rateLimitMilli }),
       answerBytes,
-      leaving: isLeaving,
+      leaving: isDraining,
       askId,
       service: request.service,
       targetId: targetId ?? '',
@@ -260,8 +263,8 @@
           return;
         }
         const { needsFreshConnection, suspicion, target } = decision;
-        const report = (outcome: GrantOutcome, latencyMs: number, answer?: IReportedResponse) => {
-          scheduler.recordOutcome(ticket, outcome, latencyMs, answer);
+        const report = (outcome: GrantOutcome, latencyMs: number, response?: IReportedResponse) => {
+          scheduler.recordOutcome(ticket, outcome, latencyMs, response);
         };
         const grant = { target, home, suspicion, needsFreshConnection, report };
         resolve({ kind: 'granted', grant });
--- a/packages/dispatch/src/grants/common/retrySharing.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.ts
@@ -1,4 +1,4 @@
-/** Homes at work tell the nodes that would take over from them how many retries were sent. */
+/** Sends the retry counts of active homes to the nodes that would take over from them. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { RetryUse } from '@parsleymux/schema';
@@ -14,15 +14,15 @@
   readonly channel: DatagramChannel;
   readonly homes: HomeService;
   readonly clock: Clock;
-  /** Tells this start of the process from earlier ones. */
+  /** Distinguishes this process from earlier ones at the same address. */
   readonly incarnation: number;
-  /** Homes of a service, best first. */
+  /** Homes of a service in order of preference. */
   readonly rankHomes: (service: string) => readonly string[];
 }
 
 /**
- * The limit of retries holds over all nodes, while a home sees its own grants only. What is told
- * here survives it: the next home goes on counting where it stopped, and passes on what it was told.
+ * The retry limit applies to all nodes together, while a home counts only its own grants. The shared
+ * counts outlive their home: the next home adds its own counts and forwards those it received.
  *
  * @example
  * sharing.start();
@@ -31,7 +31,7 @@
   private timer: IDisposable | undefined;
   private readonly opened: IDisposable;
   private sequence = 0n;
-  /** Since when this node is among the homes of a service, in ms of the monotonic clock. */
+  /** By service: the time since which this node is among its homes, in ms of the monotonic clock. */
   private readonly rankedSinceMs = new Map<string, number>();
 
   constructor(private readonly options: IRetrySharingOptions) {
@@ -48,18 +48,18 @@
     });
   }
 
-  /** Tells at once: a home that stops would take along what it granted since it told last. */
+  /** Sends the counts immediately: when a home stops, grants since its last message would be lost. */
   announce(): void {
     for (const [service, scheduler] of this.options.homes.listSchedulers()) {
       if (scheduler.isActive(ACTIVE_MS)) this.announceScheduler(service, scheduler);
     }
   }
 
-  /** Takes what another home told. */
+  /** Handles the counts received from another home. */
   handleRetryUse(message: RetryUse): void {
     const { clock, homes } = this.options;
     const { retries } = homes.getScheduler(message.service);
-    // Parts of another length don't fit this window; the sender has other settings for a moment.
+    // Parts of another length can't be added to this window; the sender temporarily has other settings.
     if (message.partMs !== retries.partMs) return;
     const nowMs = clock.getMonotonicTime();
     const counts = message.counts
@@ -85,7 +85,7 @@
     for (const service of this.options.homes.listServices()) this.updateRank(service);
   }
 
-  /** Notes since when this node is among the homes of a service. */
+  /** Records the time since which this node is among the homes of a service. */
   private updateRank(service: string): void {
     const { channel, clock, homes, rankHomes } = this.options;
     const isRanked = rankHomes(service).includes(channel.address);
--- a/packages/dispatch/src/grants/common/sharingIntervals.ts
+++ b/packages/dispatch/src/grants/common/sharingIntervals.ts
@@ -1,10 +1,10 @@
-/** How often homes tell each other what they know. */
+/** Intervals at which homes exchange their state. */
 
 /**
- * Pause between two tellings, in ms. A home that takes over lacks what happened since: a target that
- * turned gray in that time costs one more request, and retries of that time are covered by the part
- * of the burst that homes leave unused.
+ * Interval between two messages, in ms. A home that takes over lacks the events since the last message:
+ * a target that began to fail in that time costs one more request, and retries of that time are covered
+ * by the unused share of the burst.
  */
 export const SHARE_INTERVAL_MS = 500;
-/** A home counts as at work while it was asked within this time, in ms. */
+/** A home is active for this long after its last grant request, in ms. */
 export const ACTIVE_MS = 1500;
--- a/packages/dispatch/src/grants/common/targetSelector.ts
+++ b/packages/dispatch/src/grants/common/targetSelector.ts
@@ -1,26 +1,26 @@
-/** How an entry gets a target for a request: varies with who decides. */
+/** The interface through which an entry obtains a target for a request. */
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { GrantDecision, GrantOutcome, IGrantRequest, IReportedResponse } from './grant.js';
 
-/** A target that may be sent one request, until its outcome is reported. */
+/** Permission to send one request to a target, valid until its outcome is reported. */
 export interface IGrant {
   readonly target: ITargetRecord;
-  /** Node that decided, for logs. */
+  /** Node that made the decision, for logs. */
   readonly home: string;
   readonly suspicion: number;
-  /** Whether a kept connection must not be used: those of the service break lately. */
+  /** Whether a kept connection must not be used, because those of the service have broken recently. */
   readonly needsFreshConnection: boolean;
-  /** Tells the home how it went; to be called exactly once. */
-  report(outcome: GrantOutcome, latencyMs: number, answer?: IReportedResponse): void;
+  /** Reports the outcome to the home; must be called exactly once. */
+  report(outcome: GrantOutcome, latencyMs: number, response?: IReportedResponse): void;
 }
 
-/** What an entry gets. */
+/** The result of a selection. */
 export type Selection =
   | { readonly kind: 'granted'; readonly grant: IGrant }
   | (Extract<GrantDecision, { kind: 'refused' }> & { readonly home: string });
 
-/** Gets targets for requests. */
+/** Selects targets for requests. */
 export abstract class TargetSelector {
-  /** Resolves with a grant or a refusal; rejects only when `signal` aborts. */
+  /** Resolves with a grant or a refusal; the promise rejects only if `signal` aborts. */
   abstract choose(request: IGrantRequest, signal: AbortSignal): Promise<Selection>;
 }
--- a/packages/dispatch/src/grants/node/udpChannel.ts
+++ b/packages/dispatch/src/grants/node/udpChannel.ts
@@ -1,4 +1,4 @@
-/** Datagrams over UDP, in protobuf. */
+/** Protobuf datagrams over UDP. */
 import { once } from 'node:events';
 import type { RemoteInfo, Socket } from 'node:dgram';
 import { createSocket } from 'node:dgram';
@@ -9,15 +9,15 @@
 import type { DatagramBody } from '../common/datagramChannel.js';
 import { DatagramChannel } from '../common/datagramChannel.js';
 
-/** Malformed datagrams are logged this often at most, in ms. */
+/** Minimum interval between log lines on malformed datagrams, in ms. */
 const MALFORMED_LOG_MS = 1000;
 
-/** A socket that is bound. */
+/** A channel over a bound UDP socket. */
 export class UdpChannel extends DatagramChannel {
   private onDatagram: (sender: string, body: DatagramBody) => void = () => undefined;
   private isClosed = false;
   private lastMalformedMs = -Infinity;
-  /** Datagrams that could not be sent, and that could not be read. */
+  /** Number of datagrams that could not be sent, and of those that could not be decoded. */
   readonly counts = { unsent: 0, malformed: 0 };
 
   private constructor(
@@ -29,14 +29,14 @@
     socket.on('message', (bytes, sender) => {
       this.receive(bytes, sender);
     });
-    // Errors of earlier sends are raised on the socket; each datagram may be lost anyway.
+    // The socket emits errors of earlier sends; they are only counted, since datagrams may be lost anyway.
     socket.on('error', (error) => {
       this.counts.unsent += 1;
       this.log.warn('datagram socket error', { reason: error.message });
     });
   }
 
-  /** Binds to an IP number and port; port 0 lets the system choose. */
+  /** Binds to an IP address and port; with port 0 the system chooses a port. */
   static async open(address: string, log: Logger): Promise<UdpChannel> {
     const { host, port } = parseTargetAddress(address);
     const socket = createSocket('udp4');
@@ -46,7 +46,7 @@
   }
 
   override send(address: string, body: DatagramBody): void {
-    // Repeats of reports may still be due when the node stops; writing to a closed socket throws.
+    // Retransmissions of reports may be pending when the node stops; sending on a closed socket throws.
     if (this.isClosed) return;
     const bytes = toBinary(DatagramSchema, create(DatagramSchema, { body }));
     const { host, port } = parseTargetAddress(address);
--- a/packages/dispatch/src/home/common/creditForecast.ts
+++ b/packages/dispatch/src/home/common/creditForecast.ts
@@ -1,13 +1,13 @@
-/** What an answer to one request will be worth, by when its work begins. */
+/** Estimates the credit of one request, depending on when its processing starts. */
 import type { IWaitingRequest } from './grantPolicy.js';
 import type { ProcessingTimes } from './processingTimes.js';
 
 /**
- * The forecast rests on what sound targets took for the same route lately.
+ * Based on recent processing times of the same route.
  *
  * @example
  * const forecast = new CreditForecast(waiting, processingTimes, 0.7);
- * forecast.getCredit(0); // 0.97: nearly all answers come in time when the work begins now
+ * forecast.getCredit(0); // 0.97: nearly all responses meet the objective if processing starts now
  */
 export class CreditForecast {
   private readonly objectiveLeftMs: number;
@@ -16,7 +16,7 @@
   constructor(
     private readonly waiting: IWaitingRequest,
     private readonly processingTimes: ProcessingTimes,
-    /** Credit of an answer after the objective, as a share of one that comes in time. */
+    /** Credit of a response after the objective, relative to one within it. */
     private readonly lateCredit: number,
   ) {
     const { request, waitedMs } = waiting;
@@ -24,7 +24,7 @@
     this.deadlineLeftMs = request.remainingMs - waitedMs;
   }
 
-  /** Expected credit, from 0 to 1, if the work begins after `delayMs`. */
+  /** Expected credit, from 0 to 1, if processing starts after `delayMs`. */
   getCredit(delayMs: number): number {
     const inTime = this.getShareWithin(
       Math.min(this.objectiveLeftMs, this.deadlineLeftMs) - delayMs,
--- a/packages/dispatch/src/home/common/creditSettings.ts
+++ b/packages/dispatch/src/home/common/creditSettings.ts
@@ -1,60 +1,58 @@
-/** Settings of the policy of expected credit, each with the load that it answers. */
+/** Settings of the expected-credit policy, with the reason of each. */
 import type { IPlacementWeights } from './placementCost.js';
 import { DEFAULT_PLACEMENT_WEIGHTS } from './placementCost.js';
 
 /**
- * In credit of one request answered in time. None of them is a threshold on load or health: these
- * are learnt. Changing one by a half or by two is compared in docs/DECIDING.md.
+ * In units of the credit of one request that meets its objective. None of them is a threshold on load or
+ * health: those are estimated. docs/DECIDING.md compares the effects of halving and doubling each.
  */
 export interface IExpectedCreditSettings {
   readonly weights: IPlacementWeights;
   /**
-   * Credit of a late answer. Callers agreed on a third to a half of a whole credit for it, and
-   * count the share that is served at all besides, by orders of magnitude; together that makes an
-   * answer at all worth about twice as much as its being in time. Default 0.7.
+   * Credit of a late response. Callers value it at a third to a half of the full credit, and in
+   * addition measure the share of requests served at all in orders of magnitude. Together this makes
+   * any response worth about twice as much as meeting the objective. Default 0.7.
    */
   readonly lateCredit: number;
   /**
-   * A slot now is taken if it is worse than waiting by no more than this: a slot that stays idle
-   * while requests wait for better ones helps nobody. Default 0.15.
+   * Maximum expected loss for which a free slot is still preferred to waiting: a slot that idles
+   * while requests wait for better ones is wasted. Default 0.15.
    */
   readonly waitMargin: number;
   /**
-   * How much of the cost of distance is credited to a doubtful target nearby, while nobody waits:
-   * fewer bytes cross, and a few more requests fail. Default 0.5.
+   * Share of the distance cost that is credited to a suspected target in the same failure domain while
+   * the queue is empty: saves transfer between domains at the cost of a few failures. Default 0.5.
    */
   readonly nearTrials: number;
   /**
-   * What a retry costs besides its time: part of an allowance that all requests of the service
-   * share, and often a new connection. Default 0.2.
+   * Cost of a retry in addition to its time: it uses the retry allowance that all requests of the
+   * service share, and often a new connection. Default 0.2.
    */
   readonly retryCost: number;
   /**
-   * What a refusal is worth: its caller knows that nothing has run, and some come back in the time
-   * that they have. Default 0.15.
+   * Credit of a rejection: its caller knows that the request has not run, and some callers retry within
+   * their deadline. Default 0.15.
    */
   readonly refusalCredit: number;
   /**
-   * Likely wait up to which a new request joins the queue, as a share of its objective. Sound slots
-   * may get fewer while it waits; refused only then, it would have been held for nothing. Refusals
-   * after more than an eighth of the objective: 3.1% of the requests of the heaviest simulated
-   * load without it and with refusals worth 0.4, 0.75% with both; lost in all 5.2% and 4.7%.
+   * Maximum expected wait for which a new request is queued, as a share of its objective. Healthy slots
+   * may become fewer while it waits, and a late rejection would have delayed the caller for nothing.
    * Default 1.5.
    */
   readonly longestWait: number;
   /**
-   * Credit that a request which can't be repeated may lose by trying a doubted target, for each whole
-   * share of the sound targets that is missing in use: less lets services fall below their floor, more
-   * loses bookings for nothing. Default 3.
+   * Credit that a request without a retry may lose by probing a suspected target, multiplied by the
+   * share of healthy targets that is missing in use. Lower values let services fall below their
+   * floor; higher ones lose requests needlessly. Default 3.
    */
   readonly trialLoss: number;
-  /** Whether what a probe tells the waiting requests counts for it. Default true. */
+  /** Whether the benefit of a probe to the queued requests is credited to it. Default true. */
   readonly valuesProbes: boolean;
-  /** Whether targets without requests are used while many requests fail. Default true. */
+  /** Whether the floor on the targets in use is enforced. Default true. */
   readonly keepsFloor: boolean;
-  /** Whether requests that can still be in time go before those that can't. Default true. */
+  /** Whether requests that can still meet their objective precede those that can't. Default true. */
   readonly servesInTimeFirst: boolean;
-  /** Whether hedges are kept to slots that nobody waits for. Default true. */
+  /** Whether hedges get slots only while the queue is empty. Default true. */
   readonly boundsHedges: boolean;
 }
 
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.ts
@@ -1,10 +1,10 @@
 /**
- * Weighs granting a slot now against waiting for a better one, in credit that the caller can expect.
+ * Compares the expected credit of granting a free slot now with that of waiting for a better one.
  *
- * A failing target answers at once, so its slots are always free while those of sound targets are
- * busy: whoever grants any free slot sends it all that comes at the busiest moments. Work takes a
- * fraction of the objective, so a request loses nothing by waiting for a sound target's slot, and
- * nearly everything by not waiting.
+ * A failing target often fails fast, so its slots are free while those of healthy targets are in use.
+ * A policy that grants any free slot sends the failing target most requests at peak load. Processing
+ * takes a fraction of the objective, so waiting for a slot of a healthy target costs a request almost
+ * no credit, while being sent to a failing target costs nearly all of it.
  */
 import { ResultCode } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
@@ -16,45 +16,47 @@
 import { GrantPolicy, isFirstRequestDue, listFreeTargets } from './grantPolicy.js';
 import { computeDistanceCost, computePlacementCost } from './placementCost.js';
 
-/** Slots that count as there although every target is believed failing. */
+/** Minimum number of healthy slots that is assumed even if every target is considered failing. */
 const MIN_SLOTS = 0.5;
-/** A request whose time ends within so many times the usual work is late no longer, but last. */
+/** A late request regains its rank when its remaining time is below this multiple of the mean processing time. */
 const NEAR_DEADLINE_FACTOR = 2;
 
-/** Headroom above the floor, since the share moves with every target that comes or goes. */
+/** Margin above the floor, because the share changes with every added or removed target. */
 const FLOOR_MARGIN = 0.08;
-/** Share of the likely sound targets that requests keep in use, also while all is well. */
+/** Share of the expected healthy targets that is kept in use even without failures. */
 const MIN_HEALTHY_SHARE_IN_USE = 0.86;
 /**
- * Where a target gets fewer requests than this in 2 s, those that can't be repeated try none: each
- * doubted target is tried every few seconds, which is over one in a hundred of so few requests.
+ * Requests that can't be retried probe no target if targets get fewer requests than this in 2 s. Each
+ * suspected target is probed every few seconds, which would be over 1% of so few requests.
  */
 const MIN_REQUESTS_PER_TARGET = 6;
 /**
- * Above this share of the retry allowance, trials leave the rest to requests that failed. Trouble uses
- * up half of it, and trials are needed then.
+ * Above this used share of the retry allowance there are no probes, so that the rest remains for failed
+ * requests. Not lower: an incident uses half of the allowance, and probes are needed during one.
  */
 const MAX_RETRIES_USED = 0.8;
 
 const REFUSAL: PolicyDecision = { kind: 'refuse', code: ResultCode.QueueFull };
 
-/** Order of the waiting requests of one priority. */
+/** Ranks of queued requests of the same priority. */
 const Rank = { InTime: 0, Late: 1 } as const;
 
-/** What a decision on one request rests on. */
+/** Inputs of the decision on one request. */
 interface IDecisionContext {
   readonly waiting: IWaitingRequest;
   readonly state: IServiceState;
   readonly forecast: CreditForecast;
-  /** Slots of targets that the request may go to, each by the probability that it is sound. */
+  /** Slots of the targets that the request may use, weighted by the probability that the target is healthy. */
   readonly healthySlots: number;
-  /** Until a sound slot is free for it, in ms. */
+  /** Expected wait for a slot of a healthy target, in ms. */
   readonly waitMs: number;
   /** Expected credit of waiting. */
   readonly waitCredit: number;
 }
 
 /**
+ * Grants the free target with the highest expected credit, unless waiting is worth more.
+ *
  * @example
  * const decision = new ExpectedCreditPolicy().decide(waiting, state);
  */
@@ -70,12 +72,12 @@
     const { request } = waiting;
     const { boundsHedges, longestWait, refusalCredit } = this.settings;
     const isBoundHedge = boundsHedges && request.isHedge;
-    // Its request has a slot already; a second one would be taken from a request that has none.
+    // The original request already has a slot; the hedge would delay a queued request without one.
     if (isBoundHedge && state.queued > 0) return REFUSAL;
     const target = this.choose(waiting, state);
     if (target !== undefined) return { kind: 'grant', target };
     if (isBoundHedge) return REFUSAL;
-    // A second attempt can't be refused truthfully any more: its request may have run.
+    // A second attempt can't be rejected: a rejection states that the request has not run, but it may have.
     if (request.attempt > 1) return { kind: 'wait' };
     const { waitCredit, waitMs } = this.computeContext(waiting, state);
     const isNew = waiting.waitedMs === 0;
@@ -84,9 +86,9 @@
   }
 
   /**
-   * A request that is late already loses nothing by waiting on, up to its deadline, and its place
-   * lets another one be in time. Served in the order of arrival, a burst makes all of them late
-   * until the queue is empty again.
+   * Ranks late requests last: up to its deadline a late request loses no further credit by waiting,
+   * and its slot lets another request meet its objective. In order of arrival, a burst would make
+   * all requests late until the queue is empty.
    */
   override getRank(
     waiting: Omit<IWaitingRequest, 'ahead'>,
@@ -114,9 +116,9 @@
   }
 
   /**
-   * Keeps enough targets in use, also while all is well: when much fails at one moment, the time over
-   * which targets in use are counted has already begun. Left alone, a calm load keeps to few targets,
-   * and those that recovered stay unused, for no slot is wanted.
+   * Keeps enough targets in use even without failures: when many requests begin to fail, the window over
+   * which the floor is evaluated has already started. Otherwise a low load would use few targets, and
+   * recovered targets would stay unused, because no additional slots are needed.
    */
   private findDue(
     free: readonly TargetState[],
@@ -127,7 +129,7 @@
     if (!this.settings.keepsFloor) return undefined;
     const freeDue = free.filter((target) => due.includes(target));
     if (state.isFailing && share < state.floorShare + FLOOR_MARGIN) {
-      // Beliefs may be wrong, and each target counts, whatever is believed of it.
+      // The estimates may be wrong, and every target counts for the floor regardless of its estimate.
       return findLeastSuspected(freeDue, state);
     }
     if (healthyShare >= MIN_HEALTHY_SHARE_IN_USE) return undefined;
@@ -137,11 +139,11 @@
   }
 
   /**
-   * A target due for a request that can't be sent once more. Those believed sound cost next to
-   * nothing; of the doubted ones, the one that failed longest ago is tried first, and the sooner the
-   * more targets are missing: a failed trial lowers what its target counts for, so the share rises and
-   * the next one waits. With a fixed share, or one trial in so many requests, trials go on when none
-   * is needed.
+   * Finds a due target for a request that can't be retried. Targets considered healthy cost next to
+   * nothing. Of the suspected ones, the target that failed longest ago is probed first, and the earlier
+   * the more targets are missing in use. A failed probe lowers the weight of its target, which raises
+   * the share and delays the next probe. A fixed loss, or probing with every n-th request, would
+   * continue to probe when it is not needed.
    */
   private findProbeWithoutRetry(
     free: readonly TargetState[],
@@ -165,7 +167,7 @@
     return { waiting, state, forecast, healthySlots: healthySlots, waitMs, waitCredit };
   }
 
-  /** The best target that is worth taking now; undefined when waiting or refusing is better. */
+  /** The best target that is worth granting now; undefined if waiting or rejecting is better. */
   private findBest(
     free: readonly TargetState[],
     context: IDecisionContext,
@@ -186,16 +188,16 @@
     return best;
   }
 
-  /** Expected credit below which waiting or refusing is better. */
+  /** Expected credit below which waiting or rejecting is better. */
   private getMinCredit({ waitCredit, waiting }: IDecisionContext): number {
     const { refusalCredit, waitMargin } = this.settings;
     return Math.max(waitCredit - waitMargin, waiting.request.attempt === 1 ? refusalCredit : 0);
   }
 
   /**
-   * What trying a target of the entry's own failure domain is worth beyond this request: found sound,
-   * it saves the way of all that follow. Without it, a near target that nothing was heard of for a
-   * while is passed over for a far one that is known to be sound, and never heard of again.
+   * Credit of probing a target in the entry's own failure domain, beyond this request: if it is healthy,
+   * all later requests avoid the longer path. Without this credit, a local target without recent
+   * outcomes would lose to a remote target known to be healthy, and would never be used again.
    */
   private computeLocalityCredit(target: TargetState, { state, waiting }: IDecisionContext): number {
     const { nearTrials, weights } = this.settings;
@@ -217,19 +219,19 @@
   }
 
   /**
-   * Credit that is left after a failed attempt: none where the request can't be repeated; else that
-   * of a second attempt, which waits for a sound slot like any other, as far as there are retries.
+   * Expected credit after a failed attempt: zero if the request can't be retried; otherwise that of a
+   * second attempt, which waits for a healthy slot, reduced as the retry allowance is used up.
    */
   private computeRetryCredit({ state, waitCredit, waiting }: IDecisionContext): number {
     if (!waiting.request.mayRetry) return 0;
-    const left = 1 - state.retriesUsed * state.retriesUsed;
-    return left * Math.max(0, waitCredit - this.settings.retryCost);
+    const retryShare = 1 - state.retriesUsed * state.retriesUsed;
+    return retryShare * Math.max(0, waitCredit - this.settings.retryCost);
   }
 }
 
 /**
- * What the waiting requests gain if this target turns out sound: all get a slot sooner. A target
- * that is being tried already tells no more by a second request.
+ * Expected gain of the queued requests if this target proves healthy: all of them get a slot sooner. Zero
+ * for a target with a request in progress, because a second one provides no additional information.
  */
 function computeProbeCredit(
   target: TargetState,
@@ -240,9 +242,9 @@
   if (target.inUse > 0 || state.queued === 0) return 0;
   const { request } = waiting;
   const wait = (slots: number) => computeWaitMs(request, state.queued / 2, slots, state);
-  const now = forecast.getCredit(wait(healthySlots));
-  const then = forecast.getCredit(wait(healthySlots + target.record.slots * suspicion));
-  return (1 - suspicion) * state.queued * Math.max(0, then - now);
+  const creditNow = forecast.getCredit(wait(healthySlots));
+  const creditIfHealthy = forecast.getCredit(wait(healthySlots + target.record.slots * suspicion));
+  return (1 - suspicion) * state.queued * Math.max(0, creditIfHealthy - creditNow);
 }
 
 function countHealthySlots(request: IGrantRequest, state: IServiceState): number {
@@ -253,17 +255,17 @@
   for (const target of targets) {
     const { health, isReady, record } = target;
     if (!isReady || request.excluded.includes(record.id)) continue;
-    const ofTarget = target.countUsableSlots(processingMs);
-    usable += ofTarget;
-    slots += ofTarget * (1 - health.getSuspicion(nowMs));
+    const targetSlots = target.countUsableSlots(processingMs);
+    usable += targetSlots;
+    slots += targetSlots * (1 - health.getSuspicion(nowMs));
   }
   return Math.max(usable > 0 ? Math.min(MIN_SLOTS, usable) : MIN_SLOTS, slots);
 }
 
 /**
- * While every sound slot is in use, one gets free each time one piece of work is done. That is work of
- * all routes of the service: by its own route's, a long request would be refused while short ones
- * are ahead of it, and a short one let in behind long ones.
+ * Expected wait in ms. While all healthy slots are in use, one is released with each finished request, of
+ * any route of the service. Based on the request's own route, a long request would be rejected behind
+ * short ones, and a short one admitted behind long ones.
  */
 function computeWaitMs(
   request: IGrantRequest,
--- a/packages/dispatch/src/home/common/failureModel.ts
+++ b/packages/dispatch/src/home/common/failureModel.ts
@@ -1,29 +1,30 @@
 /**
- * How targets of one service come to fail and recover, learnt from the fleet's own outcomes.
+ * Models how targets of one service fail and recover; the parameters are estimated from outcomes.
  *
- * A target is either sound or failing. It turns from one to the other at random moments, and each
- * state has its own share of failed requests. A detector that waits for several failures loses
- * each of them; how much one failure says depends on how often targets turn, so that is learnt.
+ * A two-state model: a target is either healthy or failing, changes its state at random times, and each
+ * state has its own failure rate. A detector that waits for several failures loses each of those
+ * requests. How strong the evidence of a single failure is depends on how often targets change their
+ * state, so the transition rates are estimated too.
  */
 
-/** Starting values, until outcomes outweigh them. */
+/** Prior estimates, each with its weight in requests. */
 const PRIOR_HEALTHY_FAILURE_RATE = 0.01;
 const PRIOR_HEALTHY_REQUESTS = 200;
 const PRIOR_FAILING_FAILURE_RATE = 0.75;
 const PRIOR_FAILING_REQUESTS = 8;
-/** Mean time for which a target stays sound, in ms: a guess that some minutes of traffic replace. */
+/** Prior mean time for which a target stays healthy, in ms; outweighed within minutes of traffic. */
 const PRIOR_HEALTHY_MS = 40_000;
-/** Mean time for which a target keeps failing, in ms: a guess like the one above. */
+/** Prior mean time for which a target keeps failing, in ms. */
 const PRIOR_FAILING_MS = 8000;
-/** Turns that the guesses of times count for. */
+/** Weight of the prior times, in transitions. */
 const PRIOR_TRANSITIONS = 6;
-/** Estimates stay inside these bounds, so that no run of luck makes the model certain. */
+/** Bounds of the estimated rates, so that a series of equal outcomes does not make the model certain. */
 const MIN_HEALTHY_FAILURE_RATE = 0.002;
 const MAX_HEALTHY_FAILURE_RATE = 0.1;
 const MIN_FAILING_FAILURE_RATE = 0.4;
 const MAX_FAILING_FAILURE_RATE = 0.95;
 
-/** A share that is estimated by counting. */
+/** A failure rate estimated from counts. */
 class EstimatedRate {
   private failures: number;
 
@@ -44,7 +45,7 @@
   }
 }
 
-/** A mean time until something happens, estimated from the times seen and how often it happened. */
+/** A mean time until a transition, estimated from observed time and the number of transitions. */
 class EstimatedDuration {
   private transitions = PRIOR_TRANSITIONS;
   private totalMs: number;
@@ -67,7 +68,7 @@
 }
 
 /**
- * Rates of one service.
+ * The failure and transition rates of one service.
  *
  * @example
  * const model = new FailureModel();
@@ -79,7 +80,7 @@
   private readonly healthyDuration = new EstimatedDuration(PRIOR_HEALTHY_MS);
   private readonly failingDuration = new EstimatedDuration(PRIOR_FAILING_MS);
 
-  /** Share of requests that a sound target fails. */
+  /** Share of requests that a healthy target fails. */
   get healthyFailureRate(): number {
     return toClamped(this.healthy.value, MIN_HEALTHY_FAILURE_RATE, MAX_HEALTHY_FAILURE_RATE);
   }
@@ -89,38 +90,38 @@
     return toClamped(this.failing.value, MIN_FAILING_FAILURE_RATE, MAX_FAILING_FAILURE_RATE);
   }
 
-  /** Turns from sound to failing, per ms of a sound target. */
+  /** Transition rate from healthy to failing, per ms of healthy time. */
   get onsetPerMs(): number {
     return this.healthyDuration.perMs;
   }
 
-  /** Turns from failing to sound, per ms of a failing target. */
+  /** Transition rate from failing to healthy, per ms of failing time. */
   get recoveryPerMs(): number {
     return this.failingDuration.perMs;
   }
 
-  /** Probability that a target of which nothing is known is failing. */
+  /** Probability that a target without outcomes is failing. */
   get stationaryProbability(): number {
     return this.onsetPerMs / (this.onsetPerMs + this.recoveryPerMs);
   }
 
-  /** A target that is taken for sound answered; `sinceMs` after its last answer. */
+  /** Records an outcome of a target considered healthy, `sinceMs` after its previous outcome. */
   recordHealthy(isFailure: boolean, sinceMs: number): void {
     this.healthy.record(isFailure);
     this.healthyDuration.recordDuration(sinceMs);
   }
 
-  /** A target that is taken for failing answered. */
+  /** Records an outcome of a target considered failing. */
   recordFailing(isFailure: boolean): void {
     this.failing.record(isFailure);
   }
 
-  /** A sound target began to fail. */
+  /** Records that a healthy target began to fail. */
   recordOnset(): void {
     this.healthyDuration.recordTransition();
   }
 
-  /** A target failed for about `durationMs` and then succeeded again. */
+  /** Records that a target recovered after failing for about `durationMs`. */
   recordEpisode(durationMs: number): void {
     this.failingDuration.recordDuration(durationMs);
     this.failingDuration.recordTransition();
--- a/packages/dispatch/src/home/common/grantPolicy.ts
+++ b/packages/dispatch/src/home/common/grantPolicy.ts
@@ -1,4 +1,4 @@
-/** Deciding what becomes of a request: granted a target now, left to wait, or refused. */
+/** The interface of policies that decide whether a request is granted a target, queued or rejected. */
 import type { ResultCode } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import type { ResponseSizes } from './responseSizes.js';
@@ -7,21 +7,21 @@
 import type { ITargetUsage } from './outcomeWindow.js';
 import type { ProcessingTimes } from './processingTimes.js';
 
-/** A new target gets its first request this long after it joined, in ms. */
+/** Delay before a new target may get its first request, if that is idempotent, in ms. */
 const FIRST_IDEMPOTENT_REQUEST_DELAY_MS = 500;
-/** Requests that can't be repeated try a new target only if no others came in this time, in ms. */
+/** The same for a request that is not idempotent, in ms: longer, so that idempotent ones come first. */
 const FIRST_REQUEST_DELAY_MS = 2000;
 
-/** A request that wants a target. */
+/** A request that needs a target. */
 export interface IWaitingRequest {
   readonly request: IGrantRequest;
-  /** Since it was asked for, in ms. */
+  /** Time since the grant was requested, in ms. */
   readonly waitedMs: number;
-  /** Requests that get a target before it. */
+  /** Number of queued requests ahead of it. */
   readonly ahead: number;
 }
 
-/** A service at the moment of a decision. */
+/** The state of a service at the time of a decision. */
 export interface IServiceState {
   readonly targets: readonly TargetState[];
   readonly model: FailureModel;
@@ -29,38 +29,38 @@
   readonly responseSizes: ResponseSizes;
   /** Share of the service's retry allowance that is used up, from 0 to 1. */
   readonly retriesUsed: number;
-  /** Whether many requests fail; see ServedWindow. */
+  /** Whether many requests fail; see OutcomeWindow. */
   readonly isFailing: boolean;
   readonly usage: ITargetUsage;
-  /** Share of the sound targets that must be in use while many requests fail, from 0 to 1. */
+  /** Share of the healthy targets that must be in use while many requests fail, from 0 to 1. */
   readonly floorShare: number;
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   readonly queued: number;
   readonly nowMs: number;
 }
 
-/** What becomes of a request. */
+/** The decision on a request. */
 export type PolicyDecision =
   | { readonly kind: 'grant'; readonly target: TargetState }
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse'; readonly code: ResultCode };
 
 /**
- * Decides without a network, a clock or a memory of its own: all it goes by is what it is given, so
- * a policy can be tried in a simulation and takes effect unchanged.
+ * Decides on requests from its arguments alone, without a network, a clock or state of its own, so
+ * that the same policy can run in a simulation and in production.
  */
 export abstract class GrantPolicy {
-  /** Decides on one request. The target of a grant is ready, has a free slot and isn't excluded. */
+  /** Decides on one request. A granted target is ready, has a free slot and isn't excluded. */
   abstract decide(waiting: IWaitingRequest, state: IServiceState): PolicyDecision;
 
-  /** Of requests of one priority, those with the lower rank get a slot first. */
+  /** Rank of a request among those of the same priority; lower ranks get slots first. */
   abstract getRank(waiting: Omit<IWaitingRequest, 'ahead'>, state: IServiceState): number;
 
-  /** How long a request with `ahead` others before it is likely to wait for a slot, in ms. */
+  /** Estimated wait of a request with `ahead` queued requests ahead of it, in ms. */
   abstract estimateWaitMs(request: IGrantRequest, ahead: number, state: IServiceState): number;
 }
 
-/** Targets that a request can be sent to right now. */
+/** Targets to which a request can be sent immediately. */
 export function listFreeTargets(
   { excluded }: IGrantRequest,
   { nowMs, targets }: IServiceState,
@@ -70,7 +70,7 @@
   });
 }
 
-/** A target that never got a request is idle capacity, and nothing is known of it until it does. */
+/** Whether a new target should get its first request: until then it is idle capacity of unknown health. */
 export function isFirstRequestDue(
   target: TargetState,
   request: IGrantRequest,
--- a/packages/dispatch/src/home/common/grantQueue.ts
+++ b/packages/dispatch/src/home/common/grantQueue.ts
@@ -1,22 +1,22 @@
-/** Requests that wait for a slot: by priority, then by the rank that a policy gives them. */
+/** Queue of requests that wait for a slot, ordered by priority and then by rank. */
 import type { IGrantRequest } from '../../grants/common/grant.js';
 
 interface IQueued {
   readonly request: IGrantRequest;
 }
 
-/** Lower ranks first; the same request may have another rank later. */
+/** Computes the rank of an item; lower ranks come first. The rank of an item may change over time. */
 export type RankFunction<T> = (item: T) => number;
 
 /**
- * A short list; a home refuses requests long before it grows.
+ * A plain list: a home rejects requests before the queue becomes long.
  *
  * @example
  * queue.push(ticket);
  * for (const waiting of queue.list(getRank)) settle(waiting);
  */
 export class GrantQueue<T extends IQueued> {
-  /** In the order of arrival. */
+  /** In order of arrival. */
   private items: T[] = [];
 
   get size(): number {
@@ -31,7 +31,7 @@
     this.items = this.items.filter((candidate) => candidate !== item);
   }
 
-  /** The items at this moment: by priority, rank and arrival. */
+  /** A snapshot of the items, ordered by priority, rank and arrival. */
   list(getRank: RankFunction<T>): readonly T[] {
     if (this.items.length < 2) return [...this.items];
     const ranked = this.items.map((item) => ({ item, rank: getRank(item) }));
@@ -46,7 +46,7 @@
     return this.items.filter(isCounted).length;
   }
 
-  /** Items that get a slot before a new one. */
+  /** Number of items that would get a slot before a new one. */
   countAhead(item: T, getRank: RankFunction<T>): number {
     if (this.items.length === 0) return 0;
     const { priority } = item.request;
--- a/packages/dispatch/src/home/common/homeService.ts
+++ b/packages/dispatch/src/home/common/homeService.ts
@@ -1,4 +1,4 @@
-/** The books of all services that this node is asked for. */
+/** The schedulers of all services for which this node receives grant requests. */
 import type { Clock, Event, IDisposable, Logger } from '@parsleymux/base';
 import { Emitter } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
@@ -8,7 +8,7 @@
 import type { IServiceBounds } from './serviceScheduler.js';
 import { ServiceScheduler } from './serviceScheduler.js';
 
-/** Grants that are overdue and requests that can't make it any more are looked for this often, in ms. */
+/** Interval between checks for overdue grants and for queued requests that can't finish in time, in ms. */
 const TICK_MS = 100;
 
 /** Options of a {@link HomeService}. */
@@ -16,18 +16,19 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly quarantine: RequestQuarantine;
-  /** Undefined where requests belong to no tenants. */
+  /** Undefined if requests are not assigned to tenants. */
   readonly admission?: TenantAdmission | undefined;
-  /** Makes the policy of each service. Default: that of {@link ServiceScheduler}. */
+  /** Creates the policy of each service. Default: that of {@link ServiceScheduler}. */
   readonly createPolicy?: () => GrantPolicy;
 }
 
 /**
- * Makes a scheduler when a service is first asked for. Nobody is appointed home: a node is one because
- * others ask it, so nothing has to be agreed on when the fleet changes.
+ * Creates a scheduler at the first grant request for a service. Homes are not elected: a node is the
+ * home of a service because other nodes send it grant requests, so a change of the fleet requires no
+ * agreement.
  *
  * @example
- * const scheduler = homes.getBook('booking');
+ * const scheduler = homes.getScheduler('booking');
  */
 export class HomeService implements IDisposable {
   private readonly schedulerCreated = new Emitter<string>();
@@ -37,19 +38,20 @@
   private timer: IDisposable | undefined;
   private isStarted = false;
 
-  /** Fires with a service that has a scheduler now, before anything is decided for it. */
+  /** Fires with the service of a new scheduler, before the scheduler makes any decision. */
   readonly onDidCreateScheduler: Event<string> = this.schedulerCreated.onDidFire;
 
   constructor(private options: IHomeServiceOptions) {}
 
-  /** Looks after its books from now on, as long as it has any. */
+  /** Starts the periodic checks, which run while there are schedulers. */
   start(): void {
     this.isStarted = true;
     this.startTimer();
   }
 
   /**
-   * Few nodes are home to anything, and each wake-up of a weak VM finds the processor's caches cold.
+   * Does nothing without schedulers: few nodes are homes, and on a small VM every timer runs with cold
+   * processor caches.
    */
   private startTimer(): void {
     if (!this.isStarted || this.schedulers.size === 0) return;
@@ -59,28 +61,28 @@
     });
   }
 
-  /** Takes changed bounds for all services. */
+  /** Changes the limits of all services. */
   setBounds(bounds: IServiceBounds): void {
     this.options = { ...this.options, ...bounds };
     for (const scheduler of this.schedulers.values()) scheduler.setBounds(bounds);
   }
 
   /**
-   * Whether targets are known at all. A home that has just started would otherwise refuse every
-   * request of its services for want of targets, though the next home knows them.
+   * Whether a list of targets has been received. Without this check, a home that has just started
+   * would reject all requests for lack of targets although the next home has the list.
    */
   get hasReceivedTargets(): boolean {
     return this.isTargetListReceived;
   }
 
-  /** Takes all targets that are registered now. */
+  /** Replaces the list of registered targets. */
   setTargets(targets: readonly ITargetRecord[]): void {
     this.isTargetListReceived = true;
     this.targetsByService = new Map();
     for (const target of targets) {
-      const ofService = this.targetsByService.get(target.service) ?? [];
-      ofService.push(target);
-      this.targetsByService.set(target.service, ofService);
+      const serviceTargets = this.targetsByService.get(target.service) ?? [];
+      serviceTargets.push(target);
+      this.targetsByService.set(target.service, serviceTargets);
     }
     for (const [service, scheduler] of this.schedulers) {
       scheduler.setTargets(this.listTargets(service));
@@ -109,7 +111,7 @@
     return [...this.targetsByService.keys()];
   }
 
-  /** The scheduler of a service, if it was asked for before. */
+  /** The scheduler of a service, or undefined before the first grant request for it. */
   findScheduler(service: string): ServiceScheduler | undefined {
     return this.schedulers.get(service);
   }
--- a/packages/dispatch/src/home/common/outcomeRecorder.ts
+++ b/packages/dispatch/src/home/common/outcomeRecorder.ts
@@ -1,4 +1,4 @@
-/** What the outcomes of one service's grants tell of its targets, its requests and its connections. */
+/** Records the outcomes of one service's grants as evidence on its targets, requests and connections. */
 import type { Clock } from '@parsleymux/base';
 import { GrantOutcome } from '../../grants/common/grant.js';
 import { formatLife } from '../../catalog/common/catalog.js';
@@ -10,11 +10,11 @@
 import type { Ticket } from './ticket.js';
 import type { ProcessingTimes } from './processingTimes.js';
 
-/** A target that said it was full is left alone this long, in ms: less than most requests take. */
+/** A target that rejected a request as overloaded gets no grant for this long, in ms: less than most requests take. */
 const BUSY_MS = 100;
 /**
- * After a kept connection broke, all requests of the service use new ones for this long, in ms: one
- * costs a round trip, and a request that can't be repeated is lost with every kept one that breaks.
+ * After a kept connection broke, requests of the service use new connections for this long, in ms. A
+ * new one costs a round trip, while a request that can't be retried fails with the one it reuses.
  */
 const AVOID_REUSE_MS = 5000;
 
@@ -28,26 +28,26 @@
   readonly quarantine: RequestQuarantine;
 }
 
-/** How a grant ended. */
+/** The result of a grant. */
 export interface IGrantResult {
   readonly outcome: GrantOutcome;
   readonly latencyMs: number;
-  /** Size of the answer's body; 0 where there was none. */
+  /** Size of the response's body; 0 without a response. */
   readonly answerBytes: number;
 }
 
 /**
- * Sorts each outcome into what it is evidence of.
+ * Updates the estimates for which an outcome is evidence.
  *
  * @example
- * intake.record(ticket, target, { outcome: GrantOutcome.Succeeded, latencyMs: 240, answerBytes: 0 });
+ * recorder.record(ticket, target, { outcome: GrantOutcome.Succeeded, latencyMs: 240, answerBytes: 0 });
  */
 export class OutcomeRecorder {
   private lastStaleMs = -Infinity;
 
   constructor(private readonly options: IOutcomeRecorderOptions) {}
 
-  /** Whether kept connections of the service break lately. */
+  /** Whether kept connections of the service have broken recently. */
   isReuseAvoided(nowMs: number): boolean {
     return nowMs - this.lastStaleMs < AVOID_REUSE_MS;
   }
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Notes that a grant has no outcome after the request's objective. Targets that hang tell nothing
-   * until the deadline; by then many more requests hang there.
+   * Records a failure for a grant without an outcome after the request's objective. A target that hangs
+   * yields no outcome before the deadline; by then many more requests would hang there.
    */
   recordOverdue(ticket: Ticket): void {
     const { clock, serviceLog } = this.options;
@@ -85,7 +85,7 @@
         target.recordUnreachable(ticket.node, nowMs);
         break;
       case GrantOutcome.Shed:
-        // A target that is full for others' work, or for slots that ended late, isn't failing.
+        // A target whose slots are all in use, or were released late, is overloaded but not failing.
         if (target.inUse + 1 < target.record.slots) target.health.recordFailure(nowMs);
         target.busyUntilMs = nowMs + BUSY_MS;
         break;
@@ -106,26 +106,26 @@
     }
   }
 
-  /** What an outcome tells of the request itself: whether targets are lost under it. */
+  /** Records for the quarantine whether the connection to the target was lost while it ran the request. */
   private recordForRequest(ticket: Ticket, target: TargetState, outcome: GrantOutcome): void {
     const { quarantine } = this.options;
     const { fingerprints, requestId } = ticket.request;
-    const life = formatLife(target.record);
+    const incarnation = formatLife(target.record);
     switch (outcome) {
       case GrantOutcome.Succeeded:
-        quarantine.recordAnswer(life, ticket.grantedMs);
+        quarantine.recordAnswer(incarnation, ticket.grantedMs);
         quarantine.recordSuccess(fingerprints);
         break;
       case GrantOutcome.Failed:
       case GrantOutcome.Shed:
-        quarantine.recordAnswer(life, ticket.grantedMs);
+        quarantine.recordAnswer(incarnation, ticket.grantedMs);
         break;
       case GrantOutcome.Broken:
       case GrantOutcome.Stale:
         quarantine.recordLoss({
           fingerprints,
           requestId,
-          target: life,
+          target: incarnation,
           grantedMs: ticket.grantedMs,
         });
         break;
@@ -147,7 +147,7 @@
     const nowMs = clock.getMonotonicTime();
     outcomeWindow.record(true, nowMs);
     processingTimes.record(ticket.request.route, ticket.request.objectiveMs, latencyMs);
-    // A late success is no proof of a sound target: it was noted as overdue before.
+    // A late success is no evidence of a healthy target: it was recorded as overdue before.
     if (!ticket.isOverdue) target.health.recordSuccess(nowMs);
   }
 }
--- a/packages/dispatch/src/home/common/outcomeWindow.ts
+++ b/packages/dispatch/src/home/common/outcomeWindow.ts
@@ -1,37 +1,37 @@
-/** How many requests of a service failed lately, and how many of its targets are in use. */
+/** Measures the recent failures of a service and how many of its targets are in use. */
 import type { TargetState } from './targetState.js';
 import { SlidingCount } from './slidingCount.js';
 
-/** A target that failed this long ago counts as sound again, and floors are judged over it, in ms. */
+/** Window over which failures and the floor on targets in use are evaluated, in ms. */
 const WINDOW_MS = 2000;
 /**
- * A target is due for another request after this time, in ms: a loss of all nodes may cut the window
- * in half. With 1,500 three of ten simulated losses of power still found a service below its floor.
+ * A target without a grant for this long is due for another request, in ms. Half the window, because a
+ * crash of all nodes may cut the window in half; with 1,500 ms the floor could still be missed then.
  */
 const REQUEST_DUE_MS = 1000;
-/** A new target counts from this age on, in ms. */
+/** Age from which a new target counts, in ms. */
 const MIN_TARGET_AGE_MS = 6000;
-/** The floor binds when a tenth of the requests fail; spreading begins a little sooner. */
+/** Share of failed requests from which requests are spread. The floor is required from a tenth on. */
 const MIN_FAILED_SHARE = 0.085;
-/** Fewer failures than this say nothing about a share. */
+/** Minimum number of failures for a meaningful share. */
 const MIN_FAILED = 2;
 
-/** Which targets of a service are in use. */
+/** How many targets of a service are in use. */
 export interface ITargetUsage {
-  /** Share of the targets that got a request within the window, without those that failed in it. */
+  /** Share of targets that got a request within the window; targets that failed in it are not counted. */
   readonly share: number;
-  /** Share that is not due, each target counted by the probability that it is sound. */
+  /** Share of targets that are not due, each weighted by the probability that it is healthy. */
   readonly healthyShare: number;
-  /** Requests that ended within the window, for each target that is ready. */
+  /** Finished requests within the window per ready target. */
   readonly requestsPerTarget: number;
-  /** Targets that got no request lately. */
+  /** Targets without a recent request. */
   readonly due: readonly TargetState[];
 }
 
 /**
- * Tells when requests must be spread over more targets. Ejecting ever more targets while requests
- * fail anyway would leave the rest overloaded: a floor on the targets in use keeps a wrong
- * health from taking a service down.
+ * Determines when requests must be spread over more targets. If more and more targets were ejected
+ * while requests keep failing, the remaining ones would be overloaded. A floor on the targets in use
+ * prevents wrong health estimates from making a service unavailable.
  *
  * @example
  * const { due } = served.getUse(targets, now);
@@ -44,13 +44,13 @@
     (isSuccess ? this.succeeded : this.failed).add(nowMs);
   }
 
-  /** Whether so many requests fail that the floor binds. */
+  /** Whether so many requests fail that the floor applies. */
   isFailing(nowMs: number): boolean {
     const failed = this.failed.count(nowMs);
     return failed >= MIN_FAILED && failed >= MIN_FAILED_SHARE * this.countRequests(nowMs);
   }
 
-  /** What is in use of the targets that count for a floor. */
+  /** Usage of the targets that count for the floor. */
   getUsage(targets: readonly TargetState[], nowMs: number): ITargetUsage {
     const counted = targets.filter((target) => isCounted(target, nowMs));
     const used = counted.filter(({ lastGrantMs }) => isWithin(lastGrantMs, nowMs, WINDOW_MS));
@@ -85,7 +85,7 @@
   return atMs !== undefined && atMs > nowMs - lastMs;
 }
 
-/** How many of the targets are likely sound. */
+/** Expected number of healthy targets. */
 function countHealthy(targets: readonly TargetState[], nowMs: number): number {
   return targets.reduce((sum, { health }) => sum + 1 - health.getSuspicion(nowMs), 0);
 }
--- a/packages/dispatch/src/home/common/peerRetryCounts.ts
+++ b/packages/dispatch/src/home/common/peerRetryCounts.ts
@@ -1,14 +1,14 @@
-/** What other homes of a service counted, for the limits that hold over all of them. */
+/** Request and retry counts of the other homes of a service, for the limit that applies to all of them. */
 
-/** One home's counts within the window, as of one moment. */
+/** A snapshot of one home's counts within the window. */
 export interface IRetryCounts {
-  /** Address of the home and the start of its process: a restarted one counts anew. */
+  /** Address and process incarnation of the home: a restarted home starts its counts at zero. */
   readonly home: string;
-  /** Grows with each time that the home counts. */
+  /** Incremented by the home with each snapshot. */
   readonly sequence: bigint;
-  /** When the home counted, in ms of this node's monotonic clock. */
+  /** Time of the snapshot, in ms of this node's monotonic clock. */
   readonly countedMs: number;
-  /** By part of the window, newest first. */
+  /** Counts per part of the window, newest first. */
   readonly requests: readonly number[];
   readonly retries: readonly number[];
 }
@@ -21,19 +21,19 @@
 }
 
 /**
- * Keeps the newest counts of each home that this one was told of, also by a third one: the home
- * that took over from a lost one passes its counts on, so they outlive it.
+ * Keeps the latest counts received for each home. Homes also forward the counts of other homes, so
+ * the counts of a crashed home remain known through the home that took over from it.
  *
  * @example
- * others.take(counts);
- * const { retries } = others.count(now);
+ * peerCounts.take(counts);
+ * const { retries } = peerCounts.count(now);
  */
 export class PeerRetryCounts {
   private readonly homes = new Map<string, IRetryCounts>();
 
   constructor(private readonly options: IPeerRetryCountsOptions) {}
 
-  /** Takes what a home counted, unless something newer of the same home is known. */
+  /** Stores the counts of a home unless newer ones of the same home are known. */
   take(counts: IRetryCounts): void {
     const known = this.homes.get(counts.home);
     if (known === undefined || known.sequence < counts.sequence) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** What lies within the window at `nowMs`. */
+  /** Sums of the counts that lie within the window at `nowMs`. */
   count(nowMs: number): { readonly requests: number; readonly retries: number } {
     let requests = 0;
     let retries = 0;
@@ -52,7 +52,7 @@
     return { requests, retries };
   }
 
-  /** Counts of which something may lie within the window still; forgets the others. */
+  /** Lists the counts that may still lie partly within the window, and removes all others. */
   list(nowMs: number): readonly IRetryCounts[] {
     for (const [home, { countedMs }] of this.homes) {
       if (nowMs - countedMs >= this.options.windowMs) this.homes.delete(home);
--- a/packages/dispatch/src/home/common/placementCost.ts
+++ b/packages/dispatch/src/home/common/placementCost.ts
@@ -1,6 +1,6 @@
 /**
- * What placing a request at one sound target rather than another costs, as a share of what the
- * request is worth: distance, load and a cold start, in one unit.
+ * The cost of choosing one healthy target over another, as a share of a request's credit. Combines
+ * network distance, load, cold starts and new connections in one unit.
  */
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import type { TargetState } from './targetState.js';
@@ -8,28 +8,27 @@
 
 const BYTES_PER_KIB = 1024;
 
-/** Parts of the cost, each as a share of a request's worth. */
+/** Components of the cost, each as a share of a request's credit. */
 export interface IPlacementWeights {
   /**
-   * Carrying 1,024 bytes of answer between failure domains. Providers bill such bytes, and never
-   * those within one; the value lies between those of three firms, which are 0.013 to 0.065.
+   * Transfer of 1,024 response bytes between failure domains, which providers bill, unlike transfer
+   * within one. Lies within the range of three firms' traffic costs, 0.013 to 0.065.
    */
   readonly crossDomainKib: number;
-  /** Carrying any request between failure domains: the way is longer and may be cut. */
+  /** Any request between failure domains: the path is longer and may be partitioned. */
   readonly crossDomain: number;
-  /** A target whose slots are all but used: some slow down when nearly full. */
+  /** A target with nearly all slots in use: some targets slow down then. */
   readonly fullTarget: number;
-  /** A target that is slow after its start. */
+  /** A target that is still slow after its start. */
   readonly coldTarget: number;
   /**
-   * A handshake, where the entry keeps no connection to the target. New connections for each request
-   * 0.45 to 0.39 on a calm load, 0.39 to 0.36 on a heavy one (8 seeds of 40 s); more weight gains
-   * little and puts requests further away.
+   * A handshake, if the entry keeps no connection to the target. A higher weight hardly reduces the
+   * number of new connections further, and places requests further away.
    */
   readonly newConnection: number;
 }
 
-/** See the comment of each weight. */
+/** The defaults; see {@link IPlacementWeights} for the reasons. */
 export const DEFAULT_PLACEMENT_WEIGHTS: IPlacementWeights = {
   crossDomainKib: 0.03,
   crossDomain: 0.01,
@@ -42,7 +41,7 @@
  * The cost of one more request at `target`.
  *
  * @example
- * const cost = computePlacingCost(target, request, DEFAULT_PLACING_WEIGHTS, state);
+ * const cost = computePlacementCost(target, request, DEFAULT_PLACEMENT_WEIGHTS, state);
  */
 export function computePlacementCost(
   target: TargetState,
@@ -60,7 +59,7 @@
   return cost;
 }
 
-/** What it costs to place a request in another failure domain. */
+/** The cost of sending a request to another failure domain. */
 export function computeDistanceCost(
   request: IGrantRequest,
   weights: IPlacementWeights,
--- a/packages/dispatch/src/home/common/processingTimes.ts
+++ b/packages/dispatch/src/home/common/processingTimes.ts
@@ -1,15 +1,15 @@
-/** How long the targets of one service work on a request, learnt for each route. */
+/** Distribution of the processing times of one service, for each route. */
 
-/** Answers that are remembered for a route: enough for its 95th percentile. */
+/** Number of samples kept per route: enough for its 95th percentile. */
 const MAX_SAMPLES = 64;
-/** Routes that are told apart; further ones share one memory. A service seldom has so many. */
+/** Maximum number of separate routes, seldom reached by a service; all others share one distribution. */
 const MAX_ROUTES = 64;
-/** With fewer answers than this, the guess below counts as several of them. */
+/** Number of samples with which the initial guess is weighted. */
 const GUESS_SAMPLES = 4;
-/** Share of its objective that a request is expected to take before anything was measured. */
+/** Initial guess of the processing time, as a share of the objective. */
 const INITIAL_SHARE = 0.35;
 
-/** The last work times of one route, kept sorted besides. */
+/** The latest processing times of one route, in order of arrival and sorted. */
 class RecentTimes {
   private readonly ring: number[] = [];
   private readonly sorted: number[] = [];
@@ -42,20 +42,20 @@
 }
 
 /**
- * Remembers what sound targets took. No shape of distribution is assumed: the share of remembered
- * answers that came within a time stands for the probability of it.
+ * Keeps the processing times of successful requests. Uses the empirical distribution: the share of samples
+ * within a time is the estimated probability of finishing within it.
  *
  * @example
- * const times = new WorkTimes();
+ * const times = new ProcessingTimes();
  * times.record('orders', 1000, 240);
  * times.getShareWithin('orders', 1000, 500);
  */
 export class ProcessingTimes {
   private readonly byRoute = new Map<string, RecentTimes>();
-  /** Of all routes together: what a slot is busy with as a rule. */
+  /** Samples of all routes together. */
   private serviceTimes: RecentTimes | undefined;
 
-  /** An answer took `ms`; `objectiveMs` gives the guess for a route that is new. */
+  /** Records a processing time; `objectiveMs` determines the initial guess for a new route. */
   record(route: string, objectiveMs: number, ms: number): void {
     this.getTimes(route, objectiveMs).record(ms);
     this.serviceTimes ??= new RecentTimes(objectiveMs * INITIAL_SHARE);
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Mean over all routes of the service, in ms: how long those take that are ahead of a request.
-   * `objectiveMs` gives the guess before anything was measured.
+   * Mean over all routes of the service, in ms: the expected processing time of the requests ahead of
+   * another one. `objectiveMs` determines the initial guess.
    */
   getServiceMeanMs(objectiveMs: number): number {
     return this.serviceTimes?.meanMs ?? objectiveMs * INITIAL_SHARE;
@@ -74,7 +74,7 @@
     return this.getTimes(route, objectiveMs).meanMs;
   }
 
-  /** Probability that the work on a request is done within `ms`, from 0 to 1. */
+  /** Probability that a request is processed within `ms`, from 0 to 1. */
   getShareWithin(route: string, objectiveMs: number, ms: number): number {
     return ms <= 0 ? 0 : this.getTimes(route, objectiveMs).getShareWithin(ms);
   }
@@ -90,7 +90,7 @@
   }
 }
 
-/** Values of a sorted list that are at most `limit`. */
+/** Number of values of a sorted list that are at most `limit`. */
 function countUpTo(sorted: readonly number[], limit: number): number {
   let low = 0;
   let high = sorted.length;
--- a/packages/dispatch/src/home/common/responseSizes.ts
+++ b/packages/dispatch/src/home/common/responseSizes.ts
@@ -1,10 +1,10 @@
-/** How large answers of one service are, learnt for each route. */
+/** Estimates the mean response size of each route of one service. */
 
-/** Weight of one more answer in the running mean: some twenty answers make it. */
+/** Weight of a new response in the exponential moving average, which spans some twenty responses. */
 const WEIGHT = 0.05;
-/** Size that is expected before any answer came, in bytes. */
+/** Expected size before the first response, in bytes. */
 const INITIAL_BYTES = 2048;
-/** Routes that are told apart; further ones share one mean. */
+/** Maximum number of separate routes; all others share one mean. */
 const MAX_ROUTES = 64;
 
 /**
@@ -21,7 +21,7 @@
     this.means.set(key, mean === undefined ? bytes : mean + WEIGHT * (bytes - mean));
   }
 
-  /** In bytes. */
+  /** Mean size of the responses of a route, in bytes. */
   getMeanBytes(route: string): number {
     return this.means.get(this.toKey(route)) ?? INITIAL_BYTES;
   }
--- a/packages/dispatch/src/home/common/retryWindow.ts
+++ b/packages/dispatch/src/home/common/retryWindow.ts
@@ -1,4 +1,4 @@
-/** The fleet's retries of one service, kept within a share of its requests. */
+/** Limits the fleet's retries of one service to a share of its requests. */
 import type { IRetryCounts } from './peerRetryCounts.js';
 import { PeerRetryCounts } from './peerRetryCounts.js';
 import { SlidingCount } from './slidingCount.js';
@@ -7,37 +7,37 @@
 export interface IRetryWindowOptions {
   /** Length of the window, in ms. */
   readonly windowMs: number;
-  /** Retries allowed for each request in the window. */
+  /** Retries allowed per request in the window. */
   readonly ratio: number;
-  /** Retries allowed besides. */
+  /** Retries allowed in addition, independent of the number of requests. */
   readonly burst: number;
 }
 
-/** What this home counted, by part of the window, newest first. */
+/** The counts of this home, per part of the window, newest first. */
 export type OwnCounts = Pick<IRetryCounts, 'requests' | 'retries'>;
 
 /**
- * Part of the burst that homes use. The rest covers what one home does not know of another yet: two
- * at once tell each other their counts twice a second.
+ * Share of the burst that homes use. The rest covers retries of concurrent homes that this home has not
+ * learned of yet: homes exchange their counts twice a second.
  */
 const BURST_SHARE = 0.5;
 /**
- * Part of the burst of a home that does not know what was sent before it. A service with few requests
- * would get no retry at all for a window after a start; ten such homes in one window stay within the
- * part that homes leave unused.
+ * Share of the burst for a home that doesn't know the retries sent before it became the home. With none,
+ * a service with few requests would have no retries for a whole window after a start. Ten such homes
+ * in one window stay within the unused share of the burst.
  */
 const INCOMPLETE_BURST_SHARE = 0.05;
-/** The rest covers arrivals that the window of the observer counts and ours no longer does. */
+/** Share of the ratio in use. The rest covers requests that have expired here but not in an observer's window. */
 const RATIO_SHARE = 0.95;
 
 /**
  * Decides whether another retry may be sent.
  *
- * The limit holds over all nodes, but homes come and go: with restarts in series three to five homes
- * follow each other within one window. If each counted from nothing, each would be given the burst
- * anew, and would spend a share of requests for which the former one had sent retries already: 896
- * where 816 were allowed (simulated, 108 nodes). So a home counts what others told it too, and has
- * next to no burst while it can't know what was sent before it.
+ * The limit applies to all nodes together, while homes change: in a rolling restart three to five homes
+ * follow each other within one window. If each of them counted from zero, each would have the whole burst
+ * and the allowance of requests whose retries an earlier home had already sent, which exceeds the limit.
+ * Therefore a home includes the counts received from other homes, and has only a small burst while it
+ * can't know the retries sent before.
  *
  * @example
  * if (window.isOpen(now)) window.recordRetry(now);
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Since when homes at work would have told this node what they count, in ms; undefined if they
-   * would not, for it is not among those that take over.
+   * Sets the time since which active homes have been sending their counts to this node, in ms of the
+   * monotonic clock; undefined if they don't, because this node is not among the homes of the service.
    */
   setReceivingSince(ms: number | undefined): void {
     this.receivingSinceMs = ms;
@@ -82,30 +82,33 @@
     this.retries.add(nowMs);
   }
 
-  /** Takes what another home told; `isComplete` if no retry of the window is unknown to it. */
+  /** Records counts from another home; `isComplete` if that home knows all retries of the window. */
   recordPeerCounts(counts: readonly IRetryCounts[], isComplete: boolean, nowMs: number): void {
     for (const one of counts) this.peerCounts.take(one);
     if (isComplete) this.completeCountsMs = nowMs;
   }
 
-  /** Whether no retry of the window is unknown: the home was told, or heard of none all along. */
+  /**
+   * Whether all retries of the window are known: either complete counts were received, or this node has
+   * been receiving counts for a whole window.
+   */
   isComplete(nowMs: number): boolean {
     if (this.receivingSinceMs === undefined) return false;
     const hasReceivedForWindow = nowMs - this.receivingSinceMs >= this.options.windowMs;
     return hasReceivedForWindow || this.completeCountsMs >= this.receivingSinceMs;
   }
 
-  /** Whether one more may be sent besides `pending` that were let in and not sent yet. */
+  /** Whether another retry may be sent in addition to `pending` admitted ones that were not sent yet. */
   isOpen(nowMs: number, pending = 0): boolean {
     return this.countRetries(nowMs) + pending + 1 <= this.getAllowance(nowMs);
   }
 
-  /** Share of the allowance that is used up, from 0 to 1. */
+  /** Used share of the allowance, from 0 to 1. */
   getUsedShare(nowMs: number): number {
     return Math.min(1, this.countRetries(nowMs) / Math.max(1, this.getAllowance(nowMs)));
   }
 
-  /** Retries within the window that other homes counted. */
+  /** Retries of other homes within the window. */
   countPeerRetries(nowMs: number): number {
     return this.peerCounts.count(nowMs).retries;
   }
@@ -128,7 +131,7 @@
     return RATIO_SHARE * ratio * requests + this.getBurstShare(nowMs) * burst;
   }
 
-  /** None for a node that is not among the homes: it decides alone, as a hundred others may. */
+  /** Zero for a node that is not among the homes: it decides locally, as a hundred others may at the same time. */
   private getBurstShare(nowMs: number): number {
     if (this.receivingSinceMs === undefined) return 0;
     return this.isComplete(nowMs) ? BURST_SHARE : INCOMPLETE_BURST_SHARE;
--- a/packages/dispatch/src/home/common/serviceLog.ts
+++ b/packages/dispatch/src/home/common/serviceLog.ts
@@ -1,4 +1,4 @@
-/** The home's log lines: refusals, and changes of what it believes of a target. */
+/** Log lines of a home: rejections, and changes of a target's health status or notices. */
 import type { Clock, Logger, ResultCode } from '@parsleymux/base';
 import { getResultInfo } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
@@ -14,37 +14,37 @@
   readonly log: Logger;
 }
 
-/** The request that a line speaks of. */
+/** The request to which a log line refers. */
 export interface ILoggedTicket {
   readonly request: IGrantRequest;
-  /** Node that asked. */
+  /** Node that requested the grant. */
   readonly node: string;
   readonly requestedMs: number;
 }
 
-/** What a refusal rests on. */
+/** Facts behind a rejection. */
 export interface IRefusalFacts {
   readonly code: ResultCode;
   readonly retryAfterMs: number;
   readonly queue: number;
-  /** Share of the retry allowance that is used up. */
+  /** Used share of the retry allowance, from 0 to 1. */
   readonly retriesUsed: number;
-  /** Retries that other homes counted within the window. */
+  /** Retries of other homes within the window. */
   readonly retriesElsewhere: number;
-  /** What a refusal by quota rests on. */
+  /** The quota state, if the tenant's quota caused the rejection. */
   readonly quota?: IQuotaFacts | undefined;
 }
 
-/** What a home goes by that takes over. */
+/** The state of a home that takes over. */
 export interface ITakeoverFacts {
-  /** Whether it knows of all retries that were sent before it. */
+  /** Whether it knows all retries that were sent before. */
   readonly knowsRetries: boolean;
   readonly retriesElsewhere: number;
   readonly targets: number;
 }
 
 /**
- * Writes lines that carry the request's identifier, so that they can be found from a complaint.
+ * Writes lines with the request's identifier, so that they can be found from a caller's complaint.
  *
  * @example
  * serviceLog.watchBelief(ticket, target, 'failed', () => target.health.recordFailure(now));
@@ -52,7 +52,7 @@
 export class ServiceLog {
   constructor(private readonly options: IServiceLogOptions) {}
 
-  /** Makes a change and writes a line if the target is doubted, or trusted again, because of it. */
+  /** Runs `change` and logs if the target becomes suspected or is cleared as a result. */
   trackHealthChange(
     ticket: ILoggedTicket,
     target: TargetState,
@@ -88,7 +88,7 @@
     });
   }
 
-  /** The target names another limit than `before`, or none any more. */
+  /** Logs that a target advertises a limit other than `before`, or none any more. */
   logLimit(
     { node, request }: ILoggedTicket,
     target: TargetState,
@@ -104,7 +104,7 @@
     });
   }
 
-  /** Retries and grants of one moment that several homes gave are found by these lines. */
+  /** Logs a takeover, which helps to find grants and retries that several homes gave concurrently. */
   logTakeover(facts: ITakeoverFacts): void {
     this.options.log.info('home takes over', { service: this.options.service, ...facts });
   }
@@ -140,7 +140,7 @@
   }
 }
 
-/** Shares in logs, to three places. */
+/** Rounds a share to three decimal places. */
 function toPlaces(share: number): number {
   return Math.round(share * SHARE_PLACES) / SHARE_PLACES;
 }
--- a/packages/dispatch/src/home/common/serviceScheduler.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.ts
@@ -1,4 +1,4 @@
-/** The home of one service: grants targets, queues requests while none is free, learns from reports. */
+/** Schedules the requests of one service at its home: grants slots, queues requests and applies reports. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
@@ -25,31 +25,31 @@
 import { Ticket } from './ticket.js';
 import { ProcessingTimes } from './processingTimes.js';
 
-/** Slots whose report never came are freed this long after their request has ended, in ms. */
+/** A slot without a report is released this long after its request's deadline, in ms. */
 const REPORT_GRACE_MS = 500;
-/** When no target is known at all: the time in which one may register, in ms. */
+/** Retry-After if no target is usable, in ms: time for a target to register. */
 const NO_TARGET_RETRY_AFTER_MS = 500;
-/** Shortest and longest time that a refused caller is told to stay away, in ms. */
+/** Bounds of the Retry-After of other rejections, in ms. */
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 5000;
-/** A home that was asked nothing for this long is logged as taking over, in ms: a window of retries. */
+/** A grant request after this idle time is logged as a takeover, in ms: the length of a retry window. */
 const TAKEOVER_IDLE_MS = 10_000;
-/** Above this share of the retry allowance, no request is risked on a kept connection that may be broken. */
+/** Above this used share of the retry allowance, no request reuses a connection that may be broken. */
 const MAX_RETRIES_USED_FOR_REUSE = 0.5;
-/** Waiting requests that a pass for one free slot looks at, at most. */
+/** Maximum number of queued requests that a pass for one released slot leaves waiting. */
 const MAX_SKIPPED = 16;
 
-/** Refusals that say something of the caller, and nothing of how the service fares. */
+/** Rejections that are caused by the caller and are no evidence of a failing service. */
 const CALLER_REFUSALS: ReadonlySet<ResultCode> = new Set([
   ResultCode.RequestQuarantined,
   ResultCode.UnknownKey,
   ResultCode.QuotaExceeded,
 ]);
 
-/** Bounds of every service, from the settings. */
+/** Limits that apply to every service, from the settings. */
 export interface IServiceBounds {
   readonly retries: IRetryWindowOptions;
-  /** Share of the sound targets that must get requests while many requests fail, from 0 to 1. */
+  /** Share of the healthy targets that must receive requests while many requests fail, from 0 to 1. */
   readonly floorShare: number;
 }
 
@@ -58,26 +58,27 @@
   readonly service: string;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Shared by all services: a request may move from one to the next. */
+  /** Shared by all services, because a request may be routed to several of them. */
   readonly quarantine: RequestQuarantine;
-  /** Shared by all services; undefined where requests belong to no tenants. */
+  /** Shared by all services; undefined if requests are not assigned to tenants. */
   readonly admission?: TenantAdmission | undefined;
   /** Default: an {@link ExpectedCreditPolicy}. */
   readonly policy?: GrantPolicy;
 }
 
 /**
- * Decides for one service. All decisions of a service are made in one place while its home lives,
- * so slots are never granted twice and one node's failure warns all others at once.
+ * Grants the slots of one service's targets. While its home is running, all grants of a service are
+ * made by one scheduler, so a slot is never granted twice and a failure that one node reports
+ * immediately affects the grants of all nodes.
  *
  * @example
  * const ticket = scheduler.requestGrant(request, node, (decision) => send(decision));
  * scheduler.recordOutcome(ticket, GrantOutcome.Succeeded, 240);
  */
 export class ServiceScheduler {
-  /** Retries of the whole fleet, as far as this home knows. */
+  /** Retries of the whole fleet, as far as they have been reported to this home. */
   readonly retries: RetryWindow;
-  /** What its targets say of themselves. */
+  /** Records the drain notices and rate limits that targets send in responses. */
   readonly notices: TargetNoticeRecorder;
   private readonly serviceLog: ServiceLog;
   private bounds: IServiceBounds;
@@ -120,19 +121,19 @@
     });
   }
 
-  /** Takes the current targets. */
+  /** Replaces the list of targets. */
   setTargets(records: readonly ITargetRecord[]): void {
     this.targets.set(records);
     this.serveQueue();
   }
 
-  /** Takes changed bounds; what was counted under the former ones stays counted. */
+  /** Changes the limits. Requests and retries counted before the change remain counted. */
   setBounds(bounds: IServiceBounds): void {
     this.bounds = bounds;
     this.retries.setAllowance(bounds.retries);
   }
 
-  /** Decides at once, or puts the request in the queue and calls `respond` later, exactly once. */
+  /** Decides immediately or queues the request. Calls `respond` exactly once, possibly before returning. */
   requestGrant(
     request: IGrantRequest,
     node: string,
@@ -156,7 +157,7 @@
     return ticket;
   }
 
-  /** Tells what a home goes by that was not asked for a while: it may have taken over. */
+  /** Logs the state of a home that received no grant request for a while: it may have just taken over. */
   private logTakeover(nowMs: number): void {
     if (nowMs - this.lastRequestMs < TAKEOVER_IDLE_MS) return;
     this.serviceLog.logTakeover({
@@ -172,29 +173,29 @@
     if (!this.settle(ticket, ahead, state)) this.queue.push(ticket);
   }
 
-  /** Takes the outcome of a grant, or withdraws a question from the queue. */
+  /** Records the outcome of a grant, or removes a request that is still queued. */
   recordOutcome(
     ticket: ITicket,
     outcome: GrantOutcome,
     latencyMs: number,
-    answer: IReportedResponse = NO_RESPONSE,
+    response: IReportedResponse = NO_RESPONSE,
   ): void {
     if (!(ticket instanceof Ticket)) return;
     this.queue.remove(ticket);
     const { target } = ticket;
     this.releaseToken(ticket, target === undefined ? undefined : outcome);
-    if (target !== undefined) this.notices.record(ticket, target, outcome, answer);
+    if (target !== undefined) this.notices.record(ticket, target, outcome, response);
     if (!this.openGrants.delete(ticket) || target === undefined) return;
     target.inUse -= 1;
     this.outcomeRecorder.record(ticket, target, {
       outcome,
       latencyMs,
-      answerBytes: answer.answerBytes,
+      answerBytes: response.answerBytes,
     });
     this.serveQueue();
   }
 
-  /** Looks after what time alone changes; to be called several times a second. */
+  /** Handles timeouts of granted and queued requests; must be called several times a second. */
   advance(): void {
     const nowMs = this.clock.getMonotonicTime();
     for (const ticket of this.openGrants) this.checkOpenGrant(ticket, nowMs);
@@ -206,22 +207,22 @@
     this.serveWaiting(Infinity);
   }
 
-  /** Takes what another home of the service believes of a target. */
+  /** Applies the health estimate that another home of the service has of a target. */
   applyEvidence(targetId: string, bornMs: number | undefined, evidence: IHealthEvidence): void {
     this.targets.applyEvidence(targetId, bornMs, evidence);
   }
 
-  /** Whether this node was asked for a grant within the last `windowMs`. */
+  /** Whether this node received a grant request within the last `windowMs`. */
   isActive(windowMs: number): boolean {
     return this.clock.getMonotonicTime() - this.lastRequestMs < windowMs;
   }
 
-  /** Targets with what is believed of them, for status pages and logs. */
+  /** All targets with their state, for status pages and logs. */
   listTargets(): readonly TargetState[] {
     return this.targets.list();
   }
 
-  /** Whether so many requests fail that targets without requests have to be used, also doubtful ones. */
+  /** Whether so many requests fail that unused targets, including suspected ones, must be used. */
   isFailing(): boolean {
     return this.outcomeWindow.isFailing(this.clock.getMonotonicTime());
   }
@@ -232,8 +233,8 @@
 
   private findRefusal(ticket: Ticket, nowMs: number): ResultCode | undefined {
     if (!this.targets.hasUsable(ticket.request)) return ResultCode.NoTarget;
-    // Retries that wait will be sent too: without them, all that ask while one slot is awaited would be
-    // let in by the last part of the allowance.
+    // Queued retries are going to be sent too. If they weren't counted, every retry that arrives while
+    // the slots are in use would be admitted by the same remainder of the allowance.
     const pending = this.queue.count(({ request }) => request.isRetry);
     if (ticket.request.isRetry && !this.retries.isOpen(nowMs, pending)) {
       return ResultCode.RetryBudgetSpent;
@@ -266,7 +267,7 @@
     return ticket.endMs - nowMs < this.getMeanWorkMs(ticket.request) / 2;
   }
 
-  /** The request won't run, or hasn't. */
+  /** Settles the quota token of a request; without an outcome the request has not run. */
   private releaseToken(ticket: Ticket, outcome: GrantOutcome | undefined): void {
     if (ticket.token === undefined) return;
     this.admission?.settle(ticket.token, outcome);
@@ -280,7 +281,8 @@
     quota?: IQuotaFacts,
   ): void {
     this.releaseToken(ticket, undefined);
-    // The request of a refused hedge goes on: counted as unserved, hedges would turn spreading on.
+    // The original request of a refused hedge is still running. If refused hedges were counted as failed
+    // requests, they would cause requests to be spread over suspected targets.
     const isCounted = !ticket.request.isHedge && !CALLER_REFUSALS.has(code);
     if (isCounted) this.outcomeWindow.record(false, this.clock.getMonotonicTime());
     this.serviceLog.logRefusal(ticket, this.targets.list(), {
@@ -294,7 +296,7 @@
     ticket.settle({ kind: 'refused', code, retryAfterMs });
   }
 
-  /** When a refused caller should come back, in ms. */
+  /** The Retry-After of a rejection, in ms. */
   private computeRetryAfterMs(ticket: Ticket, code: ResultCode): number {
     if (code === ResultCode.NoTarget) return NO_TARGET_RETRY_AFTER_MS;
     const { request } = ticket;
@@ -307,9 +309,9 @@
     return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs)));
   }
 
-  /** Grants or refuses; false when the request has to wait. */
+  /** Grants or rejects the request; returns false if it has to wait. */
   private settle(ticket: Ticket, ahead: number, state: IServiceState): boolean {
-    // Also what waits already: the verdict may have come meanwhile.
+    // Checked for queued requests too: the quarantine decision may have been made while they waited.
     if (this.quarantine.getHoldMs(ticket.request.fingerprints) > 0) {
       this.refuse(ticket, ResultCode.RequestQuarantined);
       return true;
@@ -337,23 +339,23 @@
   }
 
   /**
-   * While kept connections break, only requests that would be lost with one take new ones; the others
-   * are sent once more. New connections are what a busy fleet pays most for.
+   * While kept connections break, only requests that could not be retried use new connections; the
+   * others are retried. Opening connections is the largest cost of a busy fleet.
    */
   private isReuseRisky({ mayRetry }: IGrantRequest, nowMs: number): boolean {
     if (!this.outcomeRecorder.isReuseAvoided(nowMs)) return false;
     return !mayRetry || this.retries.getUsedShare(nowMs) > MAX_RETRIES_USED_FOR_REUSE;
   }
 
-  /** Gives out slots that have got free. */
+  /** Grants slots that have become free. */
   private serveQueue(): void {
     if (this.queue.size > 0) this.serveWaiting(MAX_SKIPPED);
   }
 
   /**
-   * Settles what can be settled. Outcomes come hundreds of times a second, so a pass for one of them
-   * ends where no slot is free, or where `mostPassedOver` requests would rather wait: those behind
-   * them see the same targets.
+   * Decides the queued requests for which a decision is possible. Outcomes arrive hundreds of times a
+   * second, so a pass after an outcome ends when no slot is free or when `maxSkipped` requests stay
+   * queued: the requests behind them would be offered the same targets.
    */
   private serveWaiting(maxSkipped: number): void {
     let state = this.getState();
--- a/packages/dispatch/src/home/common/serviceTargets.ts
+++ b/packages/dispatch/src/home/common/serviceTargets.ts
@@ -1,4 +1,4 @@
-/** The targets of one service at its home, with what is known of each. */
+/** The targets of one service at its home, with the state of each. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { isSameLife } from '../../catalog/common/catalog.js';
@@ -8,10 +8,10 @@
 import type { IHealthEvidence } from './targetHealthEstimate.js';
 import type { IRateEvidence } from './targetRateLimit.js';
 
-/** Targets that become known within this time of the home's start were there before, in ms. */
+/** Targets learned of within this time after the home's start are not considered new, in ms. */
 const INITIAL_TARGETS_MS = 2000;
 
-/** What another home has granted a target. */
+/** Requests to a target that another home has granted. */
 export interface IPeerGrants {
   /** Address of the home. */
   readonly home: string;
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Takes the current targets; those that stay keep what is known of them. One that started anew
-   * under its identifier is another target: reports of what its former life was granted count for
-   * that life, so they neither free slots of this one nor cast doubt on it.
+   * Replaces the list of targets; remaining targets keep their state. A target that restarted under
+   * the same identifier is a new target: reports for its previous incarnation apply to that
+   * incarnation only, so they neither release slots of the new one nor make it suspected.
    */
   set(records: readonly ITargetRecord[]): void {
     const ids = new Set(records.map(({ id }) => id));
@@ -61,24 +61,24 @@
     }
   }
 
-  /** Takes what another home of the service believes of a target. */
+  /** Applies the health estimate that another home of the service has of a target. */
   applyEvidence(targetId: string, bornMs: number | undefined, evidence: IHealthEvidence): void {
     this.find(targetId, bornMs)?.health.applyEvidence(evidence);
   }
 
-  /** Another home was told that a target leaves. */
+  /** Applies that a target reported to another home that it is draining. */
   applyDraining(targetId: string, bornMs: number | undefined): void {
     const target = this.find(targetId, bornMs);
     if (target !== undefined) target.hasReportedDraining = true;
   }
 
-  /** Takes what is known elsewhere of the limit that a target names. */
+  /** Applies evidence of a rate limit that another node received from a target. */
   applyLimit(targetId: string, bornMs: number | undefined, evidence: IRateEvidence): void {
     const nowMs = this.options.clock.getMonotonicTime();
     this.find(targetId, bornMs)?.rateLimit.apply(evidence, nowMs);
   }
 
-  /** Another home has granted a target `granted` requests since it knows it. */
+  /** Records that another home has granted a target `granted` requests since it learned of it. */
   recordPeerGrants(
     targetId: string,
     bornMs: number | undefined,
@@ -88,7 +88,7 @@
     this.find(targetId, bornMs)?.rateLimit.recordPeerGrants(home, granted, nowMs);
   }
 
-  /** Without one, waiting for a slot would only end the request's time. */
+  /** Whether any target may receive the request; without one it would wait until its deadline. */
   hasUsable({ excluded }: IGrantRequest): boolean {
     return this.list().some(({ isReady, record }) => isReady && !excluded.includes(record.id));
   }
@@ -98,7 +98,7 @@
     return target?.record.bornMs === bornMs ? target : undefined;
   }
 
-  /** Targets that were there before this home are not new: trying each would cost requests. */
+  /** Targets registered before the home started are not new: testing each of them would cost requests. */
   private createTarget(record: ITargetRecord, nowMs: number): TargetState {
     const isNew = nowMs > this.startMs + INITIAL_TARGETS_MS;
     return new TargetState(record, this.options.model, nowMs, isNew);
--- a/packages/dispatch/src/home/common/slidingCount.ts
+++ b/packages/dispatch/src/home/common/slidingCount.ts
@@ -1,10 +1,10 @@
-/** Counts of events in a window that slides. */
+/** Counts events in a sliding window. */
 
-/** Parts of a window; the count is late by one part at most. */
+/** Number of parts of a window; events expire at most one part late. */
 const PARTS = 20;
 
 /**
- * Counts in the last `windowMs`.
+ * Counts the events of the last `windowMs`.
  *
  * @example
  * const arrivals = new SlidingCount(10_000);
@@ -27,7 +27,7 @@
     this.parts[index] = (this.parts[index] ?? 0) + 1;
   }
 
-  /** Takes back one event, the newest of those that lie within the window. */
+  /** Removes the newest event within the window. */
   remove(nowMs: number): void {
     this.advance(nowMs);
     for (let age = 0; age < PARTS; age += 1) {
@@ -44,7 +44,7 @@
     return this.parts.reduce((sum, part) => sum + part, 0);
   }
 
-  /** Counts by part, newest first, up to the last part that holds any. */
+  /** Counts per part, newest first, without trailing empty parts. */
   list(nowMs: number): readonly number[] {
     this.advance(nowMs);
     const counts = this.parts.map((_, age) => {
--- a/packages/dispatch/src/home/common/targetHealthEstimate.ts
+++ b/packages/dispatch/src/home/common/targetHealthEstimate.ts
@@ -1,40 +1,41 @@
-/** The probability that one target is failing, kept up to date by Bayes' rule. */
+/** Estimates the probability that one target is failing, with Bayes' rule. */
 import type { FailureModel } from './failureModel.js';
 
-/** Above this probability a target counts as failing, for episodes and estimates. */
+/** Probability above which a target is considered failing. */
 const FAILING_THRESHOLD = 0.5;
-/** Outcomes further apart than this tell nothing of what the target did between, in ms. */
+/** A longer gap between outcomes is no evidence of the target's health in the meantime, in ms. */
 const MAX_OUTCOME_GAP_MS = 3000;
-/** A target that succeeds this long after a failure may have recovered meanwhile, in ms. */
+/** A success this long after a failure may follow a recovery, in ms. */
 const POSSIBLE_RECOVERY_MS = 2000;
 
-/** What a health rests on. */
+/** Evidence on which a health estimate is based. */
 export interface IHealthEvidence {
   /** Probability of failing right after the last outcome. */
   readonly suspicion: number;
+  /** Time of the last outcome, in ms of the monotonic clock. */
   readonly updatedMs: number;
 }
 
 /**
- * One target's health. Without outcomes it drifts back to what is true of any target.
+ * The health estimate of one target. Without outcomes it converges to the average of all targets.
  *
  * @example
- * const health = new TargetBelief(model, now);
+ * const health = new TargetHealthEstimate(model, now);
  * health.recordFailure(now);
- * health.getSuspicion(now); // about 0.6 of a target that succeeded a moment ago
+ * health.getSuspicion(now); // about 0.6 for a target that succeeded just before
  */
 export class TargetHealthEstimate {
   private suspicion: number;
-  /** When the last outcome came, here or at another home, in ms of the monotonic clock. */
+  /** When the last outcome was recorded, here or at another home, in ms of the monotonic clock. */
   private updatedMs: number;
-  /** Whether any outcome is known. */
+  /** Whether any outcome has been recorded. */
   private hasOutcome = false;
   private episodeStartMs: number | undefined;
-  /** The last outcome was a failure of a target taken for sound: the next one tells what it was. */
+  /** Whether the last outcome was a failure of a target considered healthy. The next one classifies it. */
   private isUnexplained = false;
-  /** When a request last succeeded, in ms of the monotonic clock. */
+  /** Time of the last success, in ms of the monotonic clock. */
   lastSuccessMs: number | undefined;
-  /** When a request last failed. */
+  /** Time of the last failure, in ms of the monotonic clock. */
   lastFailureMs: number | undefined;
 
   constructor(
@@ -45,7 +46,7 @@
     this.updatedMs = nowMs;
   }
 
-  /** Probability of failing at `nowMs`, from 0 to 1. */
+  /** Probability that the target is failing at `nowMs`, from 0 to 1. */
   getSuspicion(nowMs: number): number {
     const { onsetPerMs, recoveryPerMs, stationaryProbability: stationary } = this.model;
     const elapsedMs = Math.max(0, nowMs - this.updatedMs);
@@ -71,13 +72,13 @@
     if (this.suspicion > FAILING_THRESHOLD) this.episodeStartMs ??= nowMs;
   }
 
-  /** The health right after the last outcome; undefined when there was none. */
+  /** The estimate right after the last outcome; undefined if there was none. */
   getEvidence(): IHealthEvidence | undefined {
     if (!this.hasOutcome) return undefined;
     return { suspicion: this.suspicion, updatedMs: this.updatedMs };
   }
 
-  /** Takes what another home knows, if that is newer. */
+  /** Replaces the estimate with that of another home if that is newer. */
   applyEvidence({ suspicion, updatedMs }: IHealthEvidence): void {
     if (this.hasOutcome && updatedMs <= this.updatedMs) return;
     this.suspicion = suspicion;
@@ -89,7 +90,7 @@
     const startMs = this.episodeStartMs;
     if (startMs === undefined || this.suspicion > FAILING_THRESHOLD) return;
     this.episodeStartMs = undefined;
-    // The last failure is the last moment at which the target is known to have failed.
+    // The target recovered between its last failure and now; the middle is the best estimate.
     const endMs = ((this.lastFailureMs ?? startMs) + nowMs) / 2;
     this.model.recordEpisode(endMs - startMs);
   }
@@ -104,9 +105,10 @@
   }
 
   /**
-   * Sorts an outcome into the estimates. A single failure of a sound target may be chance or the
-   * begin of an episode; sorted by the health of the moment, chance would get most of both, its
-   * estimate would grow, and each further failure would say less. So the next outcome decides.
+   * Updates the failure model with an outcome. A single failure of a healthy target may be a random
+   * failure or the onset of an episode. If the current estimate classified it, most onsets would count
+   * as random failures; the healthy failure rate would grow, and each further failure would be weaker
+   * evidence. Therefore the next outcome classifies it.
    */
   private recordForModel(nowMs: number, isFailure: boolean): void {
     const sinceMs = nowMs - this.updatedMs;
--- a/packages/dispatch/src/home/common/targetNoticeRecorder.ts
+++ b/packages/dispatch/src/home/common/targetNoticeRecorder.ts
@@ -1,4 +1,4 @@
-/** What the targets of one service say of themselves in answers: that they leave, or which limit they have. */
+/** Records the notices that targets of one service send in responses: that they drain, or a rate limit. */
 import type { Clock } from '@parsleymux/base';
 import type {
   GrantOutcome,
@@ -20,15 +20,16 @@
 }
 
 /**
- * Takes them from answers, from entries that ask, and from other homes, which no entry is to find out by itself.
+ * Notices come from responses, from grant requests and from other homes, so that each notice reaches
+ * all entries without each of them having to send a request to the target.
  *
  * @example
- * statements.record(ticket, target, outcome, answer);
+ * notices.record(ticket, target, outcome, response);
  */
 export class TargetNoticeRecorder {
   constructor(private readonly options: ITargetNoticeRecorderOptions) {}
 
-  /** Takes what the answer to a request says, and what it does not say any more. */
+  /** Records the notices in a response, and the end of a limit that the response no longer advertises. */
   record(
     ticket: Ticket,
     target: TargetState,
@@ -39,7 +40,7 @@
     if (hasCompleteResponse(outcome)) this.recordLimit(ticket, target, rateLimit);
   }
 
-  /** Takes limits that an entry knows which asks for a grant. */
+  /** Applies the limits that an entry sends with a grant request. */
   applyAdvertisedLimits(limits: readonly IAdvertisedLimit[]): void {
     const nowMs = this.options.clock.getMonotonicTime();
     for (const { ageMs, bornMs, ratePerS, targetId } of limits) {
@@ -47,12 +48,12 @@
     }
   }
 
-  /** Another home was told that a target leaves. */
+  /** Applies that a target reported to another home that it is draining. */
   applyDraining(targetId: string, bornMs: number | undefined): void {
     this.options.targets.applyDraining(targetId, bornMs);
   }
 
-  /** Another home knows of the limit that a target names, and has granted it requests itself. */
+  /** Applies another home's evidence of a target's limit, and the requests which that home has granted. */
   applyLimit(
     targetId: string,
     bornMs: number | undefined,
@@ -71,8 +72,8 @@
   }
 
   /**
-   * An answer that names no limit is as of its request's grant or later, so it ends only a limit that was
-   * named before: answers of slower requests come in any order.
+   * A response without a limit proves only that the target had none at some time after the grant.
+   * Responses arrive in any order, so it ends only a limit that was advertised before that grant.
    */
   private recordLimit(ticket: Ticket, target: TargetState, ratePerS: number | undefined): void {
     const { clock, serviceLog } = this.options;
--- a/packages/dispatch/src/home/common/targetRateLimit.ts
+++ b/packages/dispatch/src/home/common/targetRateLimit.ts
@@ -1,24 +1,24 @@
-/** The limit of requests that one target names, and how much of it is used. */
+/** Enforces the rate limit that one target advertises. */
 import { MS_PER_SECOND } from '@parsleymux/base';
 
-/** Requests that may be sent at once after a pause. */
+/** Maximum burst after an idle time, in requests. */
 const BURST = 1;
-/** Requests beyond the limit that are made up for at most, as the limit's requests of so many s. */
+/** Maximum excess that is compensated by later requests, in seconds of the advertised rate. */
 const MAX_DEBT_S = 1;
-/** A target that gets nothing could never say that it takes more again. */
+/** Minimum rate: a target without requests could never advertise a higher limit. */
 const MIN_RATE_PER_S = 0.2;
 
-/** What a target said of its limit, or did not say any more. */
+/** The presence or absence of a limit in the response of a target. */
 export interface IRateEvidence {
-  /** Requests a second from all nodes together; undefined if the target named no limit. */
+  /** Requests per second from all nodes together; undefined if the target advertised no limit. */
   readonly ratePerS: number | undefined;
-  /** When it was so, in ms of the monotonic clock. */
+  /** Time to which the evidence applies, in ms of the monotonic clock. */
   readonly atMs: number;
 }
 
 /**
- * A token bucket that exists only while the target names a limit. It begins empty, so that homes that
- * follow one another give no burst each.
+ * A token bucket that is in effect while the target advertises a limit. It starts empty, so that
+ * successive homes don't each grant a burst.
  *
  * @example
  * limit.apply({ ratePerS: 1.5, atMs: nowMs }, nowMs);
@@ -28,25 +28,25 @@
   private newest: IRateEvidence | undefined;
   private tokens = 0;
   private filledMs = 0;
-  /** Grants of other homes, as they counted them when they were heard last. */
+  /** By home: its number of grants in its last message. */
   private readonly grantedByPeer = new Map<string, number>();
 
-  /** Undefined until the target has named a limit once. */
+  /** Undefined until the target first advertises a limit. */
   get evidence(): IRateEvidence | undefined {
     return this.newest;
   }
 
-  /** Requests a second that the target takes; undefined while it names no limit. */
+  /** The advertised limit in requests per second; undefined without a limit. */
   get ratePerS(): number | undefined {
     return this.newest?.ratePerS;
   }
 
-  /** Requests a second that it is granted at most; infinite while it names no limit. */
+  /** Maximum rate of grants in requests per second; infinite without a limit. */
   get grantsPerS(): number {
     return this.ratePerS === undefined ? Infinity : Math.max(MIN_RATE_PER_S, this.ratePerS);
   }
 
-  /** Takes newer evidence. Absence of a limit is no evidence where none was named before. */
+  /** Applies newer evidence. The absence of a limit is ignored if none was advertised before. */
   apply(evidence: IRateEvidence, nowMs: number): void {
     const isFirst = this.newest === undefined;
     if (isFirst && evidence.ratePerS === undefined) return;
@@ -58,7 +58,7 @@
     this.newest = evidence;
   }
 
-  /** Whether one more request may be sent. */
+  /** Whether another request may be granted. */
   isOpen(nowMs: number): boolean {
     if (this.ratePerS === undefined) return true;
     this.advance(nowMs);
@@ -69,11 +69,11 @@
     this.take(1, nowMs);
   }
 
-  /** Another home has granted the target `granted` requests since it knows it. */
+  /** Records that another home has granted the target `granted` requests since it learned of it. */
   recordPeerGrants(home: string, granted: number, nowMs: number): void {
     const before = this.grantedByPeer.get(home) ?? granted;
     this.grantedByPeer.set(home, granted);
-    // A home that has started anew counts from nothing.
+    // A restarted home starts its count at zero.
     this.take(Math.max(0, granted - before), nowMs);
   }
 
--- a/packages/dispatch/src/home/common/targetState.ts
+++ b/packages/dispatch/src/home/common/targetState.ts
@@ -1,29 +1,29 @@
-/** One target as the home of its service keeps it: its health, and who uses its slots. */
+/** What the home of a service tracks of one target: its health estimate, its slots in use and its limits. */
 import { MS_PER_SECOND } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { FailureModel } from './failureModel.js';
 import { TargetHealthEstimate } from './targetHealthEstimate.js';
 import { TargetRateLimit } from './targetRateLimit.js';
 
-/** Reports of nodes that could not connect are put together over this time, in ms. */
+/** Window within which reports of failed connections are combined, in ms. */
 const UNREACHABLE_WINDOW_MS = 2000;
-/** One node alone may have lost its own path; two blame the target. */
+/** A single reporter may have lost its own network path; two are evidence against the target. */
 const MIN_UNREACHABLE_REPORTERS = 2;
 
-/** A target and its bookkeeping. */
+/** The record of a target and its state at the home. */
 export class TargetState {
   readonly health: TargetHealthEstimate;
   readonly rateLimit = new TargetRateLimit();
-  /** Requests that hold a slot. */
+  /** Number of slots in use. */
   inUse = 0;
-  /** Requests that were ever granted this target. */
+  /** Number of requests granted since the home learned of the target. */
   granted = 0;
   lastGrantMs: number | undefined;
-  /** Not to be granted before: it said that it was full. */
+  /** No grants before this time, because the target rejected a request as overloaded. */
   busyUntilMs = 0;
-  /** Another target answered at its address. */
+  /** Whether another target responded at its address. */
   isReplaced = false;
-  /** It said in an answer that it leaves, whatever the list of targets says. */
+  /** Whether a response reported that the target is draining, regardless of the target list. */
   hasReportedDraining = false;
   private readonly unreachableFrom = new Map<string, number>();
 
@@ -31,13 +31,13 @@
     public record: ITargetRecord,
     model: FailureModel,
     readonly joinedMs: number,
-    /** Whether it registered while the home was at work, and no request has tried it yet. */
+    /** Whether it registered after the home had started, so that no request may have used it yet. */
     readonly isNew: boolean,
   ) {
     this.health = new TargetHealthEstimate(model, joinedMs);
   }
 
-  /** Whether it may be given work at all. */
+  /** Whether requests may be granted to it. */
   get isReady(): boolean {
     return !this.record.isDraining && !this.isReplaced && !this.hasReportedDraining;
   }
@@ -47,7 +47,7 @@
     return hasSlot && this.rateLimit.isOpen(nowMs);
   }
 
-  /** Slots that are in use at most, where work takes `processingMs`: a named limit leaves some empty. */
+  /** Slots that can be in use at once if a request takes `processingMs`: a rate limit leaves some idle. */
   countUsableSlots(processingMs: number): number {
     const { grantsPerS } = this.rateLimit;
     return Math.min(this.record.slots, (grantsPerS * processingMs) / MS_PER_SECOND);
@@ -58,9 +58,9 @@
   }
 
   /**
-   * A node could not connect. A cut between that node and the target says nothing of the target,
-   * and ejecting it for one node's path would take it from all others; so it counts as a failure
-   * of the target only when several nodes say so and none has succeeded meanwhile.
+   * Records that a node could not connect. The fault may lie on the path of that node, and ejecting
+   * the target would then remove it for all other nodes. It counts as a failure of the target only
+   * if several nodes report it and no request has succeeded since.
    */
   recordUnreachable(node: string, nowMs: number): void {
     this.unreachableFrom.set(node, nowMs);
--- a/packages/dispatch/src/home/common/ticket.ts
+++ b/packages/dispatch/src/home/common/ticket.ts
@@ -1,26 +1,26 @@
-/** One request at the home, from its question to its report. */
+/** One request at the home, from the grant request to the report. */
 import type { GrantDecision, IGrantRequest } from '../../grants/common/grant.js';
 import type { IQuotaToken } from '../../quotas/common/tenantAdmission.js';
 import type { TargetState } from './targetState.js';
 
-/** What others see of it. */
+/** The public view of a {@link Ticket}. */
 export interface ITicket {
   readonly request: IGrantRequest;
-  /** Node that asked. */
+  /** Node that requested the grant. */
   readonly node: string;
-  /** The decision once there is one; undefined in the queue. */
+  /** The decision; undefined while the request is queued. */
   readonly decision: GrantDecision | undefined;
   readonly requestedMs: number;
 }
 
-/** The home's own view. */
+/** The state of a request at the home. */
 export class Ticket implements ITicket {
   decision: GrantDecision | undefined;
-  /** The target that was granted: of the life that it had then. */
+  /** The granted target, in its incarnation at that time. */
   target: TargetState | undefined;
   grantedMs = 0;
   isOverdue = false;
-  /** Taken from the quota of the request's tenant; given back if the request doesn't run. */
+  /** A token of the tenant's quota; returned if the request does not run. */
   token: IQuotaToken | undefined;
 
   constructor(
@@ -38,7 +38,7 @@
     return nowMs - this.requestedMs;
   }
 
-  /** Takes the decision and answers the question; once. */
+  /** Stores the decision and sends it to the requesting node; must be called once. */
   settle(decision: GrantDecision): void {
     this.decision = decision;
     this.respond(decision);
