--- a/packages/dispatch/src/grants/common/homeSelector.test.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.test.ts
@@ -13,7 +13,7 @@
 const TARGET = makeTarget('t1', { slots: 2 });
 
 class Node {
-  /** What this node's own copy says of targets. */
+  /** The targets in this node's copy of the directory. */
   readonly known = new Map([[TARGET.id, TARGET]]);
   readonly homes: HomeService;
   readonly selector: HomeSelector;
@@ -70,11 +70,11 @@
   return selection.kind === 'granted' ? selection.grant.home : selection.home;
 }
 
-test('the home grants, and its slot is free again after the report', async () => {
+test('the home grants a slot, which is released after the report', async () => {
   const { entry, home, network } = openNodes();
-  const asked = entry.selector.choose(makeGrantRequest(), signal);
+  const pending = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(10);
-  const selection = await asked;
+  const selection = await pending;
   assert.ok(selection.kind === 'granted');
   assert.equal(home.getInUse(), 1);
   selection.grant.report(GrantOutcome.Succeeded, 5);
@@ -82,13 +82,13 @@
   assert.equal(home.getInUse(), 0);
 });
 
-test('a lost third of all datagrams loses no request and no slot', async () => {
+test('no request and no slot is lost while a third of all datagrams are lost', async () => {
   const { entry, home, network } = openNodes();
   network.lossShare = 0.33;
   for (let index = 0; index < 30; index += 1) {
-    const asked = entry.selector.choose(makeGrantRequest(), signal);
+    const pending = entry.selector.choose(makeGrantRequest(), signal);
     await network.clock.advanceBy(400);
-    const selection = await asked;
+    const selection = await pending;
     assert.ok(selection.kind === 'granted');
     selection.grant.report(GrantOutcome.Succeeded, 5);
     await network.clock.advanceBy(1500);
@@ -98,9 +98,8 @@
   assert.equal(home.getInUse(), 0);
 });
 
-test('a silent home is passed over, then asked again', async () => {
-  // Symptom: every request waits for a node that has died. Sequence: the home of a service loses
-  // power. Cause: each question waited for it anew.
+test('an unresponsive home is skipped', async () => {
+  // Guards against every request waiting for a crashed home until the retransmissions time out.
   const { entry, home, network } = openNodes();
   void home.channel.dispose();
   const first = entry.selector.choose(makeGrantRequest(), signal);
@@ -111,42 +110,41 @@
   assert.equal(getHome(await next), 'second');
 });
 
-test('a home that knows no targets yet leaves its requests to the next', async () => {
-  // Symptom: a burst of refusals for want of targets whenever nodes are restarted. Sequence: a home
-  // starts again and is asked before it has read or been told the targets. Cause: it took "none
-  // known" for "none there".
+test('a home without a target list leaves its requests to the next home', async () => {
+  // Guards against a burst of rejections after restarts: a home receives grant requests before it has
+  // received the list of targets.
   const network = new MemoryNetwork(new ManualClock());
   const home = new Node(network, 'home', RANKING, false);
   new Node(network, 'second', RANKING);
   const entry = new Node(network, 'entry', RANKING);
-  const asked = entry.selector.choose(makeGrantRequest(), signal);
-  const askedAtHome = home.selector.choose(makeGrantRequest(), signal);
+  const pending = entry.selector.choose(makeGrantRequest(), signal);
+  const pendingAtHome = home.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(100);
-  for (const selection of [await asked, await askedAtHome]) {
+  for (const selection of [await pending, await pendingAtHome]) {
     assert.equal(selection.kind, 'granted');
     assert.equal(getHome(selection), 'second');
   }
 });
 
-test('with no home to be heard, the entry decides alone', async () => {
+test('if no home responds, the entry decides locally', async () => {
   const { entry, home, network, second } = openNodes();
   void home.channel.dispose();
   void second.channel.dispose();
-  const asked = entry.selector.choose(makeGrantRequest(), signal);
+  const pending = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(200);
-  assert.equal(getHome(await asked), 'entry');
+  assert.equal(getHome(await pending), 'entry');
 });
 
-test('a request that waits in the queue is granted when a slot gets free, or withdrawn', async () => {
+test('a queued request is granted when a slot is released, or withdrawn by its entry', async () => {
   const { entry, home, network } = openNodes();
   const held = [1, 2].map(() => entry.selector.choose(makeGrantRequest(), signal));
   await network.clock.advanceBy(10);
-  const leaving = new AbortController();
-  const withdrawn = entry.selector.choose(makeGrantRequest(), leaving.signal);
+  const caller = new AbortController();
+  const withdrawn = entry.selector.choose(makeGrantRequest(), caller.signal);
   const waiting = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(400);
   assert.equal(home.homes.getScheduler('booking').queueLength, 2);
-  leaving.abort(new Error('the caller left'));
+  caller.abort(new Error('the caller left'));
   await assert.rejects(withdrawn, /the caller left/);
   const first = await held[0]!;
   assert.ok(first.kind === 'granted');
@@ -156,18 +154,17 @@
   assert.equal(home.homes.getScheduler('booking').queueLength, 0);
 });
 
-test('a target that the entry knows to be leaving is not taken from a home that does not', async () => {
-  // Symptom: a leaving target gets requests long after all nodes knew. Sequence: the home of its
-  // service stands still, the target reports that it leaves, the home wakes and answers the
-  // questions that waited. Cause: the entry trusted the home's grant over its own newer copy.
+test('the entry does not use a granted target that it knows to be draining', async () => {
+  // The home is paused while a target starts draining, and then responds to the pending grant requests.
+  // Guards against using such a grant although the entry's own copy is newer.
   const { entry, home, network } = openNodes();
-  const staying = makeTarget('t2', { failureDomain: 'far' });
-  home.homes.setTargets([TARGET, staying]);
-  entry.known.set(TARGET.id, { ...TARGET, isDraining: true }).set(staying.id, staying);
+  const remaining = makeTarget('t2', { failureDomain: 'far' });
+  home.homes.setTargets([TARGET, remaining]);
+  entry.known.set(TARGET.id, { ...TARGET, isDraining: true }).set(remaining.id, remaining);
   for (let index = 0; index < 4; index += 1) {
-    const asked = entry.selector.choose(makeGrantRequest(), signal);
+    const pending = entry.selector.choose(makeGrantRequest(), signal);
     await network.clock.advanceBy(50);
-    const selection = await asked;
+    const selection = await pending;
     assert.equal(selection.kind === 'granted' && selection.grant.target.id, 't2');
     if (selection.kind === 'granted') selection.grant.report(GrantOutcome.Succeeded, 5);
     await network.clock.advanceBy(50);
@@ -175,55 +172,51 @@
   assert.equal(home.getInUse(), 0);
 });
 
-test('a grant of a life that the entry knows to be over, or does not know yet, is given back', async () => {
-  // Symptom: a booking is sent to an address that its target left. Sequence: the target starts anew
-  // elsewhere under its identifier; home and entry hear of it at different moments. Cause: the
-  // identifier alone was compared.
+test('a grant of a different incarnation than the entry knows is returned', async () => {
+  // A target restarts at another address under its identifier, and home and entry learn of it at different
+  // times. Guards against sending the request to the old address.
   const { entry, home, network } = openNodes();
   home.homes.setTargets([{ ...TARGET, bornMs: 2000 }]);
   entry.known.set(TARGET.id, { ...TARGET, bornMs: 1000 });
-  const asked = entry.selector.choose(makeGrantRequest(), signal);
+  const pending = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(100);
-  assert.equal((await asked).kind, 'refused');
+  assert.equal((await pending).kind, 'refused');
   assert.equal(home.getInUse(), 0);
   entry.known.set(TARGET.id, { ...TARGET, bornMs: 2000 });
-  const again = entry.selector.choose(makeGrantRequest(), signal);
+  const second = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(100);
-  assert.equal((await again).kind, 'granted');
+  assert.equal((await second).kind, 'granted');
 });
 
-test('a request that a second home is asked for earns the service no second share of a retry', async () => {
-  // Symptom: more retries are sent than the limit allows while a home is slow. Sequence: the home hears
-  // of a request, and answers too late; the entry asks the next home. Cause: both counted the request,
-  // and the limit grows with the requests of all homes.
+test('a request sent to a second home does not increase the retry allowance twice', async () => {
+  // A home receives a grant request but responds too late, and the entry tries the next home. Guards
+  // against both homes counting the request, which would raise the retry limit.
   const { entry, home, network, second } = openNodes();
   const handle = network.handlers.get('home');
-  const heard: boolean[] = [];
+  const repeatedFlags: boolean[] = [];
   network.handlers.set('home', (sender, body) => {
-    if (body.case === 'ask') heard.push(body.value.repeated);
+    if (body.case === 'ask') repeatedFlags.push(body.value.repeated);
     else handle?.(sender, body);
   });
-  const asked = entry.selector.choose(makeGrantRequest(), signal);
+  const pending = entry.selector.choose(makeGrantRequest(), signal);
   await network.clock.advanceBy(100);
-  assert.equal(getHome(await asked), 'second');
-  assert.deepEqual(heard, [false, false], 'one question, sent twice');
+  assert.equal(getHome(await pending), 'second');
+  assert.deepEqual(repeatedFlags, [false, false], 'one grant request, sent twice');
   const nowMs = network.clock.getMonotonicTime();
   assert.deepEqual(second.homes.getScheduler('booking').retries.listOwn(nowMs).requests, []);
   assert.equal(home.getInUse(), 0);
 });
 
-test('a request that has waited for a grant of no use asks again for the time that is left', async () => {
-  // Symptom: a request is refused 0.8 s after its time has ended. Sequence: it waits at the home for a target,
-  // the entry can't use the one that it is granted, and asks again. Cause: each question named the time that
-  // was left at the first one, so the home let the request wait for all of it once more.
-  // Proof: a node's log has one request with four grants of targets that it did not know, over 2.8 s of 2.
+test('a request that received an unusable grant is repeated with its remaining time', async () => {
+  // A request is queued at the home, and the entry can't use the target that it is granted. Guards against
+  // requesting again with the original time, so that the home queues the request beyond its deadline.
   const { entry, home, network } = openNodes();
   const held = [1, 2].map(() => entry.selector.choose(makeGrantRequest(), signal));
   await network.clock.advanceBy(10);
-  const asks: number[] = [];
+  const requestedMs: number[] = [];
   const handle = network.handlers.get('home');
   network.handlers.set('home', (sender, body) => {
-    if (body.case === 'ask') asks.push(body.value.remainingMs);
+    if (body.case === 'ask') requestedMs.push(body.value.remainingMs);
     handle?.(sender, body);
   });
   const waiting = entry.selector.choose(makeGrantRequest({ remainingMs: 1500 }), signal);
@@ -234,13 +227,13 @@
   first.grant.report(GrantOutcome.Succeeded, 5);
   await network.clock.advanceBy(50);
   assert.equal((await waiting).kind, 'refused');
-  assert.ok(Math.min(...asks) <= 700, `asked with ${asks.join(', ')} ms left`);
-  assert.ok((asks.at(-1) ?? 0) <= 700, `asked last with ${asks.at(-1)} ms left`);
+  assert.ok(Math.min(...requestedMs) <= 700, `requested with ${requestedMs.join(', ')} ms left`);
+  assert.ok((requestedMs.at(-1) ?? 0) <= 700, `last requested with ${requestedMs.at(-1)} ms left`);
   assert.equal(home.getInUse(), 1);
 });
 
-test('a node that decides alone avoids targets that name a limit', async () => {
-  // Guards against every node of a fleet that has lost its homes granting the whole limit.
+test('a node that decides locally avoids targets that advertise a limit', async () => {
+  // Guards against every node granting the whole limit when the homes are unreachable.
   const network = new MemoryNetwork(new ManualClock());
   const node = new Node(network, 'entry', []);
   const limits = [{ targetId: TARGET.id, bornMs: undefined, ratePerS: 2, ageMs: 50 }];
--- a/packages/dispatch/src/grants/common/retrySharing.test.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.test.ts
@@ -35,8 +35,8 @@
     return this.homes.getScheduler(SERVICE).retries;
   }
 
-  /** Asks for so many retries; returns how many were granted. */
-  ask(count: number): number {
+  /** Requests `count` retries; returns how many were granted. */
+  requestRetries(count: number): number {
     const scheduler = this.homes.getScheduler(SERVICE);
     let granted = 0;
     for (let index = 0; index < count; index += 1) {
@@ -56,50 +56,49 @@
   return { network, ranking, homes };
 }
 
-test('homes that follow each other share one burst of retries', async () => {
-  // Symptom: a service got 916 retries in 10 s where 887 were allowed. Sequence: nodes are restarted in
-  // series, and the home of the service is among them time and again. Cause: what a home had counted
-  // went away with it, and the next one was given a burst of its own.
+test('successive homes share one burst of retries', async () => {
+  // Guards against exceeding the limit in a rolling restart, in which the home of a service changes several
+  // times: if the counts were lost with each home, every new one would have a burst of its own.
   const { homes, network, ranking } = openHomes();
   const [first, second, third] = homes as [Home, Home, Home];
   await network.clock.advanceBy(12_000);
-  const bySpending = first.ask(BURST);
-  assert.equal(bySpending, BURST / 2);
+  const granted = first.requestRetries(BURST);
+  assert.equal(granted, BURST / 2);
   first.sharing.announce();
   await network.clock.advanceBy(10);
   ranking.shift();
-  assert.equal(second.ask(BURST), 0);
+  assert.equal(second.requestRetries(BURST), 0);
   await network.clock.advanceBy(1000);
   ranking.shift();
-  assert.equal(third.ask(BURST), 0, 'the second one passed on what the first had told it');
+  assert.equal(third.requestRetries(BURST), 0, 'the second home forwarded the counts of the first');
 });
 
-test('a node that just joined has a tenth of a burst until a home at work has told it', async () => {
+test('a node that just joined has a tenth of the usual burst until it receives complete counts', async () => {
   const { homes, network, ranking } = openHomes();
   const [first] = homes as [Home];
   await network.clock.advanceBy(12_000);
-  first.ask(1);
+  first.requestRetries(1);
   const joined = new Home(network, 'joined', () => ranking);
   ranking.unshift('joined');
-  assert.equal(joined.ask(BURST), BURST / 20);
+  assert.equal(joined.requestRetries(BURST), BURST / 20);
   await network.clock.advanceBy(1100);
-  assert.equal(joined.ask(BURST), BURST / 2 - BURST / 20 - 1);
+  assert.equal(joined.requestRetries(BURST), BURST / 2 - BURST / 20 - 1);
 });
 
-test('an entry that decides alone has no burst', async () => {
-  // Symptom: repeats pile up while homes are silent. Sequence: entries ask two homes, hear nothing and
-  // decide by a scheduler of their own. Cause: each of a hundred entries had half a burst.
+test('an entry that decides locally has no burst', async () => {
+  // Guards against excess retries while homes are unresponsive: a hundred entries may decide locally, and
+  // each would have half a burst.
   const { network, ranking } = openHomes();
   const entry = new Home(network, 'entry', () => ranking);
   await network.clock.advanceBy(12_000);
-  assert.equal(entry.ask(BURST), 0);
+  assert.equal(entry.requestRetries(BURST), 0);
 });
 
-test('counts of a home with another window are left aside', async () => {
+test('counts of a home with another window length are ignored', async () => {
   const { homes, network } = openHomes();
   const [first, second] = homes as [Home, Home];
   await network.clock.advanceBy(12_000);
-  first.ask(5);
+  first.requestRetries(5);
   Object.defineProperty(first.retries, 'partMs', { value: 1 });
   first.sharing.announce();
   await network.clock.advanceBy(10);
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
@@ -77,53 +77,62 @@
   makeTargetState('t3', 'failing'),
 ];
 
-test('a booking waits for a sound slot rather than take one that fails', () => {
+test('a request that cannot be retried waits for a healthy slot rather than use a failing target', () => {
   assert.equal(decide(makeState(FULL_AND_FAILING)).kind, 'wait');
 });
 
-test('a free sound slot is taken at once, whatever its distance', () => {
+test('a free slot of a healthy target is granted immediately, whatever its failure domain', () => {
   const state = makeState([...FULL_AND_FAILING, makeTargetState('t4', 'healthy', 0, 'south')]);
   assert.equal(getGranted(decide(state)), 't4');
 });
 
-test('a read that may be sent again tries a failing target, as long as there are retries', () => {
-  const read = { isIdempotent: true, mayRetry: true };
-  assert.equal(getGranted(decide(makeState(FULL_AND_FAILING), read)), 't3');
-  assert.equal(decide(makeState(FULL_AND_FAILING, { retriesUsed: 0.9 }), read).kind, 'wait');
-  assert.equal(decide(makeState(FULL_AND_FAILING), { ...read, mayRetry: false }).kind, 'wait');
+test('a request that may be retried uses a failing target while there are retries left', () => {
+  const retryableRequest = { isIdempotent: true, mayRetry: true };
+  assert.equal(getGranted(decide(makeState(FULL_AND_FAILING), retryableRequest)), 't3');
+  assert.equal(
+    decide(makeState(FULL_AND_FAILING, { retriesUsed: 0.9 }), retryableRequest).kind,
+    'wait',
+  );
+  assert.equal(
+    decide(makeState(FULL_AND_FAILING), { ...retryableRequest, mayRetry: false }).kind,
+    'wait',
+  );
 });
 
-test('a new request is refused at once where the queue is longer than it can wait', () => {
+test('a new request is rejected immediately if the expected wait is too long', () => {
   const decision = decide(makeState(FULL_AND_FAILING, { queued: 40 }), {}, { ahead: 40 });
   assert.equal(decision.kind, 'refuse');
 });
 
-test('a second attempt is never refused: its request may have run', () => {
+test('a second attempt is never rejected, because its request may have run', () => {
   const decision = decide(makeState(FULL_AND_FAILING), { attempt: 2 }, { ahead: 40 });
   assert.notEqual(decision.kind, 'refuse');
 });
 
-test('a hedge takes no slot that somebody waits for', () => {
+test('a hedge gets no slot while requests are queued', () => {
   const free = [makeTargetState('t1', 'healthy')];
   const hedge = { attempt: 2, isIdempotent: true, isHedge: true };
   assert.equal(decide(makeState(free, { queued: 1 }), hedge).kind, 'refuse');
   assert.equal(getGranted(decide(makeState(free), hedge)), 't1');
 });
 
-test('many that wait make it worth trying a target that may have recovered', () => {
-  const doubtful = makeTargetState('t3', 'failing');
-  doubtful.health.applyEvidence({ suspicion: 0.7, updatedMs: NOW_MS + 1 });
-  const targets = [makeTargetState('t1', 'healthy', 2), doubtful];
+test('a long queue justifies probing a target that may have recovered', () => {
+  const suspected = makeTargetState('t3', 'failing');
+  suspected.health.applyEvidence({ suspicion: 0.7, updatedMs: NOW_MS + 1 });
+  const targets = [makeTargetState('t1', 'healthy', 2), suspected];
   assert.equal(decide(makeState(targets)).kind, 'wait');
   assert.equal(getGranted(decide(makeState(targets, { queued: 14 }))), 't3');
-  doubtful.inUse = 1;
-  assert.equal(decide(makeState(targets, { queued: 14 })).kind, 'wait', 'it is being tried');
+  suspected.inUse = 1;
+  assert.equal(
+    decide(makeState(targets, { queued: 14 })).kind,
+    'wait',
+    'a probe is already in progress',
+  );
 });
 
-test('the floor is met by a sound target that got nothing, not by one that failed lately', () => {
-  // Symptom: failures turn spreading on, and spreading raises failures. Sequence: many requests
-  // fail; targets without requests must be used; the one unused for longest is the failing one.
-  // Cause: spreading picked by time alone, and what it picked did not count as sound.
+test('the floor is met with an unused healthy target, not with one that failed recently', () => {
+  // Guards against spreading that increases the failures which cause it: the target that is unused
+  // for longest is often the failing one, which doesn't even count for the floor.
   const busy = makeTargetState('t1', 'healthy');
   const unused = makeTargetState('t2', 'healthy');
   const failed = makeTargetState('t3', 'failing');
@@ -137,28 +146,34 @@
   assert.equal(getGranted(decide(state, { connected: ['t1'] })), 't2');
 });
 
-test('while all is well, reads keep targets in use that bookings leave alone', () => {
-  // Symptom: two thirds of the sound targets have no request when all nodes lose power at once.
-  // Sequence: a target fails and is doubted; it recovers; slots are plenty, so nobody asks it again.
-  // Cause: only short slots, or failures that had been counted already, led to a second look.
+test('without failures, requests that may be retried keep suspected targets in use', () => {
+  // Guards against recovered targets that remain unused because other slots are free. If all nodes then
+  // lose power at once, most healthy targets have had no request.
   const used = makeTargetState('t1', 'healthy');
-  const doubted = makeTargetState('t2', 'failing');
-  const targets = [used, doubted];
-  const usage = { share: 0.5, healthyShare: 0.7, requestsPerTarget: 8, due: [doubted] };
-  const below = { usage };
-  const read = { isIdempotent: true, mayRetry: true } as const;
-  assert.equal(getGranted(decide(makeState(targets, below), read)), 't2');
-  assert.equal(getGranted(decide(makeState(targets, below))), 't1', 'a booking would be lost');
-  const enough = { usage: { ...below.usage, healthyShare: 0.95 } };
-  assert.equal(getGranted(decide(makeState(targets, enough), read)), 't1');
-  const spent = { ...below, retriesUsed: 0.9 };
-  assert.equal(getGranted(decide(makeState(targets, spent), read)), 't1', 'retries run short');
+  const suspected = makeTargetState('t2', 'failing');
+  const targets = [used, suspected];
+  const usage = { share: 0.5, healthyShare: 0.7, requestsPerTarget: 8, due: [suspected] };
+  const belowShare = { usage };
+  const retryableRequest = { isIdempotent: true, mayRetry: true } as const;
+  assert.equal(getGranted(decide(makeState(targets, belowShare), retryableRequest)), 't2');
+  assert.equal(
+    getGranted(decide(makeState(targets, belowShare))),
+    't1',
+    'a request without a retry would be lost',
+  );
+  const enough = { usage: { ...belowShare.usage, healthyShare: 0.95 } };
+  assert.equal(getGranted(decide(makeState(targets, enough), retryableRequest)), 't1');
+  const fewRetries = { ...belowShare, retriesUsed: 0.9 };
+  assert.equal(
+    getGranted(decide(makeState(targets, fewRetries), retryableRequest)),
+    't1',
+    'few retries are left',
+  );
 });
 
-test('a booking tries a target that failed long ago, if many are missing in use', () => {
-  // Symptom: 16 of 38 sound targets of a service with bookings alone had no request when all nodes lost
-  // power. Sequence: as above, but there is no read that could look again. Cause: bookings tried
-  // nothing, so a target once doubted stayed unused.
+test('a request that cannot be retried probes a target that failed long ago if many are unused', () => {
+  // Guards against suspected targets that are never used again in a service whose requests can't be
+  // retried, because no other request probes them.
   const used = makeTargetState('t1', 'healthy');
   const recovered = makeTargetState('t2', 'failing');
   recovered.health.applyEvidence({ suspicion: 0.35, updatedMs: NOW_MS + 1 });
@@ -169,17 +184,21 @@
     return getGranted(decide(state));
   };
   assert.equal(choose({}), 't2', 'the one most likely to have recovered');
-  assert.equal(choose({ due: [failing] }), 't1', 'it failed a moment ago');
-  assert.equal(choose({ healthyShare: 0.8 }), 't1', 'few are missing, so less may be lost');
-  assert.equal(choose({ requestsPerTarget: 4 }), 't1', 'too few requests to spend any');
+  assert.equal(choose({ due: [failing] }), 't1', 'it has just failed');
+  assert.equal(
+    choose({ healthyShare: 0.8 }),
+    't1',
+    'few are unused, so the accepted loss is small',
+  );
+  assert.equal(choose({ requestsPerTarget: 4 }), 't1', 'too few requests for probes');
 });
 
-test('of equal targets, the one to which the entry keeps a connection is taken', () => {
+test('of equal targets, the one with a kept connection is granted', () => {
   const state = makeState([makeTargetState('t1', 'healthy'), makeTargetState('t2', 'healthy')]);
   assert.equal(getGranted(decide(state, { connected: ['t2'] })), 't2');
 });
 
-test('a large answer stays in its failure domain, a small one may cross to a kept connection', () => {
+test('large responses stay in their failure domain, small ones may cross to a kept connection', () => {
   const targets = [makeTargetState('t1', 'healthy'), makeTargetState('t2', 'healthy', 0, 'south')];
   for (const [bytes, expected] of [
     [50_000, 't1'],
@@ -194,43 +213,43 @@
   }
 });
 
-test('requests that can still be in time go before late ones, until the time of those ends', () => {
+test('requests that can meet their objective precede late ones until the deadline of those is near', () => {
   const policy = new ExpectedCreditPolicy();
   const state = makeState([]);
   const rank = (waitedMs: number) => {
     return policy.getRank({ request: makeRequest(), waitedMs }, state);
   };
   assert.ok(rank(100) < rank(700));
-  assert.equal(rank(1900), rank(100), 'its time ends');
+  assert.equal(rank(1900), rank(100), 'its deadline is near');
 });
 
-test('a near target that nothing was heard of is tried while nobody waits', () => {
-  // Symptom: half of all answers come from other failure domains though near targets are sound.
-  // Sequence: nothing is heard of a near target for seconds, its suspicion drifts up, and far ones
-  // that are known to be sound get everything. Cause: one request's risk was weighed against its own
-  // way only, not against the way of all that follow.
-  const near = makeTargetState('t1', 'healthy');
-  near.health.applyEvidence({ suspicion: 0.25, updatedMs: NOW_MS + 1 });
-  const targets = [near, makeTargetState('t2', 'healthy', 0, 'south')];
+test('a local target without recent outcomes is probed while the queue is empty', () => {
+  // Guards against healthy local targets that stay unused: without outcomes their suspicion rises, and
+  // remote targets known to be healthy get all requests.
+  const local = makeTargetState('t1', 'healthy');
+  local.health.applyEvidence({ suspicion: 0.25, updatedMs: NOW_MS + 1 });
+  const targets = [local, makeTargetState('t2', 'healthy', 0, 'south')];
   const responseSizes = new ResponseSizes();
   responseSizes.record('orders', 8000);
   assert.equal(getGranted(decide(makeState(targets, { responseSizes }))), 't1');
-  const blind = new ExpectedCreditPolicy({ nearTrials: 0 });
+  const withoutCredit = new ExpectedCreditPolicy({ nearTrials: 0 });
   const waiting = { request: makeRequest(), waitedMs: 0, ahead: 0 };
-  assert.equal(getGranted(blind.decide(waiting, makeState(targets, { responseSizes }))), 't2');
+  assert.equal(
+    getGranted(withoutCredit.decide(waiting, makeState(targets, { responseSizes }))),
+    't2',
+  );
 });
 
-test('the wait follows from the work of all routes of the service, not from that of its own', () => {
-  // Symptom: half of the long reads of a service are refused, while short ones are served. Sequence:
-  // a route with short work is moved to the service; both queue for the same slots. Cause: a long
-  // request took those ahead of it for as long as itself, and a short one for as short.
-  const mixed = new ProcessingTimes();
+test('the expected wait depends on the processing times of all routes of the service', () => {
+  // Guards against rejecting long requests behind short ones: both use the same slots, but the wait was
+  // estimated from the request's own route.
+  const mixedTimes = new ProcessingTimes();
   for (let index = 0; index < 64; index += 1) {
-    mixed.record('long', 1000, 300);
-    mixed.record('short', 400, 100);
+    mixedTimes.record('long', 1000, 300);
+    mixedTimes.record('short', 400, 100);
   }
   const policy = new ExpectedCreditPolicy();
-  const state = makeState([makeTargetState('t1', 'healthy', 2)], { processingTimes: mixed });
+  const state = makeState([makeTargetState('t1', 'healthy', 2)], { processingTimes: mixedTimes });
   const waits = ['long', 'short'].map((route) => {
     return policy.estimateWaitMs(makeRequest({ route }), 3, state);
   });
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.ts
@@ -18,7 +18,7 @@
 
 /** Minimum number of healthy slots that is assumed even if every target is considered failing. */
 const MIN_SLOTS = 0.5;
-/** A late request regains its rank when its remaining time is below this multiple of the mean processing time. */
+/** A late request regains its rank when less than this multiple of the mean processing time remains. */
 const NEAR_DEADLINE_FACTOR = 2;
 
 /** Margin above the floor, because the share changes with every added or removed target. */
@@ -46,7 +46,7 @@
   readonly waiting: IWaitingRequest;
   readonly state: IServiceState;
   readonly forecast: CreditForecast;
-  /** Slots of the targets that the request may use, weighted by the probability that the target is healthy. */
+  /** Slots of the usable targets, weighted by the probability that the target is healthy. */
   readonly healthySlots: number;
   /** Expected wait for a slot of a healthy target, in ms. */
   readonly waitMs: number;
--- a/packages/dispatch/src/home/common/outcomeRecorder.ts
+++ b/packages/dispatch/src/home/common/outcomeRecorder.ts
@@ -10,7 +10,7 @@
 import type { Ticket } from './ticket.js';
 import type { ProcessingTimes } from './processingTimes.js';
 
-/** A target that rejected a request as overloaded gets no grant for this long, in ms: less than most requests take. */
+/** Grant pause after a target rejected a request as overloaded, in ms: less than most requests take. */
 const BUSY_MS = 100;
 /**
  * After a kept connection broke, requests of the service use new connections for this long, in ms. A
@@ -52,13 +52,13 @@
     return nowMs - this.lastStaleMs < AVOID_REUSE_MS;
   }
 
-  record(ticket: Ticket, target: TargetState, end: IGrantResult): void {
+  record(ticket: Ticket, target: TargetState, result: IGrantResult): void {
     const { responseSizes, serviceLog } = this.options;
-    serviceLog.trackHealthChange(ticket, target, end.outcome, () => {
-      this.update(ticket, target, end);
+    serviceLog.trackHealthChange(ticket, target, result.outcome, () => {
+      this.update(ticket, target, result);
     });
-    this.recordForRequest(ticket, target, end.outcome);
-    if (end.answerBytes > 0) responseSizes.record(ticket.request.route, end.answerBytes);
+    this.recordForRequest(ticket, target, result.outcome);
+    if (result.answerBytes > 0) responseSizes.record(ticket.request.route, result.answerBytes);
   }
 
   /**
--- a/packages/dispatch/src/home/common/retryWindow.test.ts
+++ b/packages/dispatch/src/home/common/retryWindow.test.ts
@@ -6,63 +6,66 @@
 const WINDOW_MS = 10_000;
 const LONG_AGO_MS = -60_000;
 
-function openUnranked(): RetryWindow {
+function openUnrankedWindow(): RetryWindow {
   return new RetryWindow({ windowMs: WINDOW_MS, ratio: 0.2, burst: 100 });
 }
 
 function openWindow(watchedSinceMs = LONG_AGO_MS): RetryWindow {
-  const window = openUnranked();
+  const window = openUnrankedWindow();
   window.setReceivingSince(watchedSinceMs);
   return window;
 }
 
-/** Spends all that the window allows at one moment. */
-function spendAll(window: RetryWindow, nowMs: number): number {
-  let spent = 0;
-  for (; window.isOpen(nowMs); spent += 1) window.recordRetry(nowMs);
-  return spent;
+/** Uses all retries that the window allows at one time; returns their number. */
+function spendAllRetries(window: RetryWindow, nowMs: number): number {
+  let retries = 0;
+  for (; window.isOpen(nowMs); retries += 1) window.recordRetry(nowMs);
+  return retries;
 }
 
 function makeCounts(window: RetryWindow, home: string, nowMs: number, sequence = 1n): IRetryCounts {
   return { ...window.listOwn(nowMs), home, sequence, countedMs: nowMs };
 }
 
-test('a home that takes over goes on counting where the former one stopped', () => {
-  // Symptom: a service gets several bursts of retries within one window. Sequence: its home stops and
-  // the next one takes over. Cause: each home counted from nothing.
-  const former = openWindow();
-  for (let index = 0; index < 100; index += 1) former.recordRequest(1000);
-  assert.equal(spendAll(former, 1000), 0.95 * 0.2 * 100 + 50);
+test('a home that takes over includes the counts of the previous home', () => {
+  // Guards against several bursts within one window because each home starts its counts at zero.
+  const previous = openWindow();
+  for (let index = 0; index < 100; index += 1) previous.recordRequest(1000);
+  assert.equal(spendAllRetries(previous, 1000), 0.95 * 0.2 * 100 + 50);
   const next = openWindow();
-  next.recordPeerCounts([makeCounts(former, 'former', 1000)], true, 1000);
-  assert.equal(spendAll(next, 1500), 0);
+  next.recordPeerCounts([makeCounts(previous, 'previous', 1000)], true, 1000);
+  assert.equal(spendAllRetries(next, 1500), 0);
   assert.equal(next.countPeerRetries(1500), 69);
   next.recordRequest(1500);
-  assert.ok(spendAll(next, 1000 + WINDOW_MS + 500) >= 50, 'counts leave the window with time');
+  assert.ok(spendAllRetries(next, 1000 + WINDOW_MS + 500) >= 50, 'counts expire');
 });
 
-test('a home that can not know what was sent before it has a tenth of a burst', () => {
-  assert.equal(spendAll(openUnranked(), 0), 0, 'it would not be told');
+test('a home that cannot know the retries sent before has a tenth of the usual burst', () => {
+  assert.equal(spendAllRetries(openUnrankedWindow(), 0), 0, 'it would not receive counts');
   const started = openWindow(0);
-  assert.equal(spendAll(started, 5000), 5, 'the one that was at work may be gone');
-  assert.equal(spendAll(openWindow(0), WINDOW_MS), 50, 'nobody told anything for a window');
+  assert.equal(spendAllRetries(started, 5000), 5, 'the previously active home may have crashed');
+  assert.equal(
+    spendAllRetries(openWindow(0), WINDOW_MS),
+    50,
+    'no counts were received for a whole window',
+  );
   started.recordPeerCounts([], true, 5000);
-  assert.equal(spendAll(started, 5000), 45);
+  assert.equal(spendAllRetries(started, 5000), 45);
 });
 
-test('what a home was told by one that does not know all is no ground for a burst', () => {
+test('incomplete counts of another home do not allow the whole burst', () => {
   const window = openWindow(0);
   window.recordPeerCounts([], false, 1000);
-  assert.equal(spendAll(window, 1000), 5);
+  assert.equal(spendAllRetries(window, 1000), 5);
 });
 
-test('retries are paid by requests from the first moment on', () => {
-  const window = openUnranked();
+test('requests increase the allowance immediately', () => {
+  const window = openUnrankedWindow();
   for (let index = 0; index < 100; index += 1) window.recordRequest(0);
-  assert.equal(spendAll(window, 0), 19);
+  assert.equal(spendAllRetries(window, 0), 19);
 });
 
-test('the newest counts of a home replace its former ones, whoever brings them', () => {
+test('the latest counts of a home replace its earlier ones, whichever home forwards them', () => {
   const home = openWindow();
   home.recordRetry(0);
   const early = makeCounts(home, 'home', 0, 1n);
--- a/packages/dispatch/src/home/common/retryWindow.ts
+++ b/packages/dispatch/src/home/common/retryWindow.ts
@@ -27,7 +27,7 @@
  * in one window stay within the unused share of the burst.
  */
 const INCOMPLETE_BURST_SHARE = 0.05;
-/** Share of the ratio in use. The rest covers requests that have expired here but not in an observer's window. */
+/** Share of the ratio that homes use. The rest covers requests that expire here before an observer's window. */
 const RATIO_SHARE = 0.95;
 
 /**
@@ -131,7 +131,7 @@
     return RATIO_SHARE * ratio * requests + this.getBurstShare(nowMs) * burst;
   }
 
-  /** Zero for a node that is not among the homes: it decides locally, as a hundred others may at the same time. */
+  /** Zero for a node that is not among the homes: a hundred such nodes may decide locally at the same time. */
   private getBurstShare(nowMs: number): number {
     if (this.receivingSinceMs === undefined) return 0;
     return this.isComplete(nowMs) ? BURST_SHARE : INCOMPLETE_BURST_SHARE;
