--- a/packages/dispatch/src/grants/common/retrySharing.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.ts
@@ -29,13 +29,13 @@
  */
 export class RetrySharing implements IDisposable {
   private timer: IDisposable | undefined;
-  private readonly opened: IDisposable;
+  private readonly schedulerListener: IDisposable;
   private sequence = 0n;
   /** By service: the time since which this node is among its homes, in ms of the monotonic clock. */
   private readonly rankedSinceMs = new Map<string, number>();
 
   constructor(private readonly options: IRetrySharingOptions) {
-    this.opened = options.homes.onDidCreateScheduler((service) => {
+    this.schedulerListener = options.homes.onDidCreateScheduler((service) => {
       this.updateRank(service);
     });
   }
@@ -72,7 +72,7 @@
   }
 
   dispose(): void {
-    void this.opened.dispose();
+    void this.schedulerListener.dispose();
     void this.timer?.dispose();
   }
 
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.ts
@@ -164,14 +164,14 @@
     const healthySlots = countHealthySlots(request, state);
     const waitMs = computeWaitMs(request, ahead, healthySlots, state);
     const waitCredit = forecast.getCredit(waitMs) * (1 - state.model.healthyFailureRate);
-    return { waiting, state, forecast, healthySlots: healthySlots, waitMs, waitCredit };
+    return { waiting, state, forecast, healthySlots, waitMs, waitCredit };
   }
 
   /** The best target that is worth granting now; undefined if waiting or rejecting is better. */
   private findBest(
     free: readonly TargetState[],
     context: IDecisionContext,
-    least = this.getMinCredit(context),
+    minCredit = this.getMinCredit(context),
   ): TargetState | undefined {
     const { state, waiting } = context;
     const { weights } = this.settings;
@@ -179,11 +179,11 @@
     let bestCredit = -Infinity;
     for (const target of free) {
       const credit = this.computeCredit(target, context);
-      if (credit + this.computeLocalityCredit(target, context) < least) continue;
-      const placed = credit - computePlacementCost(target, waiting.request, weights, state);
-      if (placed <= bestCredit) continue;
+      if (credit + this.computeLocalityCredit(target, context) < minCredit) continue;
+      const netCredit = credit - computePlacementCost(target, waiting.request, weights, state);
+      if (netCredit <= bestCredit) continue;
       best = target;
-      bestCredit = placed;
+      bestCredit = netCredit;
     }
     return best;
   }
@@ -202,8 +202,8 @@
   private computeLocalityCredit(target: TargetState, { state, waiting }: IDecisionContext): number {
     const { nearTrials, weights } = this.settings;
     const { request } = waiting;
-    const isNear = target.record.failureDomain === request.failureDomain;
-    if (!isNear || state.queued > 0) return 0;
+    const isLocal = target.record.failureDomain === request.failureDomain;
+    if (!isLocal || state.queued > 0) return 0;
     return nearTrials * computeDistanceCost(request, weights, state);
   }
 
@@ -238,12 +238,15 @@
   suspicion: number,
   context: IDecisionContext,
 ): number {
-  const { forecast, healthySlots: healthySlots, state, waiting } = context;
+  const { forecast, healthySlots, state, waiting } = context;
   if (target.inUse > 0 || state.queued === 0) return 0;
   const { request } = waiting;
-  const wait = (slots: number) => computeWaitMs(request, state.queued / 2, slots, state);
-  const creditNow = forecast.getCredit(wait(healthySlots));
-  const creditIfHealthy = forecast.getCredit(wait(healthySlots + target.record.slots * suspicion));
+  const computeSlotWaitMs = (slots: number) =>
+    computeWaitMs(request, state.queued / 2, slots, state);
+  const creditNow = forecast.getCredit(computeSlotWaitMs(healthySlots));
+  const creditIfHealthy = forecast.getCredit(
+    computeSlotWaitMs(healthySlots + target.record.slots * suspicion),
+  );
   return (1 - suspicion) * state.queued * Math.max(0, creditIfHealthy - creditNow);
 }
 
--- a/packages/dispatch/src/home/common/retryWindow.ts
+++ b/packages/dispatch/src/home/common/retryWindow.ts
@@ -27,7 +27,10 @@
  * in one window stay within the unused share of the burst.
  */
 const INCOMPLETE_BURST_SHARE = 0.05;
-/** Share of the ratio that homes use. The rest covers requests that expire here before an observer's window. */
+/**
+ * Share of the ratio that homes use. The rest covers arrivals that have expired from this window but are
+ * still counted in an observer's window.
+ */
 const RATIO_SHARE = 0.95;
 
 /**
@@ -46,7 +49,9 @@
   private readonly requests: SlidingCount;
   private readonly retries: SlidingCount;
   private readonly peerCounts: PeerRetryCounts;
+  /** See {@link setReceivingSince}. */
   private receivingSinceMs: number | undefined;
+  /** Time of the last complete counts from another home, in ms of the monotonic clock. */
   private completeCountsMs = -Infinity;
 
   constructor(private options: IRetryWindowOptions) {
