--- a/packages/dispatch/src/home/common/outcomeWindow.ts
+++ b/packages/dispatch/src/home/common/outcomeWindow.ts
@@ -2,7 +2,10 @@
 import type { TargetState } from './targetState.js';
 import { SlidingCount } from './slidingCount.js';
 
-/** Window over which failures and the floor on targets in use are evaluated, in ms. */
+/**
+ * Window over which failures and the floor on targets in use are evaluated, in ms. A target whose last
+ * failure is older counts for the floor again.
+ */
 const WINDOW_MS = 2000;
 /**
  * A target without a grant for this long is due for another request, in ms. Half the window, because a
