--- a/packages/dispatch/src/grants/common/homeSelector.test.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.test.ts
@@ -23,14 +23,14 @@
     network: MemoryNetwork,
     address: string,
     ranking: readonly string[],
-    isInformed = true,
+    hasTargets = true,
   ) {
     const { clock } = network;
     const log = createSilentLogger();
     const retries = { windowMs: 10_000, ratio: 0.2, burst: 50 };
     const quarantine = makeQuarantine(clock);
     this.homes = new HomeService({ clock, log, quarantine, retries, floorShare: 0.7 });
-    if (isInformed) this.homes.setTargets([TARGET]);
+    if (hasTargets) this.homes.setTargets([TARGET]);
     this.channel = network.open(address);
     this.selector = new HomeSelector({
       channel: this.channel,
