--- a/packages/dispatch/src/grants/common/homeHealth.ts
+++ b/packages/dispatch/src/grants/common/homeHealth.ts
@@ -1,40 +1,40 @@
-/** Which homes answer this node, learnt from its own questions. */
+/** Tracks which homes respond to the grant requests of this node. */
 import type { Clock } from '@parsleymux/base';
 
-/** A home that left a question unanswered is passed over this long at first, in ms. */
-const FIRST_PAUSE_MS = 1000;
-/** Each further silence doubles the pause, up to this, in ms. */
-const LONGEST_PAUSE_MS = 8000;
+/** Initial backoff of a home that did not respond, in ms. */
+const INITIAL_BACKOFF_MS = 1000;
+/** The backoff doubles with each further missing response, up to this, in ms. */
+const MAX_BACKOFF_MS = 8000;
 
-interface ISilence {
+interface IBackoff {
   readonly pauseMs: number;
   readonly untilMs: number;
 }
 
 /**
- * Passes over homes that are silent, and tries them again after a while.
+ * Skips unresponsive homes for an exponential backoff.
  *
  * @example
- * if (health.isSilent(home)) askNext();
+ * if (health.isUnresponsive(home)) tryNext();
  */
 export class HomeHealth {
-  private readonly silences = new Map<string, ISilence>();
+  private readonly backoffs = new Map<string, IBackoff>();
 
   constructor(private readonly clock: Clock) {}
 
-  isSilent(home: string): boolean {
-    const silence = this.silences.get(home);
-    return silence !== undefined && this.clock.getMonotonicTime() < silence.untilMs;
+  isUnresponsive(home: string): boolean {
+    const backoff = this.backoffs.get(home);
+    return backoff !== undefined && this.clock.getMonotonicTime() < backoff.untilMs;
   }
 
-  recordAnswer(home: string): void {
-    this.silences.delete(home);
+  recordResponse(home: string): void {
+    this.backoffs.delete(home);
   }
 
-  recordSilence(home: string): void {
-    const previousMs = this.silences.get(home)?.pauseMs ?? 0;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, previousMs * 2));
+  recordNoResponse(home: string): void {
+    const previousMs = this.backoffs.get(home)?.pauseMs ?? 0;
+    const pauseMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, previousMs * 2));
     const untilMs = this.clock.getMonotonicTime() + pauseMs;
-    this.silences.set(home, { pauseMs, untilMs });
+    this.backoffs.set(home, { pauseMs, untilMs });
   }
 }
--- a/packages/dispatch/src/grants/common/retrySharing.ts
+++ b/packages/dispatch/src/grants/common/retrySharing.ts
@@ -1,65 +1,65 @@
-/** Homes at work tell the nodes that would take over from them how many retries were sent. */
+/** Sends the retry counts of active homes to the nodes that would take over from them. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { RetryUse } from '@parsleymux/schema';
 import { RetryCountsSchema, RetryUseSchema } from '@parsleymux/schema';
 import type { HomeService } from '../../home/common/homeService.js';
-import type { IRetryCounts } from '../../home/common/otherHomes.js';
-import type { ServiceBook } from '../../home/common/serviceBook.js';
+import type { IRetryCounts } from '../../home/common/peerRetryCounts.js';
+import type { ServiceScheduler } from '../../home/common/serviceScheduler.js';
 import type { DatagramChannel } from './datagramChannel.js';
-import { AT_WORK_MS, SHARE_EVERY_MS } from './homePace.js';
+import { ACTIVE_MS, SHARE_INTERVAL_MS } from './sharingIntervals.js';
 
 /** Options of a {@link RetrySharing}. */
 export interface IRetrySharingOptions {
   readonly channel: DatagramChannel;
   readonly homes: HomeService;
   readonly clock: Clock;
-  /** Tells this start of the process from earlier ones. */
+  /** Distinguishes this process from earlier ones at the same address. */
   readonly incarnation: number;
-  /** Homes of a service, best first. */
+  /** Homes of a service in order of preference. */
   readonly rankHomes: (service: string) => readonly string[];
 }
 
 /**
- * The limit of retries holds over all nodes, while a home sees its own grants only. What is told
- * here survives it: the next home goes on counting where it stopped, and passes on what it was told.
+ * The retry limit applies to all nodes together, while a home counts only its own grants. The shared
+ * counts outlive their home: the next home adds its own counts and forwards those it received.
  *
  * @example
  * sharing.start();
  */
 export class RetrySharing implements IDisposable {
   private timer: IDisposable | undefined;
-  private readonly opened: IDisposable;
+  private readonly schedulerListener: IDisposable;
   private sequence = 0n;
-  /** Since when this node is among the homes of a service, in ms of the monotonic clock. */
+  /** By service: the time since which this node is among its homes, in ms of the monotonic clock. */
   private readonly rankedSinceMs = new Map<string, number>();
 
   constructor(private readonly options: IRetrySharingOptions) {
-    this.opened = options.homes.onDidOpenBook((service) => {
+    this.schedulerListener = options.homes.onDidCreateScheduler((service) => {
       this.updateRank(service);
     });
   }
 
   start(): void {
     this.updateRanks();
-    this.timer = this.options.clock.startTimer(SHARE_EVERY_MS, () => {
+    this.timer = this.options.clock.startTimer(SHARE_INTERVAL_MS, () => {
       this.announce();
       this.start();
     });
   }
 
-  /** Tells at once: a home that stops would take along what it granted since it told last. */
+  /** Sends the counts immediately: when a home stops, grants since its last message would be lost. */
   announce(): void {
-    for (const [service, book] of this.options.homes.listBooks()) {
-      if (book.isAtWork(AT_WORK_MS)) this.announceBook(service, book);
+    for (const [service, scheduler] of this.options.homes.listSchedulers()) {
+      if (scheduler.isActive(ACTIVE_MS)) this.announceScheduler(service, scheduler);
     }
   }
 
-  /** Takes what another home told. */
+  /** Handles the counts received from another home. */
   handleRetryUse(message: RetryUse): void {
     const { clock, homes } = this.options;
-    const { retries } = homes.getBook(message.service);
-    // Parts of another length don't fit this window; the sender has other settings for a moment.
+    const { retries } = homes.getScheduler(message.service);
+    // Parts of another length can't be added to this window; the sender temporarily has other settings.
     if (message.partMs !== retries.partMs) return;
     const nowMs = clock.getMonotonicTime();
     const counts = message.counts
@@ -68,11 +68,11 @@
         const { home, requests, retries: sent, sequence } = one;
         return { home, sequence, requests, retries: sent, countedMs: nowMs - one.ageMs };
       });
-    retries.recordTold(counts, message.complete, nowMs);
+    retries.recordPeerCounts(counts, message.complete, nowMs);
   }
 
   dispose(): void {
-    void this.opened.dispose();
+    void this.schedulerListener.dispose();
     void this.timer?.dispose();
   }
 
@@ -85,7 +85,7 @@
     for (const service of this.options.homes.listServices()) this.updateRank(service);
   }
 
-  /** Notes since when this node is among the homes of a service. */
+  /** Records the time since which this node is among the homes of a service. */
   private updateRank(service: string): void {
     const { channel, clock, homes, rankHomes } = this.options;
     const isRanked = rankHomes(service).includes(channel.address);
@@ -93,10 +93,10 @@
     else if (!this.rankedSinceMs.has(service)) {
       this.rankedSinceMs.set(service, clock.getMonotonicTime());
     }
-    homes.findBook(service)?.retries.setWatchedSince(this.rankedSinceMs.get(service));
+    homes.findScheduler(service)?.retries.setReceivingSince(this.rankedSinceMs.get(service));
   }
 
-  private announceBook(service: string, { retries }: ServiceBook): void {
+  private announceScheduler(service: string, { retries }: ServiceScheduler): void {
     const { channel, clock, rankHomes } = this.options;
     const nowMs = clock.getMonotonicTime();
     this.sequence += 1n;
--- a/packages/dispatch/src/home/common/homeService.ts
+++ b/packages/dispatch/src/home/common/homeService.ts
@@ -1,14 +1,14 @@
-/** The books of all services that this node is asked for. */
+/** The schedulers of all services for which this node receives grant requests. */
 import type { Clock, Event, IDisposable, Logger } from '@parsleymux/base';
 import { Emitter } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import type { TenantAdmission } from '../../quotas/common/tenantAdmission.js';
 import type { GrantPolicy } from './grantPolicy.js';
-import type { IServiceBounds } from './serviceBook.js';
-import { ServiceBook } from './serviceBook.js';
+import type { IServiceBounds } from './serviceScheduler.js';
+import { ServiceScheduler } from './serviceScheduler.js';
 
-/** Grants that are overdue and requests that can't make it any more are looked for this often, in ms. */
+/** Interval between checks for overdue grants and for queued requests that can't finish in time, in ms. */
 const TICK_MS = 100;
 
 /** Options of a {@link HomeService}. */
@@ -16,74 +16,76 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly quarantine: RequestQuarantine;
-  /** Undefined where requests belong to no tenants. */
+  /** Undefined if requests are not assigned to tenants. */
   readonly admission?: TenantAdmission | undefined;
-  /** Makes the policy of each service. Default: that of {@link ServiceBook}. */
+  /** Creates the policy of each service. Default: that of {@link ServiceScheduler}. */
   readonly createPolicy?: () => GrantPolicy;
 }
 
 /**
- * Makes a book when a service is first asked for. Nobody is appointed home: a node is one because
- * others ask it, so nothing has to be agreed on when the fleet changes.
+ * Creates a scheduler at the first grant request for a service. Homes are not elected: a node is the
+ * home of a service because other nodes send it grant requests, so a change of the fleet requires no
+ * agreement.
  *
  * @example
- * const book = homes.getBook('booking');
+ * const scheduler = homes.getScheduler('booking');
  */
 export class HomeService implements IDisposable {
-  private readonly bookOpened = new Emitter<string>();
-  private readonly books = new Map<string, ServiceBook>();
+  private readonly schedulerCreated = new Emitter<string>();
+  private readonly schedulers = new Map<string, ServiceScheduler>();
   private targetsByService = new Map<string, ITargetRecord[]>();
-  private hasTargets = false;
+  private isTargetListReceived = false;
   private timer: IDisposable | undefined;
   private isStarted = false;
 
-  /** Fires with a service that has a book now, before anything is decided for it. */
-  readonly onDidOpenBook: Event<string> = this.bookOpened.onDidFire;
+  /** Fires with the service of a new scheduler, before the scheduler makes any decision. */
+  readonly onDidCreateScheduler: Event<string> = this.schedulerCreated.onDidFire;
 
   constructor(private options: IHomeServiceOptions) {}
 
-  /** Looks after its books from now on, as long as it has any. */
+  /** Starts the periodic checks, which run while there are schedulers. */
   start(): void {
     this.isStarted = true;
     this.startTimer();
   }
 
   /**
-   * Few nodes are home to anything, and each wake-up of a weak VM finds the processor's caches cold.
+   * Does nothing without schedulers: few nodes are homes, and on a small VM every timer runs with cold
+   * processor caches.
    */
   private startTimer(): void {
-    if (!this.isStarted || this.books.size === 0) return;
+    if (!this.isStarted || this.schedulers.size === 0) return;
     this.timer = this.options.clock.startTimer(TICK_MS, () => {
-      for (const book of this.books.values()) book.advance();
+      for (const scheduler of this.schedulers.values()) scheduler.advance();
       this.startTimer();
     });
   }
 
-  /** Takes changed bounds for all services. */
+  /** Changes the limits of all services. */
   setBounds(bounds: IServiceBounds): void {
     this.options = { ...this.options, ...bounds };
-    for (const book of this.books.values()) book.setBounds(bounds);
+    for (const scheduler of this.schedulers.values()) scheduler.setBounds(bounds);
   }
 
   /**
-   * Whether targets are known at all. A home that has just started would otherwise refuse every
-   * request of its services for want of targets, though the next home knows them.
+   * Whether a list of targets has been received. Without this check, a home that has just started
+   * would reject all requests for lack of targets although the next home has the list.
    */
-  get isInformed(): boolean {
-    return this.hasTargets;
+  get hasReceivedTargets(): boolean {
+    return this.isTargetListReceived;
   }
 
-  /** Takes all targets that are registered now. */
+  /** Replaces the list of registered targets. */
   setTargets(targets: readonly ITargetRecord[]): void {
-    this.hasTargets = true;
+    this.isTargetListReceived = true;
     this.targetsByService = new Map();
     for (const target of targets) {
-      const ofService = this.targetsByService.get(target.service) ?? [];
-      ofService.push(target);
-      this.targetsByService.set(target.service, ofService);
+      const serviceTargets = this.targetsByService.get(target.service) ?? [];
+      serviceTargets.push(target);
+      this.targetsByService.set(target.service, serviceTargets);
     }
-    for (const [service, book] of this.books) {
-      book.setTargets(this.listTargets(service));
+    for (const [service, scheduler] of this.schedulers) {
+      scheduler.setTargets(this.listTargets(service));
     }
   }
 
@@ -91,17 +93,17 @@
     return this.targetsByService.get(service) ?? [];
   }
 
-  getBook(service: string): ServiceBook {
-    const known = this.books.get(service);
+  getScheduler(service: string): ServiceScheduler {
+    const known = this.schedulers.get(service);
     if (known !== undefined) return known;
     const { createPolicy } = this.options;
     const policy = createPolicy === undefined ? {} : { policy: createPolicy() };
-    const book = new ServiceBook({ ...this.options, ...policy, service });
-    book.setTargets(this.listTargets(service));
-    this.books.set(service, book);
-    if (this.books.size === 1) this.startTimer();
-    this.bookOpened.fire(service);
-    return book;
+    const scheduler = new ServiceScheduler({ ...this.options, ...policy, service });
+    scheduler.setTargets(this.listTargets(service));
+    this.schedulers.set(service, scheduler);
+    if (this.schedulers.size === 1) this.startTimer();
+    this.schedulerCreated.fire(service);
+    return scheduler;
   }
 
   /** Services that have targets. */
@@ -109,13 +111,13 @@
     return [...this.targetsByService.keys()];
   }
 
-  /** The book of a service, if it was asked for before. */
-  findBook(service: string): ServiceBook | undefined {
-    return this.books.get(service);
+  /** The scheduler of a service, or undefined before the first grant request for it. */
+  findScheduler(service: string): ServiceScheduler | undefined {
+    return this.schedulers.get(service);
   }
 
-  listBooks(): readonly (readonly [service: string, book: ServiceBook])[] {
-    return [...this.books];
+  listSchedulers(): readonly (readonly [service: string, scheduler: ServiceScheduler])[] {
+    return [...this.schedulers];
   }
 
   dispose(): void {
