--- a/packages/routing/src/transport/node/httpTargetTransport.ts
+++ b/packages/routing/src/transport/node/httpTargetTransport.ts
@@ -46,7 +46,7 @@
  *
  * @example
  * const transport = new HttpTargetTransport({ getConnectionLimit: () => 100 });
- * const response = await transport.send(request, { signal, maxAnswerBytes: 1_048_576 });
+ * const response = await transport.send(request, { signal, maxResponseBytes: 1_048_576 });
  */
 export class HttpTargetTransport extends TargetTransport implements IDisposable {
   private readonly clock: Clock;
--- a/packages/routing/src/transport/node/responseIntegrity.test.ts
+++ b/packages/routing/src/transport/node/responseIntegrity.test.ts
@@ -238,7 +238,7 @@
   const iterator = response.body[Symbol.asyncIterator]();
   await iterator.next();
   await stalled;
-  // The kernel buffers a few MB on loopback; 64 MB must not have been accepted.
+  // Socket buffers on loopback hold a few MB; 64 MB must not have been accepted.
   assert.ok(accepted < totalBytes / 2, `the target could write ${accepted} bytes`);
   let received = 0;
   for (;;) {
