--- a/packages/fleet/src/peers/node/peerClients.ts
+++ b/packages/fleet/src/peers/node/peerClients.ts
@@ -1,4 +1,4 @@
-/** Control calls to peers: one client for each peer that is talked to, in bounded number. */
+/** Control calls to peers, over a bounded number of cached clients. */
 import type { Agent } from 'node:http';
 import { Agent as HttpAgent } from 'node:http';
 import type { AgentOptions } from 'node:https';
@@ -15,11 +15,11 @@
 const DEFAULT_TIMEOUT_MS = 2000;
 const DEFAULT_MAX_PEERS = 64;
 const DEFAULT_IDLE_MS = 60_000;
-/** Concurrent calls to one peer beyond this wait for a connection. */
+/** Connections to one peer; further concurrent calls wait for one of them. */
 const MAX_CONNECTIONS = 4;
 
-/** Codes with which connect-es reports that no whole answer came. */
-const NO_ANSWER_CODES: ReadonlySet<Code> = new Set([
+/** Codes with which connect-es reports that no complete response arrived. */
+const NO_RESPONSE_CODES: ReadonlySet<Code> = new Set([
   Code.Unavailable,
   Code.DeadlineExceeded,
   Code.Aborted,
@@ -27,10 +27,10 @@
   Code.DataLoss,
 ]);
 
-/** Typed calls of one peer's control service. */
+/** Typed client of one peer's control service. */
 export type ControlClient = Client<typeof ControlService>;
 
-/** What a call is given besides the client; pass it on to the client's method. */
+/** Options of a call, to be passed on to the client's method. */
 export interface IPeerCallOptions {
   readonly timeoutMs: number;
   readonly signal?: AbortSignal;
@@ -41,7 +41,7 @@
 
 /** Limits of one call. */
 export interface IPeerCallLimits {
-  /** Default: that of the clients. */
+  /** Default: the timeout of the {@link PeerClients}, in ms. */
   readonly timeoutMs?: number;
   readonly signal?: AbortSignal;
 }
@@ -51,13 +51,13 @@
   readonly authenticator: PeerAuthenticator;
   readonly membership: MembershipService;
   readonly clock: Clock;
-  /** Longest wait for an answer, in ms. Default 2000. */
+  /** Maximum wait for a response, in ms. Default 2000. */
   readonly timeoutMs?: number;
-  /** Peers to which connections are kept. Default 64. */
+  /** Maximum number of peers to which connections are kept. Default 64. */
   readonly maxPeers?: number;
   /** Time after which an unused client is closed, in ms. Default 60,000. */
   readonly idleMs?: number;
-  /** Certificates and authorities; absent: plain HTTP. */
+  /** Certificates and authorities; plain HTTP when absent. */
   readonly tls?: AgentOptions;
 }
 
@@ -66,11 +66,11 @@
   readonly agent: Agent;
   lastUsedMs: number;
   callsInFlight: number;
-  hasAnswered: boolean;
+  hasResponded: boolean;
 }
 
 /**
- * Calls peers and tells membership what came of it.
+ * Calls peers and records the results in the membership.
  *
  * @example
  * const status = await peers.execute('127.0.0.1:7002', (client, options) =>
@@ -86,20 +86,20 @@
     this.options = options;
   }
 
-  /** Runs one call. Rejects with a ConnectError when it brings no answer. */
+  /** Runs one call. Rejects with a ConnectError when it fails. */
   async execute<T>(address: string, call: PeerCall<T>, limits: IPeerCallLimits = {}): Promise<T> {
     const entry = this.getEntry(address);
-    const wasProved = entry.hasAnswered;
+    const hadResponded = entry.hasResponded;
     const timeoutMs = limits.timeoutMs ?? this.options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
     const callOptions: IPeerCallOptions =
       limits.signal === undefined ? { timeoutMs } : { timeoutMs, signal: limits.signal };
     entry.callsInFlight += 1;
     try {
-      const answer = await call(entry.client, callOptions);
-      this.recordAnswer(address, entry);
-      return answer;
+      const response = await call(entry.client, callOptions);
+      this.recordResponse(address, entry);
+      return response;
     } catch (error) {
-      if (limits.signal?.aborted !== true) this.recordError(address, entry, error, wasProved);
+      if (limits.signal?.aborted !== true) this.recordError(address, entry, error, hadResponded);
       throw error;
     } finally {
       entry.callsInFlight -= 1;
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Peers to which a client is kept. */
+  /** Returns the number of peers with a cached client. */
   getPeerCount(): number {
     return this.entries.size;
   }
@@ -119,8 +119,8 @@
     this.entries.clear();
   }
 
-  private recordAnswer(address: string, entry: IPeerEntry): void {
-    entry.hasAnswered = true;
+  private recordResponse(address: string, entry: IPeerEntry): void {
+    entry.hasResponded = true;
     this.options.membership.recordContact(address);
   }
 
@@ -128,17 +128,17 @@
     address: string,
     entry: IPeerEntry,
     error: unknown,
-    wasProved: boolean,
+    hadResponded: boolean,
   ): void {
-    if (!NO_ANSWER_CODES.has(ConnectError.from(error).code)) {
-      this.recordAnswer(address, entry);
+    if (!NO_RESPONSE_CODES.has(ConnectError.from(error).code)) {
+      this.recordResponse(address, entry);
       return;
     }
-    // A connection that the far end has lost track of stays silent while new ones work. The
-    // connections are blamed first: they are dropped, and only a call on new ones that fails as
-    // well counts against the peer.
+    // A connection that the other end has lost track of stays silent while new ones work.
+    // Connections are therefore closed first, and only a failed call on new ones counts as evidence
+    // against the peer.
     if (this.entries.get(address) === entry) this.closeEntry(address);
-    if (!wasProved) this.options.membership.recordFailure(address);
+    if (!hadResponded) this.options.membership.recordFailure(address);
   }
 
   private getEntry(address: string): IPeerEntry {
@@ -166,7 +166,7 @@
       interceptors: [makeProofInterceptor(authenticator, address)],
     });
     const client = createClient(ControlService, transport);
-    return { client, agent, lastUsedMs: 0, callsInFlight: 0, hasAnswered: false };
+    return { client, agent, lastUsedMs: 0, callsInFlight: 0, hasResponded: false };
   }
 
   private closeSurplus(): void {
@@ -195,7 +195,7 @@
     }
   }
 
-  /** Calls that still run on the entry's connections finish there; the last one closes them. */
+  /** Calls in progress on the entry's connections still finish; the last one closes them. */
   private closeEntry(address: string): void {
     const entry = this.entries.get(address);
     this.entries.delete(address);
