--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -15,7 +15,7 @@
 import type { CallerProtocol } from '../../entry/common/callerProtocol.js';
 import { PathHealth } from '../../entry/common/pathHealth.js';
 import { TargetNotices } from '../../entry/common/targetNotices.js';
-import { RequestRunner } from '../../entry/common/requestRun.js';
+import { RequestRunner } from '../../entry/common/requestRunner.js';
 import { FrontServer } from '../../entry/node/frontServer.js';
 import { RequestLog } from '../../entry/node/requestLog.js';
 import { GrantServer } from '../../grants/common/grantServer.js';
@@ -37,14 +37,14 @@
 import { countHeldRequests } from './heldRequests.js';
 import { countMalformedRows } from './malformedRows.js';
 import { createMetricsServer, createReadyServer } from './statusServers.js';
-import { TenantParts } from './tenantParts.js';
+import { TenantComponents } from './tenantComponents.js';
 
 const MAX_INCARNATION = 0x7fff_ffff;
 /**
  * From the signal on new connections still come for this long, in ms: the balancer asks every
  * second and takes a node out after two misses.
  */
-const NOTICE_MS = 2600;
+const DRAIN_NOTICE_MS = 2600;
 /**
  * Kept back from the time to stop, in ms: a busy half of a core takes some 100 ms to close what is
  * left, and a process that is still there at the end is killed with all that it has not written.
@@ -69,7 +69,7 @@
 export interface IDirectNodeOptions {
   readonly settings: IDirectNodeSettings;
   readonly authority: Authority;
-  readonly cases: CaseStore;
+  readonly quarantineStore: CaseStore;
   readonly protocol: IDeploymentProtocol;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -89,7 +89,7 @@
   private readonly background = new AbortController();
   private readonly directory: NodeDirectory;
   private readonly quarantine: RequestQuarantine;
-  private readonly tenants: TenantParts;
+  private readonly tenants: TenantComponents;
   private readonly incarnation = randomInt(1, MAX_INCARNATION);
   private settings: IDirectNodeSettings;
   private homes: HomeService | undefined;
@@ -104,7 +104,7 @@
     this.directory = new NodeDirectory(options.clock);
     this.quarantine = new RequestQuarantine(options);
     const { directory } = this;
-    this.tenants = new TenantParts({
+    this.tenants = new TenantComponents({
       ...options,
       directory,
       getBounds: () => this.settings.tenants,
@@ -114,7 +114,7 @@
   /** Takes changed settings. Addresses and the failure domain stay those of the start. */
   updateSettings(settings: IDirectNodeSettings): void {
     this.settings = settings;
-    this.homes?.setBounds(toBounds(settings));
+    this.homes?.setBounds(toServiceBounds(settings));
   }
 
   /** Opens the ports and starts the loops; the node is ready once it knows a configuration. */
@@ -162,7 +162,7 @@
         listMembers: () => this.directory.members.listValues().map(({ address }) => address),
       }),
     );
-    const quotas = this.store.add(this.tenants.createSharing(channel, homes));
+    const quotas = this.store.add(this.tenants.createQuotaSharing(channel, homes));
     const server = new GrantServer({ channel, homes, clock });
     const self = this.makeMember(channel.address);
     const { authority } = this.options;
@@ -177,7 +177,8 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () => this.front?.connections.hasOpened === true || homes.listBooks().length > 0,
+      isAsked: () =>
+        this.front?.connections.hasAcceptedConnection === true || homes.listBooks().length > 0,
     });
     this.directoryService = this.store.add(service);
     channel.setHandler((sender, body) => {
@@ -192,7 +193,7 @@
     this.loops = service.run(this.background.signal).catch((error: unknown) => {
       log.error('directory stopped by a fault of the program', { reason: String(error) });
     });
-    this.store.add(this.createKeeper(quarantine, service)).start();
+    this.store.add(this.createQuarantinePersister(quarantine, service)).start();
     log.info('started', { ...settings, incarnation: this.incarnation });
   }
 
@@ -208,8 +209,8 @@
     log.info('stopping', { openRequests: this.front?.connections.openRequests ?? 0 });
     this.front?.connections.stop();
     this.retrySharing?.announce();
-    const left = this.directoryService?.retire(this.background.signal);
-    await clock.sleep(Math.min(NOTICE_MS, graceMs / 2));
+    const retired = this.directoryService?.retire(this.background.signal);
+    await clock.sleep(Math.min(DRAIN_NOTICE_MS, graceMs / 2));
     this.front?.closePort();
     const limitMs = graceMs - STOP_MARGIN_MS;
     while (clock.getMonotonicTime() - startMs < limitMs) {
@@ -219,7 +220,7 @@
     }
     const cut = this.front?.connections.openRequests ?? 0;
     log.info('stopped', { cut, ms: Math.round(clock.getMonotonicTime() - startMs) });
-    const closed = Promise.allSettled([left, this.dispose()]);
+    const closed = Promise.allSettled([retired, this.dispose()]);
     await Promise.race([closed, clock.sleep(STOP_MARGIN_MS / 3)]);
   }
 
@@ -233,7 +234,7 @@
     const { clock, log } = this.options;
     const { quarantine } = this;
     const admission = this.tenants.createAdmission(self);
-    const bounds = toBounds(this.settings);
+    const bounds = toServiceBounds(this.settings);
     const homes = new HomeService({ clock, log, quarantine, admission, ...bounds });
     this.homes = homes;
     const { targets } = this.directory;
@@ -243,14 +244,17 @@
     return homes;
   }
 
-  private createKeeper(sharing: QuarantineSharing, service: DirectoryService): CaseKeeper {
-    const { cases, clock, log, settings } = this.options;
+  private createQuarantinePersister(
+    sharing: QuarantineSharing,
+    service: DirectoryService,
+  ): CaseKeeper {
+    const { quarantineStore, clock, log, settings } = this.options;
     return new CaseKeeper({
       clock,
       log,
       sharing,
       quarantine: this.quarantine,
-      store: cases,
+      store: quarantineStore,
       isReader: () => service.isFollower,
       isFirstStart: settings.isFirstStart,
       onDidRestore: this.directory.targets.onDidRestore,
@@ -315,7 +319,7 @@
   }
 }
 
-function toBounds(settings: IDirectNodeSettings): IServiceBounds {
+function toServiceBounds(settings: IDirectNodeSettings): IServiceBounds {
   const { floorShare, retryBurst, retryRatio, retryWindowMs } = settings;
   return {
     floorShare,
--- a/packages/dispatch/src/app/node/tenantParts.ts
+++ b/packages/dispatch/src/app/node/tenantComponents.ts
@@ -11,8 +11,8 @@
 import { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { ITenantBounds } from '../../tenants/common/tenant.js';
 
-/** Options of {@link TenantParts}. */
-export interface ITenantPartsOptions {
+/** Options of {@link TenantComponents}. */
+export interface ITenantComponentsOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly directory: NodeDirectory;
@@ -24,11 +24,11 @@
  * const tenants = new TenantParts({ clock, random, directory, getBounds });
  * const homes = new HomeService({ admission: tenants.createAdmission(self), ... });
  */
-export class TenantParts {
+export class TenantComponents {
   readonly keys: KeyChecker;
   private readonly shares: QuotaShares;
 
-  constructor(private readonly options: ITenantPartsOptions) {
+  constructor(private readonly options: ITenantComponentsOptions) {
     const { clock, directory } = options;
     this.keys = new KeyChecker(options);
     this.shares = new QuotaShares({
@@ -41,7 +41,7 @@
   isServing(): boolean {
     const { directory } = this.options;
     if (directory.getCatalog()?.requiresKeys !== true) return true;
-    return directory.tenants.version !== undefined && this.keys.isRecent();
+    return directory.tenants.version !== undefined && this.keys.isLeaseValid();
   }
 
   /** What decides at the homes of this node, whose address is `self`. */
@@ -55,7 +55,7 @@
     return new TenantAdmission({ directory, keys: this.keys, quotas, self });
   }
 
-  createSharing(channel: DatagramChannel, homes: HomeService): QuotaSharing {
+  createQuotaSharing(channel: DatagramChannel, homes: HomeService): QuotaSharing {
     const { clock, directory, getBounds } = this.options;
     return new QuotaSharing({
       channel,
--- a/packages/dispatch/src/directory/node/keyLease.test.ts
+++ b/packages/dispatch/src/directory/node/keyLease.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '@parsleymux/base';
-import type { ProofWay } from '../../test/keyLeaseFleet.js';
+import type { ProofMode } from '../../test/keyLeaseFleet.js';
 import { LeaseFleet } from '../../test/keyLeaseFleet.js';
 
 const NODES = 24;
 
-async function play(seed: number, way: ProofWay) {
-  return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, way }).run();
+async function play(seed: number, proofMode: ProofMode) {
+  return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, proofMode }).run();
 }
 
 for (const seed of [1, 2, 3]) {
@@ -29,7 +29,7 @@
       clock: new ManualClock(),
       seed,
       nodes: NODES,
-      way: 'followers',
+      proofMode: 'followers',
       restores: true,
     });
     const { servedTooLate } = await fleet.run();
--- a/packages/dispatch/src/entry/common/entryAnswer.ts
+++ b/packages/dispatch/src/entry/common/entryAnswer.ts
@@ -6,7 +6,7 @@
 const NO_BODY = new Uint8Array();
 
 /** What an answer of the node's own says. */
-export interface IOwnAnswerOptions {
+export interface ILocalAnswerOptions {
   readonly code: ResultCode;
   readonly runState: RunState;
   readonly attempts?: readonly IAttemptRecord[];
@@ -41,7 +41,7 @@
  * @example
  * makeOwnAnswer({ code: ResultCode.TargetTimeout, runState: RunState.MayHaveRun, attempts });
  */
-export function makeOwnAnswer(options: IOwnAnswerOptions): IEntryAnswer {
+export function makeLocalAnswer(options: ILocalAnswerOptions): IEntryAnswer {
   const { attempts = [], code, retryAfterMs, runState } = options;
   const headers: Header[] = [
     ['parsleymux-result', String(code)],
@@ -63,5 +63,5 @@
  */
 export function makeEntryRefusal(code: ResultCode, retryAfterMs?: number): IEntryAnswer {
   const wait = retryAfterMs === undefined ? {} : { retryAfterMs };
-  return makeOwnAnswer({ code, runState: RunState.NotRun, ...wait });
+  return makeLocalAnswer({ code, runState: RunState.NotRun, ...wait });
 }
--- a/packages/dispatch/src/entry/common/entryRequest.ts
+++ b/packages/dispatch/src/entry/common/entryRequest.ts
@@ -2,7 +2,7 @@
 import type { ResultCode, RunState } from '@parsleymux/base';
 import type { Header } from '@parsleymux/routing';
 import type { IRouteRule } from '../../catalog/common/catalog.js';
-import type { ISender } from '../../tenants/common/keyChecker.js';
+import type { ICallerIdentity } from '../../tenants/common/keyChecker.js';
 
 /** A whole request whose route is known. */
 export interface IEntryRequest {
@@ -12,7 +12,7 @@
   readonly fingerprints: readonly string[];
   readonly route: IRouteRule;
   readonly service: string;
-  readonly sender: ISender;
+  readonly sender: ICallerIdentity;
   /** Version of the configuration by which the request was let in. */
   readonly catalogVersion: number;
   readonly method: string;
--- a/packages/dispatch/src/entry/common/pathHealth.test.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.test.ts
@@ -10,11 +10,11 @@
   const clock = new ManualClock();
   let known = makeTarget('t1', { bornMs: 1000 });
   const paths = new PathHealth(clock, () => known);
-  paths.recordBroken(known);
-  assert.deepEqual(paths.listBroken(), ['t1']);
+  paths.recordUnreachable(known);
+  assert.deepEqual(paths.listUnreachable(), ['t1']);
   known = makeTarget('t1', { bornMs: 2000 });
-  assert.deepEqual(paths.listBroken(), []);
-  paths.recordBroken(known);
+  assert.deepEqual(paths.listUnreachable(), []);
+  paths.recordUnreachable(known);
   await clock.advanceBy(2000);
-  assert.deepEqual(paths.listBroken(), []);
+  assert.deepEqual(paths.listUnreachable(), []);
 });
--- a/packages/dispatch/src/entry/common/pathHealth.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.ts
@@ -4,10 +4,10 @@
 import { isSameLife } from '../../catalog/common/catalog.js';
 
 /** A target is left out this long after a failed connection, in ms, doubling up to the longest. */
-const FIRST_PAUSE_MS = 1500;
-const LONGEST_PAUSE_MS = 6000;
+const INITIAL_PAUSE_MS = 1500;
+const MAX_PAUSE_MS = 6000;
 
-interface IBrokenPath {
+interface IUnreachablePath {
   readonly target: ITargetRecord;
   readonly pauseMs: number;
   readonly untilMs: number;
@@ -22,7 +22,7 @@
  * const excluded = paths.listBroken();
  */
 export class PathHealth {
-  private readonly broken = new Map<string, IBrokenPath>();
+  private readonly broken = new Map<string, IUnreachablePath>();
 
   constructor(
     private readonly clock: Clock,
@@ -30,20 +30,20 @@
     private readonly findTarget: (id: string) => ITargetRecord | undefined,
   ) {}
 
-  recordBroken(target: ITargetRecord): void {
+  recordUnreachable(target: ITargetRecord): void {
     const previousMs = this.broken.get(target.id)?.pauseMs ?? 0;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, previousMs * 2));
+    const pauseMs = Math.min(MAX_PAUSE_MS, Math.max(INITIAL_PAUSE_MS, previousMs * 2));
     const untilMs = this.clock.getMonotonicTime() + pauseMs;
     this.broken.set(target.id, { target, pauseMs, untilMs });
   }
 
-  recordWorking(targetId: string): void {
+  recordReachable(targetId: string): void {
     this.broken.delete(targetId);
   }
 
-  listBroken(): readonly string[] {
+  listUnreachable(): readonly string[] {
     const nowMs = this.clock.getMonotonicTime();
-    const oldestMs = nowMs - LONGEST_PAUSE_MS;
+    const oldestMs = nowMs - MAX_PAUSE_MS;
     for (const [id, { target, untilMs }] of this.broken) {
       const current = this.findTarget(id);
       const hasRestarted = current !== undefined && !isSameLife(target, current);
--- a/packages/dispatch/src/entry/common/requestRun.test.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.test.ts
@@ -11,7 +11,7 @@
 import { ANONYMOUS } from '../../tenants/common/keyChecker.js';
 import type { IEntryAnswer, IEntryRequest } from './entryRequest.js';
 import { PathHealth } from './pathHealth.js';
-import { RequestRunner } from './requestRun.js';
+import { RequestRunner } from './requestRunner.js';
 import { TargetNotices } from './targetNotices.js';
 
 type Reply = ITargetAnswer | TransportError | (() => Promise<ITargetAnswer>);
@@ -84,7 +84,7 @@
   return new TransportError({ failure, mayHaveRun, reusedConnection: false });
 }
 
-interface IBench {
+interface IFixture {
   readonly answer: IEntryAnswer;
   readonly transport: ScriptedTransport;
   readonly selector: CountingSelector;
@@ -96,7 +96,7 @@
   refusing?: TargetSelector,
   clock = new ManualClock(),
   notices = new TargetNotices(clock),
-): Promise<IBench> {
+): Promise<IFixture> {
   const selector = new CountingSelector();
   const transport = new ScriptedTransport(replies);
   const runner = new RequestRunner({
@@ -302,6 +302,6 @@
   const other = makeAnswer(421, { notRun: true, draining: true, rateLimit: 1 });
   const notices = new TargetNotices(clock);
   await run([other, makeAnswer(200)], true, undefined, clock, notices);
-  assert.equal(notices.isLeaving(makeTarget('t1')), false);
+  assert.equal(notices.isDraining(makeTarget('t1')), false);
   assert.deepEqual(notices.listLimits([makeTarget('t1')]), []);
 });
--- a/packages/dispatch/src/entry/common/requestRun.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -11,17 +11,17 @@
 import type { IAttemptSenderOptions } from './attemptSender.js';
 import { AttemptSender } from './attemptSender.js';
 import { CancellableAttempt } from './cancellableAttempt.js';
-import { makeOwnAnswer, makeTargetAnswer } from './entryAnswer.js';
+import { makeLocalAnswer, makeTargetAnswer } from './entryAnswer.js';
 import type { IAttemptRecord, IEntryAnswer, IEntryRequest } from './entryRequest.js';
 import type { PathHealth } from './pathHealth.js';
 
 /** Grants that may come to nothing before a byte was sent, per request: each costs one connect time. */
-const MAX_UNSENT = 4;
+const MAX_UNSENT_ATTEMPTS = 4;
 /**
  * Share of its objective after which a request that may be repeated is sent to a second target too:
  * an answer within the objective is then still likely, and few requests usually take so long.
  */
-const PATIENCE_SHARE = 0.6;
+const HEDGE_DELAY_SHARE = 0.6;
 /** When to come back after a request that no target took, in ms: about one request's work. */
 const DEFAULT_RETRY_MS = 250;
 
@@ -90,7 +90,8 @@
 
   private hasNextAttempt(request: IEntryRequest, state: IRunState): boolean {
     if (this.getRemainingMs(request) <= 0) return false;
-    if (state.sent >= request.route.maxAttempts || state.unsent >= MAX_UNSENT) return false;
+    if (state.sent >= request.route.maxAttempts || state.unsent >= MAX_UNSENT_ATTEMPTS)
+      return false;
     return request.route.isIdempotent || !state.mayHaveRun;
   }
 
@@ -112,10 +113,10 @@
     const firstResult = this.tryTarget(request, grant, state, first);
     const { isIdempotent, maxAttempts, objectiveMs } = request.route;
     if (!isIdempotent || state.sent + 2 > maxAttempts) return firstResult;
-    const patienceMs = objectiveMs * PATIENCE_SHARE;
-    const early = await waitAtMost(this.options.clock, firstResult, patienceMs);
-    if (early !== undefined || signal.aborted) return firstResult;
-    const selection = await this.chooseBeside(request, grant, state, firstResult, signal);
+    const hedgeDelayMs = objectiveMs * HEDGE_DELAY_SHARE;
+    const earlyResult = await waitAtMost(this.options.clock, firstResult, hedgeDelayMs);
+    if (earlyResult !== undefined || signal.aborted) return firstResult;
+    const selection = await this.chooseHedgeTarget(request, grant, state, firstResult, signal);
     if (selection?.kind !== 'granted') return firstResult;
     if (first.hasEnded()) {
       selection.grant.report(GrantOutcome.Abandoned, 0);
@@ -137,20 +138,20 @@
    * Asks for a second target until the first answers; undefined then. The question may wait in a
    * queue, and an answer that is ready must not wait with it.
    */
-  private async chooseBeside(
+  private async chooseHedgeTarget(
     request: IEntryRequest,
     running: IGrant,
     state: IRunState,
     runningResult: Promise<IAttemptResult>,
     signal: AbortSignal,
   ): Promise<Selection | undefined> {
-    const question = new CancellableAttempt(signal);
-    const asked = this.choose(request, state, [running.target.id], question.signal);
+    const pendingSelection = new CancellableAttempt(signal);
+    const choice = this.choose(request, state, [running.target.id], pendingSelection.signal);
     // Withdrawn questions reject, here and when the caller leaves.
-    const selected = asked.catch(() => undefined);
+    const selected = choice.catch(() => undefined);
     const selection = await Promise.race([selected, runningResult.then(() => undefined)]);
-    question.cancel(GrantOutcome.Abandoned);
-    question.end();
+    pendingSelection.cancel(GrantOutcome.Abandoned);
+    pendingSelection.end();
     if (selection === undefined) void selected.then(discardSelection);
     return selection;
   }
@@ -168,7 +169,7 @@
       return { kind: 'refused', code, retryAfterMs, home: '' };
     }
     const holdMs = this.options.quarantine.getHoldMs(fingerprints);
-    if (holdMs > 0) return refuseHeld(holdMs);
+    if (holdMs > 0) return refuseQuarantined(holdMs);
     const attempt = state.sent + running.length + 1;
     return this.options.selector.choose(
       {
@@ -191,17 +192,17 @@
         objectiveMs: route.objectiveMs,
         connected: this.listConnected(service),
         limits: this.options.notices.listLimits(this.options.listTargets(service)),
-        excluded: [...state.tried, ...running, ...this.listAvoided(service)],
+        excluded: [...state.tried, ...running, ...this.listExcluded(service)],
       },
       signal,
     );
   }
 
   /** Targets that this node can't reach, or that have told it to send them nothing. */
-  private listAvoided(service: string): readonly string[] {
+  private listExcluded(service: string): readonly string[] {
     const { listTargets, notices, paths } = this.options;
     const told = listTargets(service).filter((target) => notices.isExcluded(target));
-    return [...paths.listBroken(), ...told.map(({ id }) => id)];
+    return [...paths.listUnreachable(), ...told.map(({ id }) => id)];
   }
 
   /** A new connection costs both sides a handshake, so the home prefers targets that need none. */
@@ -227,7 +228,7 @@
     const latencyMs = clock.getMonotonicTime() - startMs;
     attempt.end();
     const answerBytes = countBodyBytes(result.answer);
-    const isLeaving = this.options.notices.isLeaving(grant.target);
+    const isLeaving = this.options.notices.isDraining(grant.target);
     const outcome = attempt.cancelOutcome ?? result.outcome;
     const { rateLimit } = result;
     grant.report(outcome, latencyMs, { answerBytes, isLeaving, rateLimit });
@@ -254,8 +255,8 @@
 
   private recordPath(grant: IGrant, result: IAttemptResult): void {
     const { paths } = this.options;
-    if (result.outcome === GrantOutcome.Unreachable) paths.recordBroken(grant.target);
-    if (result.answer !== undefined) paths.recordWorking(grant.target.id);
+    if (result.outcome === GrantOutcome.Unreachable) paths.recordUnreachable(grant.target);
+    if (result.answer !== undefined) paths.recordReachable(grant.target.id);
   }
 
   private makeRefusal(state: IRunState, refusal: Refusal): IEntryAnswer {
@@ -263,10 +264,15 @@
     const { attempts } = state;
     if (state.mayHaveRun) {
       const code = ResultCode.TargetFailed;
-      return makeOwnAnswer({ code, runState: RunState.MayHaveRun, attempts });
+      return makeLocalAnswer({ code, runState: RunState.MayHaveRun, attempts });
     }
     const { code, retryAfterMs } = refusal;
-    return makeOwnAnswer({ code, runState: RunState.NotRun, attempts, ...toWait(retryAfterMs) });
+    return makeLocalAnswer({
+      code,
+      runState: RunState.NotRun,
+      attempts,
+      ...toRetryAfter(retryAfterMs),
+    });
   }
 
   private makeFailure(request: IEntryRequest, state: IRunState): IEntryAnswer {
@@ -275,22 +281,22 @@
     if (!state.mayHaveRun) {
       const retryAfterMs = DEFAULT_RETRY_MS;
       const code = ResultCode.TargetShed;
-      return makeOwnAnswer({ code, runState: RunState.NotRun, attempts, retryAfterMs });
+      return makeLocalAnswer({ code, runState: RunState.NotRun, attempts, retryAfterMs });
     }
     const isLate = this.getRemainingMs(request) <= 0 || state.lastOutcome === GrantOutcome.TimedOut;
     const code = isLate ? ResultCode.TargetTimeout : ResultCode.TargetFailed;
-    return makeOwnAnswer({ code, runState: RunState.MayHaveRun, attempts });
+    return makeLocalAnswer({ code, runState: RunState.MayHaveRun, attempts });
   }
 }
 
 /** No home is asked about a request that this node knows to be held back. */
-function refuseHeld(holdMs: number): Selection {
+function refuseQuarantined(holdMs: number): Selection {
   const code = ResultCode.RequestQuarantined;
   return { kind: 'refused', code, retryAfterMs: Math.ceil(holdMs), home: '' };
 }
 
 /** No time to come back is given where coming back would change nothing. */
-function toWait(retryAfterMs: number): { readonly retryAfterMs?: number } {
+function toRetryAfter(retryAfterMs: number): { readonly retryAfterMs?: number } {
   return retryAfterMs === 0 ? {} : { retryAfterMs };
 }
 
--- a/packages/dispatch/src/entry/common/targetNotices.test.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.test.ts
@@ -32,7 +32,7 @@
   notices.record(TARGET, makeAnswer());
   await clock.advanceBy(60_000);
   assert.ok(notices.isExcluded(TARGET));
-  assert.ok(notices.isLeaving(TARGET));
+  assert.ok(notices.isDraining(TARGET));
 });
 
 test('the next life of a target that left may be sent requests', () => {
@@ -49,7 +49,7 @@
   assert.ok(notices.isExcluded(TARGET));
   await clock.advanceBy(100);
   assert.equal(notices.isExcluded(TARGET), false);
-  assert.equal(notices.isLeaving(TARGET), false);
+  assert.equal(notices.isDraining(TARGET), false);
 });
 
 test('a wait that makes no sense is passed over, and a huge one is cut', async () => {
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -9,12 +9,12 @@
 
 const RETRY_AFTER = 'retry-after';
 /** No target is left alone longer than this on its own word, in ms: a wrong word costs its capacity. */
-const LONGEST_WAIT_MS = 600_000;
+const MAX_RETRY_AFTER_MS = 600_000;
 /** Lives of targets that are kept in mind at most, the oldest going first: more than a fleet has. */
-const MAX_LIVES = 4096;
+const MAX_INCARNATIONS = 4096;
 
 interface INotice {
-  isLeaving: boolean;
+  isDraining: boolean;
   /** Requests a second that it takes from all nodes together, and when it said so last. */
   limit: { readonly ratePerS: number; readonly atMs: number } | undefined;
   /** When it may be sent requests again, in ms of the monotonic clock. */
@@ -43,15 +43,15 @@
     if (ratePerS === undefined && known !== undefined) known.limit = undefined;
     if (!draining && waitMs === undefined && ratePerS === undefined) return;
     const notice = known ?? this.open(formatLife(target));
-    notice.isLeaving ||= draining;
+    notice.isDraining ||= draining;
     if (ratePerS !== undefined) {
       notice.limit = { ratePerS, atMs: this.clock.getMonotonicTime() };
     }
     if (waitMs !== undefined) notice.waitUntilMs = this.clock.getMonotonicTime() + waitMs;
   }
 
-  isLeaving(target: ITargetRecord): boolean {
-    return this.notices.get(formatLife(target))?.isLeaving === true;
+  isDraining(target: ITargetRecord): boolean {
+    return this.notices.get(formatLife(target))?.isDraining === true;
   }
 
   /** Limits that some of the targets have named, the latest first. */
@@ -72,21 +72,21 @@
     if (this.notices.size === 0) return false;
     const notice = this.notices.get(formatLife(target));
     if (notice === undefined) return false;
-    return notice.isLeaving || this.clock.getMonotonicTime() < notice.waitUntilMs;
+    return notice.isDraining || this.clock.getMonotonicTime() < notice.waitUntilMs;
   }
 
   private getWaitMs({ headers }: ITargetAnswer): number | undefined {
     const text = findHeader(headers, RETRY_AFTER);
     if (text === undefined) return undefined;
     const waitMs = parseRetryAfterMs(text, this.clock.getWallTime());
-    return waitMs === undefined ? undefined : Math.min(LONGEST_WAIT_MS, waitMs);
+    return waitMs === undefined ? undefined : Math.min(MAX_RETRY_AFTER_MS, waitMs);
   }
 
-  private open(life: string): INotice {
-    const notice: INotice = { isLeaving: false, limit: undefined, waitUntilMs: -Infinity };
-    this.notices.set(life, notice);
+  private open(incarnation: string): INotice {
+    const notice: INotice = { isDraining: false, limit: undefined, waitUntilMs: -Infinity };
+    this.notices.set(incarnation, notice);
     const [oldest] = this.notices.keys();
-    if (this.notices.size > MAX_LIVES && oldest !== undefined) this.notices.delete(oldest);
+    if (this.notices.size > MAX_INCARNATIONS && oldest !== undefined) this.notices.delete(oldest);
     return notice;
   }
 }
--- a/packages/dispatch/src/entry/node/callerConnections.ts
+++ b/packages/dispatch/src/entry/node/callerConnections.ts
@@ -6,7 +6,7 @@
   /** Requests without a whole answer, in the order of arrival. */
   readonly open: IncomingMessage[];
   /** The last answer says that the connection ends: what comes behind it is not read. */
-  isEnding: boolean;
+  isClosing: boolean;
 }
 
 /**
@@ -20,7 +20,7 @@
   private readonly connections = new Map<Socket, IConnection>();
   private isStopping = false;
   /** Whether any caller ever connected. */
-  hasOpened = false;
+  hasAcceptedConnection = false;
 
   /** Requests without a whole answer, on all connections. */
   get openRequests(): number {
@@ -39,15 +39,15 @@
   }
 
   add(socket: Socket): void {
-    this.hasOpened = true;
-    this.connections.set(socket, { open: [], isEnding: false });
+    this.hasAcceptedConnection = true;
+    this.connections.set(socket, { open: [], isClosing: false });
     socket.once('close', () => this.connections.delete(socket));
   }
 
   /** False when the request is behind an announced end and must not be handled. */
   startRequest(request: IncomingMessage): boolean {
     const connection = this.connections.get(request.socket);
-    if (connection === undefined || connection.isEnding) return false;
+    if (connection === undefined || connection.isClosing) return false;
     connection.open.push(request);
     return true;
   }
@@ -60,12 +60,12 @@
   }
 
   /** Announces the end of the connection with this answer if the node stops and nothing is behind. */
-  announceEnd(request: IncomingMessage, response: ServerResponse, mustEnd: boolean): void {
+  announceClose(request: IncomingMessage, response: ServerResponse, mustEnd: boolean): void {
     const connection = this.connections.get(request.socket);
     if (connection === undefined) return;
     const isLast = connection.open[connection.open.length - 1] === request;
     if (!isLast || !(mustEnd || this.isStopping)) return;
-    connection.isEnding = true;
+    connection.isClosing = true;
     response.setHeader('connection', 'close');
   }
 
--- a/packages/dispatch/src/entry/node/frontServer.ts
+++ b/packages/dispatch/src/entry/node/frontServer.ts
@@ -11,8 +11,8 @@
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { CallerProtocol } from '../common/callerProtocol.js';
 import type { IEntryAnswer, IEntryRequest } from '../common/entryRequest.js';
-import type { RequestRunner } from '../common/requestRun.js';
-import type { ISender, KeyChecker } from '../../tenants/common/keyChecker.js';
+import type { RequestRunner } from '../common/requestRunner.js';
+import type { ICallerIdentity, KeyChecker } from '../../tenants/common/keyChecker.js';
 import { makeEntryRefusal } from '../common/entryAnswer.js';
 import { CallerConnections } from './callerConnections.js';
 import { refuseMalformed } from './malformedRequest.js';
@@ -49,7 +49,7 @@
       readonly kind: 'routed';
       readonly route: IRouteRule;
       readonly catalog: ICatalog;
-      readonly sender: ISender;
+      readonly sender: ICallerIdentity;
     }
   | { readonly kind: 'refused'; readonly answer: IEntryAnswer };
 
@@ -133,7 +133,7 @@
       this.write(request, response, answer, false);
     } catch (error) {
       if (!signal.aborted) throw error;
-      requestLog.recordLeft(entryRequest);
+      requestLog.recordDisconnected(entryRequest);
     }
   }
 
@@ -218,7 +218,7 @@
     mustEnd: boolean,
   ): void {
     if (response.destroyed) return;
-    this.connections.announceEnd(request, response, mustEnd);
+    this.connections.announceClose(request, response, mustEnd);
     const headers = answer.headers.filter(([name]) => name !== 'content-length');
     for (const [name, value] of headers) response.appendHeader(name, value);
     if (answer.runState !== RunState.Ran) {
--- a/packages/dispatch/src/entry/node/requestLog.ts
+++ b/packages/dispatch/src/entry/node/requestLog.ts
@@ -68,7 +68,7 @@
       ms,
       objectiveMs: request.route.objectiveMs,
       attempts: answer.attempts,
-      ...this.describeBeliefs(),
+      ...this.describeDirectory(),
     });
   }
 
@@ -86,12 +86,12 @@
       status: answer.status,
       result: code,
       ms: this.measure(arrivedMs),
-      ...this.describeBeliefs(),
+      ...this.describeDirectory(),
     });
   }
 
   /** The caller closed its connection before the answer. */
-  recordLeft(request: IEntryRequest): void {
+  recordDisconnected(request: IEntryRequest): void {
     const route = request.route.name;
     this.requests.inc({ route, code: String(ResultCode.CallerGone), status: '' });
     this.options.log.warn('caller left', {
@@ -106,7 +106,7 @@
     return Math.round(this.options.clock.getMonotonicTime() - sinceMs);
   }
 
-  private describeBeliefs(): Readonly<Record<string, number | undefined>> {
+  private describeDirectory(): Readonly<Record<string, number | undefined>> {
     const { directory } = this.options;
     return {
       catalog: directory.getCatalog()?.version,
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -10,7 +10,7 @@
 export * from './entry/common/callerProtocol.js';
 export * from './entry/common/entryRequest.js';
 export * from './entry/common/pathHealth.js';
-export * from './entry/common/requestRun.js';
+export * from './entry/common/requestRunner.js';
 export * from './entry/common/targetNotices.js';
 export * from './grants/common/beliefSharing.js';
 export * from './grants/common/datagramChannel.js';
--- a/packages/dispatch/src/log/node/lineSink.test.ts
+++ b/packages/dispatch/src/log/node/lineSink.test.ts
@@ -9,9 +9,9 @@
 const LINES_PER_S = 1000;
 const SECONDS = 10;
 /** What the sink promises: its burst, and its rate for the time that passes. */
-const MOST_LINES = 400 + 100 * SECONDS;
+const MAX_LINES = 400 + 100 * SECONDS;
 
-async function readWhenStill(path: string): Promise<readonly string[]> {
+async function readWhenSettled(path: string): Promise<readonly string[]> {
   let before = -1;
   for (;;) {
     const lines = readFileSync(path, 'utf8').split('\n').slice(0, -1);
@@ -38,9 +38,9 @@
     const isImportant = index % 50 === 0;
     sink.write(`${isImportant ? 'failed' : 'served'} ${index}`, isImportant);
   }
-  const lines = await readWhenStill(path);
+  const lines = await readWhenSettled(path);
   const notices = lines.filter((line) => line.includes('log lines dropped')).length;
-  assert.ok(lines.length - notices <= MOST_LINES, `${lines.length} lines were written`);
+  assert.ok(lines.length - notices <= MAX_LINES, `${lines.length} lines were written`);
   const failures = lines.filter((line) => line.startsWith('failed')).length;
   assert.equal(failures, (LINES_PER_S * SECONDS) / 50);
   assert.equal(sink.dropped, LINES_PER_S * SECONDS - (lines.length - notices));
--- a/packages/dispatch/src/log/node/lineSink.ts
+++ b/packages/dispatch/src/log/node/lineSink.ts
@@ -26,7 +26,7 @@
   private tokens = BURST_LINES;
   private refilledMs: number;
   /** Lines that were dropped since the last line that said so, and in all. */
-  private droppedSince = 0;
+  private droppedSinceNotice = 0;
   dropped = 0;
 
   constructor(
@@ -38,26 +38,26 @@
 
   /** `isImportant` keeps the line ahead of others when there are too many. */
   write(line: string, isImportant: boolean): void {
-    if (!this.take(isImportant)) {
+    if (!this.takeToken(isImportant)) {
       this.dropped += 1;
-      this.droppedSince += 1;
+      this.droppedSinceNotice += 1;
       return;
     }
-    if (this.droppedSince > 0) {
-      const lines = this.droppedSince;
-      this.droppedSince = 0;
+    if (this.droppedSinceNotice > 0) {
+      const lines = this.droppedSinceNotice;
+      this.droppedSinceNotice = 0;
       this.push(JSON.stringify({ level: 'warn', message: 'log lines dropped', lines }));
     }
     this.push(line);
   }
 
-  private take(isImportant: boolean): boolean {
+  private takeToken(isImportant: boolean): boolean {
     const nowMs = this.clock.getMonotonicTime();
     const gained = ((nowMs - this.refilledMs) * LINES_PER_S) / MS_PER_S;
     this.tokens = Math.min(BURST_LINES, this.tokens + gained);
     this.refilledMs = nowMs;
-    const least = isImportant ? 1 : RESERVED_LINES;
-    if (this.tokens < least || this.pendingBytes > MAX_PENDING_BYTES) return false;
+    const minTokens = isImportant ? 1 : RESERVED_LINES;
+    if (this.tokens < minTokens || this.pendingBytes > MAX_PENDING_BYTES) return false;
     this.tokens -= 1;
     return true;
   }
--- a/packages/dispatch/src/quotas/common/quotaLimit.ts
+++ b/packages/dispatch/src/quotas/common/quotaLimit.ts
@@ -5,7 +5,7 @@
  * Part of what a window may hold above the limit that homes use; the rest covers homes that change or do
  * not know of each other yet, and nodes that reach no home.
  */
-const HOMES_EXTRA = 0.35;
+const HOMES_EXTRA_SHARE = 0.35;
 const MS_PER_S = 1000;
 
 /** Requests of a tenant in one window. */
@@ -27,9 +27,9 @@
   { quotaExcess, quotaSlack, quotaWindowMs }: ITenantBounds,
 ): IWindowLimit | undefined {
   if (ratePerS === undefined) return undefined;
-  const whole = (ratePerS * quotaWindowMs) / MS_PER_S + burst;
-  const extra = quotaExcess * whole + quotaSlack;
-  return { homes: whole + HOMES_EXTRA * extra, extra };
+  const nominal = (ratePerS * quotaWindowMs) / MS_PER_S + burst;
+  const extra = quotaExcess * nominal + quotaSlack;
+  return { homes: nominal + HOMES_EXTRA_SHARE * extra, extra };
 }
 
 /** Requests a second that a tenant may send if it uses each window to its end; undefined without a limit. */
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -4,24 +4,24 @@
 import { RequestRate } from './requestRate.js';
 
 /** What another home announced is out of date after this time, in ms: four announcements. */
-const RECENT_MS = 2000;
+const ANNOUNCEMENT_TTL_MS = 2000;
 /**
  * Requests a second that each home is taken to see of a tenant besides, when its limit is divided by what
  * they see: of one that sends next to nothing, the next request may come to any home.
  */
-const ASSUMED_PER_S = 2;
+const ASSUMED_RATE_PER_S = 2;
 /** Homes that began within this time of each other began together, in ms: a fleet that starts. */
-const TOGETHER_MS = 2000;
+const SIMULTANEOUS_START_MS = 2000;
 /** Below this rate a tenant counts as idle, a second: one request some ten seconds ago. */
-const IDLE_PER_S = 0.003;
+const IDLE_RATE_PER_S = 0.003;
 /** Part of a home's own limit above which it names the tenant to the others. */
-const NEAR_LIMIT = 0.7;
+const NEAR_LIMIT_SHARE = 0.7;
 
 /** Requests of one tenant at one home. */
 export interface ITenantRate {
   readonly perS: number;
   /** Whether the home is near its part of the limit; others answer with their rates. */
-  readonly isNear: boolean;
+  readonly isNearLimit: boolean;
 }
 
 /** Requests of tenants at one home. */
@@ -33,7 +33,7 @@
   readonly tenants: ReadonlyMap<string, ITenantRate>;
 }
 
-interface IDatedUse extends ITenantUse {
+interface ITimestampedUse extends ITenantUse {
   readonly atMs: number;
 }
 
@@ -56,9 +56,9 @@
 export class QuotaShares {
   private readonly total = new RequestRate();
   private readonly rates = new Map<string, RequestRate>();
-  private readonly others = new Map<string, IDatedUse>();
+  private readonly others = new Map<string, ITimestampedUse>();
   /** What this home announced last: parts add up to one only if all divide by the same figures. */
-  private announced: IDatedUse | undefined;
+  private announced: ITimestampedUse | undefined;
   private lastMs = -Infinity;
   private sinceMs: number | undefined;
 
@@ -81,7 +81,7 @@
   }
 
   /** Takes what another home sees. */
-  take(home: string, use: ITenantUse): void {
+  recordRemoteUse(home: string, use: ITenantUse): void {
     this.others.set(home, { ...use, atMs: this.options.clock.getMonotonicTime() });
   }
 
@@ -90,11 +90,14 @@
     const nowMs = this.options.clock.getMonotonicTime();
     const others = this.listOthers(nowMs);
     const named = others.flatMap(({ tenants }) => tenants.get(tenant)?.perS ?? []);
-    const isDivided = others.length > 0 && named.length === others.length;
-    const own = isDivided ? this.getOwnRate(tenant, nowMs) : this.getOwnTotal(nowMs);
-    const theirs = isDivided ? named : others.map(({ total }) => total);
-    const all = theirs.reduce((sum, rate) => sum + rate + ASSUMED_PER_S, own + ASSUMED_PER_S);
-    const share = (own + ASSUMED_PER_S) / all;
+    const isDividedByTenantRate = others.length > 0 && named.length === others.length;
+    const own = isDividedByTenantRate ? this.getOwnRate(tenant, nowMs) : this.getOwnTotal(nowMs);
+    const otherRates = isDividedByTenantRate ? named : others.map(({ total }) => total);
+    const all = otherRates.reduce(
+      (sum, rate) => sum + rate + ASSUMED_RATE_PER_S,
+      own + ASSUMED_RATE_PER_S,
+    );
+    const share = (own + ASSUMED_RATE_PER_S) / all;
     return this.isInformed(nowMs) ? share : Math.min(share, 1 / this.options.countServices());
   }
 
@@ -102,14 +105,16 @@
    * What this home may use besides: as long as no other has named the tenant, each of them is far enough
    * from its own part.
    */
-  getLentShare(tenant: string): number {
-    return this.isNamed(tenant) ? 0 : (1 - NEAR_LIMIT) * (1 - this.getShare(tenant));
+  getBorrowedShare(tenant: string): number {
+    return this.isReportedNearLimit(tenant)
+      ? 0
+      : (1 - NEAR_LIMIT_SHARE) * (1 - this.getShare(tenant));
   }
 
   /** Whether another home is near its part of the tenant's limit. */
-  isNamed(tenant: string): boolean {
+  isReportedNearLimit(tenant: string): boolean {
     const others = this.listOthers(this.options.clock.getMonotonicTime());
-    return others.some(({ tenants }) => tenants.get(tenant)?.isNear === true);
+    return others.some(({ tenants }) => tenants.get(tenant)?.isNearLimit === true);
   }
 
   /** Whether this home began while another, which has named the tenant, was at work already. */
@@ -117,23 +122,23 @@
     const nowMs = this.options.clock.getMonotonicTime();
     const ownMs = this.getAtWorkMs(nowMs);
     return this.listOthers(nowMs).some(({ atMs, atWorkMs, tenants }) => {
-      return tenants.has(tenant) && atWorkMs + nowMs - atMs > ownMs + TOGETHER_MS;
+      return tenants.has(tenant) && atWorkMs + nowMs - atMs > ownMs + SIMULTANEOUS_START_MS;
     });
   }
 
   /** What to announce to the others; `limitOf` in requests a second, undefined without a limit. */
-  summarize(limitOf: (tenant: string) => number | undefined): ITenantUse {
+  summarize(getLimit: (tenant: string) => number | undefined): ITenantUse {
     const nowMs = this.options.clock.getMonotonicTime();
     const tenants = new Map<string, ITenantRate>();
     for (const [name, rate] of this.rates) {
-      const perS = rate.getPerS(nowMs);
-      const part = (limitOf(name) ?? Infinity) * this.getShare(name);
-      const isNear = perS > part * NEAR_LIMIT;
-      if (isNear || this.isNamed(name)) tenants.set(name, { perS, isNear });
+      const perS = rate.getRatePerS(nowMs);
+      const part = (getLimit(name) ?? Infinity) * this.getShare(name);
+      const isNearLimit = perS > part * NEAR_LIMIT_SHARE;
+      if (isNearLimit || this.isReportedNearLimit(name)) tenants.set(name, { perS, isNearLimit });
     }
-    this.addAnswers(tenants, nowMs);
+    this.addReportedTenants(tenants, nowMs);
     const atWorkMs = this.getAtWorkMs(nowMs);
-    this.announced = { atWorkMs, total: this.total.getPerS(nowMs), tenants, atMs: nowMs };
+    this.announced = { atWorkMs, total: this.total.getRatePerS(nowMs), tenants, atMs: nowMs };
     return this.announced;
   }
 
@@ -141,20 +146,20 @@
   clearIdle(): void {
     const nowMs = this.options.clock.getMonotonicTime();
     for (const [name, rate] of this.rates) {
-      if (rate.getPerS(nowMs) < IDLE_PER_S) this.rates.delete(name);
+      if (rate.getRatePerS(nowMs) < IDLE_RATE_PER_S) this.rates.delete(name);
     }
   }
 
   /** Whether announcements of the others would have arrived by now. */
   private isInformed(nowMs: number): boolean {
-    return this.sinceMs !== undefined && nowMs - this.sinceMs > RECENT_MS / 2;
+    return this.sinceMs !== undefined && nowMs - this.sinceMs > ANNOUNCEMENT_TTL_MS / 2;
   }
 
   /** A limit is divided by requests once every home has named the tenant, also one that sees none. */
-  private addAnswers(tenants: Map<string, ITenantRate>, nowMs: number): void {
+  private addReportedTenants(tenants: Map<string, ITenantRate>, nowMs: number): void {
     for (const { tenants: named } of this.listOthers(nowMs)) {
-      for (const [name, { isNear }] of named) {
-        if (isNear && !tenants.has(name)) tenants.set(name, { perS: 0, isNear: false });
+      for (const [name, { isNearLimit }] of named) {
+        if (isNearLimit && !tenants.has(name)) tenants.set(name, { perS: 0, isNearLimit: false });
       }
     }
   }
@@ -165,22 +170,22 @@
 
   private getOwnRate(tenant: string, nowMs: number): number {
     const announced = this.getAnnounced(nowMs)?.tenants.get(tenant)?.perS;
-    return announced ?? this.rates.get(tenant)?.getPerS(nowMs) ?? 0;
+    return announced ?? this.rates.get(tenant)?.getRatePerS(nowMs) ?? 0;
   }
 
   private getOwnTotal(nowMs: number): number {
-    return this.getAnnounced(nowMs)?.total ?? this.total.getPerS(nowMs);
+    return this.getAnnounced(nowMs)?.total ?? this.total.getRatePerS(nowMs);
   }
 
-  private getAnnounced(nowMs: number): IDatedUse | undefined {
-    return this.announced !== undefined && nowMs - this.announced.atMs <= RECENT_MS
+  private getAnnounced(nowMs: number): ITimestampedUse | undefined {
+    return this.announced !== undefined && nowMs - this.announced.atMs <= ANNOUNCEMENT_TTL_MS
       ? this.announced
       : undefined;
   }
 
-  private listOthers(nowMs: number): readonly IDatedUse[] {
+  private listOthers(nowMs: number): readonly ITimestampedUse[] {
     for (const [home, { atMs }] of this.others) {
-      if (nowMs - atMs > RECENT_MS) this.others.delete(home);
+      if (nowMs - atMs > ANNOUNCEMENT_TTL_MS) this.others.delete(home);
     }
     return [...this.others.values()];
   }
--- a/packages/dispatch/src/quotas/common/quotaSharing.ts
+++ b/packages/dispatch/src/quotas/common/quotaSharing.ts
@@ -50,11 +50,11 @@
 
   /** Takes what another home sees. */
   handleTenantUse(sender: string, { atWorkMs, tenants, totalMilli }: TenantUse): void {
-    const rates = tenants.map(({ near: isNear, rateMilli, tenant }) => {
-      return [tenant, { perS: rateMilli / MILLI, isNear }] as const;
+    const rates = tenants.map(({ near: isNearLimit, rateMilli, tenant }) => {
+      return [tenant, { perS: rateMilli / MILLI, isNearLimit }] as const;
     });
     const total = totalMilli / MILLI;
-    this.options.shares.take(sender, { atWorkMs, total, tenants: new Map(rates) });
+    this.options.shares.recordRemoteUse(sender, { atWorkMs, total, tenants: new Map(rates) });
   }
 
   dispose(): void {
@@ -79,7 +79,7 @@
     const value = create(TenantUseSchema, {
       atWorkMs: Math.round(use.atWorkMs),
       totalMilli: Math.round(use.total * MILLI),
-      tenants: rates.slice(0, MAX_TENANTS).map(([tenant, { isNear: near, perS }]) => {
+      tenants: rates.slice(0, MAX_TENANTS).map(([tenant, { isNearLimit: near, perS }]) => {
         return create(TenantRateSchema, { tenant, near, rateMilli: Math.round(perS * MILLI) });
       }),
     });
--- a/packages/dispatch/src/quotas/common/requestRate.ts
+++ b/packages/dispatch/src/quotas/common/requestRate.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_S = 1000;
 /** After this time a request counts for a third, in ms: several announcements, a fraction of a window. */
-const AVERAGED_MS = 2000;
+const TIME_CONSTANT_MS = 2000;
 
 /**
  * @example
@@ -14,11 +14,11 @@
   private updatedMs = 0;
 
   add(nowMs: number): void {
-    this.perS = this.getPerS(nowMs) + MS_PER_S / AVERAGED_MS;
+    this.perS = this.getRatePerS(nowMs) + MS_PER_S / TIME_CONSTANT_MS;
     this.updatedMs = nowMs;
   }
 
-  getPerS(nowMs: number): number {
-    return this.perS * Math.exp((this.updatedMs - nowMs) / AVERAGED_MS);
+  getRatePerS(nowMs: number): number {
+    return this.perS * Math.exp((this.updatedMs - nowMs) / TIME_CONSTANT_MS);
   }
 }
--- a/packages/dispatch/src/quotas/common/tenantAdmission.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantAdmission.test.ts
@@ -20,7 +20,7 @@
 const NORTH: ITenantRule = { name: 'north', keys: ['key-n'], ratePerS: 1, burst: 0 };
 const ENDED = makeGrantRequest({ key: 'key-x', catalogVersion: 3 });
 
-function openBench() {
+function createFixture() {
   const clock = new ManualClock();
   const directory = new NodeDirectory(clock);
   const keys = makeKeyChecker(clock, directory);
@@ -40,14 +40,14 @@
 
 test('a home refuses a key that its own list has ended', () => {
   // Guards against: an entry that was suspended serves a withdrawn key, since no clock of its own shows how long.
-  const { admission, setVersion } = openBench();
+  const { admission, setVersion } = createFixture();
   setVersion(3);
   const decision = admission.check(ENDED, ENTRY);
   assert.equal(decision.kind === 'refused' && decision.code, ResultCode.UnknownKey);
 });
 
 test('a home with an older list, or one that is outdated, does not overrule the entry', async () => {
-  const { admission, clock, setVersion } = openBench();
+  const { admission, clock, setVersion } = createFixture();
   setVersion(2);
   assert.equal(admission.check(ENDED, ENTRY).kind, 'accepted');
   setVersion(3);
@@ -63,7 +63,7 @@
 }
 
 test('a request holds one token, and gives it back only if it has certainly not run', () => {
-  const { admission, setVersion } = openBench();
+  const { admission, setVersion } = createFixture();
   setVersion(3);
   assert.ok(countAdmitted(admission, ENTRY, 1000) < 1000);
   const again = makeGrantRequest({ key: 'key-n', attempt: 2, isCharged: true });
@@ -85,7 +85,7 @@
 });
 
 test('a node that is no home, and decides alone, spends less than a home', () => {
-  const { admission, setVersion } = openBench();
+  const { admission, setVersion } = createFixture();
   setVersion(3);
   assert.ok(countAdmitted(admission, SELF, 1000) < countAdmitted(admission, ENTRY, 1000) / 4);
 });
--- a/packages/dispatch/src/quotas/common/tenantAdmission.ts
+++ b/packages/dispatch/src/quotas/common/tenantAdmission.ts
@@ -76,7 +76,7 @@
   private checkUnknown({ catalogVersion }: IGrantRequest): TenantDecision {
     const { directory, keys } = this.options;
     const isNewer = (directory.getCatalog()?.version ?? -Infinity) >= catalogVersion;
-    if (!isNewer || !directory.hasCurrentTenants() || !keys.isRecent()) return ACCEPTED;
+    if (!isNewer || !directory.hasCurrentTenants() || !keys.isLeaseValid()) return ACCEPTED;
     return { kind: 'refused', code: ResultCode.UnknownKey, retryAfterMs: undefined };
   }
 
--- a/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
@@ -13,7 +13,7 @@
 const NODES = 110;
 
 /** What may run of a tenant in one window, over all nodes. */
-function computeMost({ burst, ratePerS = 0 }: ITenantRule): number {
+function computeMaxPerWindow({ burst, ratePerS = 0 }: ITenantRule): number {
   const whole = (ratePerS * WINDOW_MS) / 1000 + burst;
   return whole * (1 + TENANT_BOUNDS.quotaExcess) + TENANT_BOUNDS.quotaSlack;
 }
@@ -82,7 +82,7 @@
   }
 
   /** Most requests of a tenant in any window. */
-  countMost(tenant: number): number {
+  countMaxPerWindow(tenant: number): number {
     const times = this.admitted[tenant] ?? [];
     let first = 0;
     return times.reduce((most, atMs, index) => {
@@ -106,7 +106,7 @@
     };
     const uses = this.homes.map(({ name, shares }) => ({ name, use: shares.summarize(getLimit) }));
     for (const { name, use } of uses) {
-      for (const home of this.homes) if (home.name !== name) home.shares.take(name, use);
+      for (const home of this.homes) if (home.name !== name) home.shares.recordRemoteUse(name, use);
     }
   }
 }
@@ -168,9 +168,12 @@
       CALM.map((perHome) => perHome.map((perS) => perS * 7.5)),
     );
     for (const [index, tenant] of fleet.tenants.entries()) {
-      const most = fleet.countMost(index);
-      assert.ok(most <= computeMost(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
-      assert.ok(most >= computeMost(tenant) * 0.7, `seed ${seed}, ${tenant.name}: ${most} at most`);
+      const most = fleet.countMaxPerWindow(index);
+      assert.ok(most <= computeMaxPerWindow(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
+      assert.ok(
+        most >= computeMaxPerWindow(tenant) * 0.7,
+        `seed ${seed}, ${tenant.name}: ${most} at most`,
+      );
     }
   }
 });
@@ -182,9 +185,9 @@
     4000,
     CALM.map((perHome) => perHome.map((perS) => perS * 7.5)),
   );
-  assert.ok(fleet.homes.every(({ shares }) => shares.isNamed(SMALL.name)));
+  assert.ok(fleet.homes.every(({ shares }) => shares.isReportedNearLimit(SMALL.name)));
   await fleet.run(12_000, CALM);
-  assert.ok(fleet.homes.every(({ shares }) => !shares.isNamed(SMALL.name)));
+  assert.ok(fleet.homes.every(({ shares }) => !shares.isReportedNearLimit(SMALL.name)));
 });
 
 test('homes that are replaced in series hand out nothing twice', async () => {
@@ -198,8 +201,8 @@
       await fleet.run(1500, hot);
     }
     for (const [index, tenant] of fleet.tenants.entries()) {
-      const most = fleet.countMost(index);
-      assert.ok(most <= computeMost(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
+      const most = fleet.countMaxPerWindow(index);
+      assert.ok(most <= computeMaxPerWindow(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
     }
   }
 });
@@ -214,7 +217,7 @@
     await fleet.run(12_000, CALM);
     const later = (fleet.admitted[1] ?? []).filter((atMs) => atMs >= fromMs + WINDOW_MS);
     fleet.admitted[1] = later;
-    assert.ok(fleet.countMost(1) <= computeMost(lowered), `seed ${seed}`);
+    assert.ok(fleet.countMaxPerWindow(1) <= computeMaxPerWindow(lowered), `seed ${seed}`);
   }
 });
 
@@ -233,7 +236,7 @@
         }
       }
       const whole = ((tenant.ratePerS ?? 0) * WINDOW_MS) / 1000 + tenant.burst;
-      const extra = computeMost(tenant) - whole;
+      const extra = computeMaxPerWindow(tenant) - whole;
       assert.ok(admitted <= extra / 2, `seed ${seed}, ${tenant.name}: ${admitted} of ${extra}`);
     }
   }
--- a/packages/dispatch/src/quotas/common/tenantQuotas.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.ts
@@ -10,11 +10,11 @@
  * Part of what a window may hold above the limit that all nodes together use that reach no home, as long as
  * they are at most the second part of the fleet.
  */
-const CUT_OFF_EXTRA = 0.35;
-const CUT_OFF_SHARE = 0.35;
+const CUT_OFF_EXTRA_SHARE = 0.35;
+const MAX_CUT_OFF_NODES_SHARE = 0.35;
 /** Waits that callers are told, in ms. */
-const LEAST_WAIT_MS = 50;
-const MOST_WAIT_MS = 2000;
+const MIN_RETRY_AFTER_MS = 50;
+const MAX_RETRY_AFTER_MS = 2000;
 /** Counts that are kept; beyond it the one unused for longest is forgotten. */
 const MAX_COUNTS = 20_000;
 
@@ -73,17 +73,17 @@
   /** Counts a request of the tenant; returns the refusal if there is no room for it. */
   spend(tenant: ITenantRule, role: QuotaRole): IQuotaRefusal | undefined {
     const { clock, getBounds } = this.options;
-    if (role === 'home') this.recordHome(tenant.name);
+    if (role === 'home') this.recordHomeRequest(tenant.name);
     const bounds = getBounds();
     const limit = computeWindowLimit(tenant, bounds);
     if (limit === undefined) return undefined;
     const nowMs = clock.getMonotonicTime();
     const count = this.getCount(tenant.name, role);
-    const part = this.computePart(tenant.name, limit, role, count);
+    const part = this.computeAllowance(tenant.name, limit, role, count);
     const used = count.used.count(nowMs);
     if (used + 1 > part) {
       const facts = { tenant: tenant.name, role, used, part: Math.round(part) };
-      return { retryAfterMs: computeWaitMs(part, bounds.quotaWindowMs), facts };
+      return { retryAfterMs: computeRetryAfterMs(part, bounds.quotaWindowMs), facts };
     }
     count.used.add(nowMs);
     return undefined;
@@ -95,7 +95,7 @@
   }
 
   /** Counts of an earlier time as home miss what other homes have granted since. */
-  private recordHome(tenant: string): void {
+  private recordHomeRequest(tenant: string): void {
     const { shares } = this.options;
     shares.record(tenant);
     if (shares.startMs === this.startMs) return;
@@ -104,7 +104,7 @@
   }
 
   /** What this node may let in, in a window. */
-  private computePart(
+  private computeAllowance(
     tenant: string,
     { extra, homes }: IWindowLimit,
     role: QuotaRole,
@@ -112,10 +112,11 @@
   ): number {
     const { countNodes, shares } = this.options;
     if (role === 'home') {
-      const share = shares.getShare(tenant) + shares.getLentShare(tenant);
-      return homes * share * this.getRamp(tenant);
+      const share = shares.getShare(tenant) + shares.getBorrowedShare(tenant);
+      return homes * share * this.getRampUpFactor(tenant);
     }
-    const part = (CUT_OFF_EXTRA * extra) / Math.max(1, countNodes() * CUT_OFF_SHARE);
+    const part =
+      (CUT_OFF_EXTRA_SHARE * extra) / Math.max(1, countNodes() * MAX_CUT_OFF_NODES_SHARE);
     return Math.floor(part + rounding);
   }
 
@@ -123,7 +124,7 @@
    * A home that takes over must not grant at once what the former one has just granted. A tenant above its
    * quota uses each window in clumps, so that its requests leave the window late.
    */
-  private getRamp(tenant: string): number {
+  private getRampUpFactor(tenant: string): number {
     const { clock, getBounds, shares } = this.options;
     if (!shares.hasTakenOver(tenant)) return 1;
     const passedMs = clock.getMonotonicTime() - (shares.startMs ?? 0);
@@ -148,8 +149,8 @@
 }
 
 /** On average, room for one more comes after the window divided by what it holds. */
-function computeWaitMs(limit: number, windowMs: number): number {
-  return Math.ceil(Math.min(MOST_WAIT_MS, Math.max(LEAST_WAIT_MS, windowMs / limit)));
+function computeRetryAfterMs(limit: number, windowMs: number): number {
+  return Math.ceil(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, windowMs / limit)));
 }
 
 function formatKey(tenant: string, role: QuotaRole): string {
--- a/packages/dispatch/src/tenants/common/keyChecker.test.ts
+++ b/packages/dispatch/src/tenants/common/keyChecker.test.ts
@@ -34,7 +34,7 @@
   }
 }
 
-interface IBench {
+interface IFixture {
   readonly clock: SuspendableClock;
   readonly directory: NodeDirectory;
   readonly checker: KeyChecker;
@@ -46,10 +46,10 @@
   ) => void;
 }
 
-function openBench(): IBench {
+function createFixture(): IFixture {
   const clock = new SuspendableClock({ startMs: 1_000_000 });
   const directory = new NodeDirectory(clock);
-  const setTenants: IBench['setTenants'] = (version, tenants, provenAt = readInstant(clock)) => {
+  const setTenants: IFixture['setTenants'] = (version, tenants, provenAt = readInstant(clock)) => {
     const rows = tenants.map((value) => ({ key: value.name, value }));
     const nowMs = clock.getMonotonicTime();
     directory.tenants.setAll({ version, changes: rows }, nowMs);
@@ -67,12 +67,12 @@
 }
 
 test('a configuration without tenants asks nobody for a key', () => {
-  const { checker } = openBench();
+  const { checker } = createFixture();
   assert.equal(getCode(checker, NONE), ResultCode.Ok);
 });
 
 test('keys decide who sends, and public routes need none', () => {
-  const { checker, setTenants } = openBench();
+  const { checker, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   assert.deepEqual(checker.check(KEY, ROUTE), {
     kind: 'accepted',
@@ -87,7 +87,7 @@
 
 test('a node that hears nothing serves no key once its lease is over', async () => {
   // Guards against: a node that is cut off goes on serving a key that was withdrawn.
-  const { checker, clock, setTenants } = openBench();
+  const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   await clock.advanceBy(LEASE_MS - 1);
   assert.equal(getCode(checker, KEY), ResultCode.Ok);
@@ -99,7 +99,7 @@
 
 test('time for which the machine was suspended counts against the lease', () => {
   // Guards against: a node that was suspended past its lease takes its keys for fresh.
-  const { checker, clock, setTenants } = openBench();
+  const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.suspend(LEASE_MS);
   assert.equal(getCode(checker, KEY), ResultCode.KeysOutdated);
@@ -107,7 +107,7 @@
 
 test('a step of the time of day lengthens no lease', async () => {
   // Guards against: a lease that is measured by the time of day alone.
-  const { checker, clock, setTenants } = openBench();
+  const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.stepWallTime(-60_000);
   await clock.advanceBy(LEASE_MS);
@@ -116,7 +116,7 @@
 
 test('a proof that follows a step of the time of day is believed', async () => {
   // Guards against: a node that refuses all keys until its time of day has caught up with a step back.
-  const { checker, clock, setTenants } = openBench();
+  const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.stepWallTime(-60_000);
   await clock.advanceBy(LEASE_MS - 1);
@@ -127,7 +127,7 @@
 
 test('a proof that arrives late counts from the moment that it speaks of', async () => {
   // Guards against: a lease that begins when the answer of the store comes in.
-  const { checker, clock, setTenants } = openBench();
+  const { checker, clock, setTenants } = createFixture();
   const sentAt = readInstant(clock);
   await clock.advanceBy(LEASE_MS - 100);
   setTenants(1, [NORTH], sentAt);
@@ -138,7 +138,7 @@
 
 test('a key that may be newer than this node’s list is not said to be unknown', async () => {
   // Guards against: callers with a new key are turned away for good by a node that has older news.
-  const { checker, clock, directory, setTenants } = openBench();
+  const { checker, clock, directory, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   await clock.advanceBy(TENANT_BOUNDS.applyMs);
   assert.equal(getCode(checker, OTHER), ResultCode.KeysOutdated);
@@ -152,7 +152,7 @@
 
 test('a request that waited is refused when its key ended or went to another tenant', () => {
   // Guards against: a request that waits for a slot is sent with a key that was withdrawn meanwhile.
-  const { checker, setTenants } = openBench();
+  const { checker, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   const decision = checker.check(KEY, ROUTE);
   assert.ok(decision.kind === 'accepted');
--- a/packages/dispatch/src/tenants/common/keyChecker.ts
+++ b/packages/dispatch/src/tenants/common/keyChecker.ts
@@ -10,7 +10,7 @@
 const OUTDATED_RETRY_MS = 500;
 
 /** Who sends a request, as far as the configuration cares. */
-export interface ISender {
+export interface ICallerIdentity {
   /** Digest of the key; undefined where the route needs none. */
   readonly key: string | undefined;
   readonly tenant: ITenantRule | undefined;
@@ -18,7 +18,7 @@
 
 /** What became of a credential. */
 export type KeyDecision =
-  | { readonly kind: 'accepted'; readonly sender: ISender }
+  | { readonly kind: 'accepted'; readonly sender: ICallerIdentity }
   | {
       readonly kind: 'refused';
       readonly code: ResultCodeType;
@@ -26,7 +26,7 @@
     };
 
 /** A sender where no key is needed. */
-export const ANONYMOUS: ISender = { key: undefined, tenant: undefined };
+export const ANONYMOUS: ICallerIdentity = { key: undefined, tenant: undefined };
 const ACCEPTED_ANONYMOUS: KeyDecision = { kind: 'accepted', sender: ANONYMOUS };
 const OUTDATED: KeyDecision = {
   kind: 'refused',
@@ -57,7 +57,7 @@
     if (directory.getCatalog()?.requiresKeys !== true) return ACCEPTED_ANONYMOUS;
     if (route.isPublic === true) return this.checkOptional(credential);
     if (credential.kind === 'unusable') return { kind: 'refused', code: credential.code };
-    if (!this.isRecent()) return OUTDATED;
+    if (!this.isLeaseValid()) return OUTDATED;
     const tenant = directory.tenantIndex.findByKey(credential.digest);
     if (tenant !== undefined) {
       return { kind: 'accepted', sender: { key: credential.digest, tenant } };
@@ -66,7 +66,7 @@
   }
 
   /** Looks at an accepted sender again: time has passed, and newer keys may have come. */
-  checkAgain({ key, tenant }: ISender, route: IRouteRule): KeyDecision {
+  checkAgain({ key, tenant }: ICallerIdentity, route: IRouteRule): KeyDecision {
     if (key === undefined) return ACCEPTED_ANONYMOUS;
     const decision = this.check({ kind: 'key', digest: key }, route);
     const isMoved = decision.kind === 'accepted' && decision.sender.tenant?.name !== tenant?.name;
@@ -74,7 +74,7 @@
   }
 
   /** Whether keys are served at all now. */
-  isRecent(): boolean {
+  isLeaseValid(): boolean {
     const { keyLeaseMs } = this.options.getBounds();
     return keyLeaseMs === undefined || this.getProofAgeMs() < keyLeaseMs;
   }
@@ -86,7 +86,7 @@
 
   /** On a public route the key of a tenant still tells the target who asks. */
   private checkOptional(credential: Credential): KeyDecision {
-    if (credential.kind === 'unusable' || !this.isRecent()) return ACCEPTED_ANONYMOUS;
+    if (credential.kind === 'unusable' || !this.isLeaseValid()) return ACCEPTED_ANONYMOUS;
     const tenant = this.options.directory.tenantIndex.findByKey(credential.digest);
     if (tenant === undefined) return ACCEPTED_ANONYMOUS;
     return { kind: 'accepted', sender: { key: credential.digest, tenant } };
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -19,11 +19,11 @@
 import { TENANT_BOUNDS, makeKeyChecker } from './builders.js';
 import { ModelledKeyStore, ROUTE } from './modelledKeyStore.js';
 
-const STORE_MS = 4;
+const STORE_LATENCY_MS = 4;
 const LOST_SHARE = 0.02;
 /** Datagrams that are under way for seconds, as behind a full queue or a cut that heals. */
-const LATE_SHARE = 0.01;
-const LATEST_MS = 4000;
+const DELAYED_SHARE = 0.01;
+const MAX_DELAY_MS = 4000;
 /** Every datagram to a node behind a full queue takes this much longer, in ms. */
 const QUEUE_MS = 6000;
 const QUEUE_SHARE = 0.1;
@@ -32,12 +32,12 @@
 const RESTORES_MS = [3500, 10_600];
 const LOST_CHANGES = 2;
 /** From then on nodes are cut off, and until then, in ms after the store came back. */
-const CUT_AFTER_MS = 1000;
-const CUT_SHARE = 0.3;
-const HEALED_AFTER_MS = 7000;
+const PARTITION_AFTER_MS = 1000;
+const PARTITION_SHARE = 0.3;
+const PARTITION_END_MS = 7000;
 
 /** Who proves that a node's keys are the newest. */
-export type ProofWay = 'followers' | 'every-node';
+export type ProofMode = 'followers' | 'every-node';
 
 /** One node's way to the store. */
 class ModelledTable<T> extends AuthorityTable<T> {
@@ -72,7 +72,7 @@
       const { era, version } = store;
       if (clock.getMonotonicTime() >= endMs) return { era, version, changes: [] };
       await clock.sleep(POLL_MS, signal);
-      this.node.throwIfTurnedAway();
+      this.node.throwIfRejected();
     }
   }
 }
@@ -118,11 +118,11 @@
   override send(address: string, body: DatagramBody): void {
     const { clock, nodes, random } = this.fleet;
     if (random.getFloat() < LOST_SHARE) return;
-    const isCut = [this.address, address].some((one) => nodes.get(one)?.isCutOff === true);
+    const isCut = [this.address, address].some((one) => nodes.get(one)?.isPartitioned === true);
     if (isCut) return;
-    const isLate = random.getFloat() < LATE_SHARE;
+    const isLate = random.getFloat() < DELAYED_SHARE;
     const queuedMs = nodes.get(address)?.isBehindQueue === true ? QUEUE_MS : 0;
-    const delayMs = 1 + queuedMs + random.getFloat() * (isLate ? LATEST_MS : 4);
+    const delayMs = 1 + queuedMs + random.getFloat() * (isLate ? MAX_DELAY_MS : 4);
     clock.startTimer(delayMs, () => nodes.get(address)?.receive(this.address, body));
   }
 
@@ -136,20 +136,20 @@
 }
 
 class LeaseNode {
-  isTurnedAway = false;
+  isRejectedByStore = false;
   isBehindQueue = false;
   /** Reaches neither the store nor other nodes. */
-  isCutOff = false;
+  isPartitioned = false;
   readonly directory: NodeDirectory;
   readonly checker: KeyChecker;
   private readonly service: DirectoryService;
-  private readonly ownReads: StoreFollower<ICatalog>;
+  private readonly ownFollower: StoreFollower<ICatalog>;
 
   constructor(
     readonly fleet: LeaseFleet,
     readonly member: IMember,
   ) {
-    const { clock, random, way } = fleet;
+    const { clock, random, proofMode } = fleet;
     this.directory = new NodeDirectory(clock);
     this.checker = makeKeyChecker(clock, this.directory);
     const authority = new ModelledAuthority(this);
@@ -164,10 +164,10 @@
       self: member,
       isFirstStart: false,
       seeds: [],
-      keyLeaseMs: way === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
+      keyLeaseMs: proofMode === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
       isAsked: () => true,
     });
-    this.ownReads = new StoreFollower({
+    this.ownFollower = new StoreFollower({
       table: this.directory.catalog,
       source: new CatalogSource({ source: authority.catalog, directory: this.directory, clock }),
       pace: { pauseMs: 10, waitMs: 625 },
@@ -182,9 +182,9 @@
   }
 
   start(signal: AbortSignal): readonly Promise<void>[] {
-    const { way } = this.fleet;
+    const { proofMode } = this.fleet;
     const running = [this.service.run(signal)];
-    return way === 'followers' ? running : [...running, this.ownReads.run(signal)];
+    return proofMode === 'followers' ? running : [...running, this.ownFollower.run(signal)];
   }
 
   receive(sender: string, body: DatagramBody): void {
@@ -195,12 +195,12 @@
 
   async requestStore(signal: AbortSignal): Promise<void> {
     this.fleet.store.calls += 1;
-    await this.fleet.clock.sleep(STORE_MS, signal);
-    this.throwIfTurnedAway();
+    await this.fleet.clock.sleep(STORE_LATENCY_MS, signal);
+    this.throwIfRejected();
   }
 
-  throwIfTurnedAway(): void {
-    if (this.isTurnedAway || this.isCutOff)
+  throwIfRejected(): void {
+    if (this.isRejectedByStore || this.isPartitioned)
       throw new StoreCallError(StoreFailure.Busy, 'turned away');
   }
 
@@ -223,29 +223,29 @@
   readonly clock: ManualClock;
   readonly seed: number;
   readonly nodes: number;
-  readonly way: ProofWay;
+  readonly proofMode: ProofMode;
   /** Whether the store comes back from older copies while keys end. Default false. */
   readonly restores?: boolean;
 }
 
 /**
  * @example
- * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, way: 'followers' }).run();
+ * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, proofMode: 'followers' }).run();
  */
 export class LeaseFleet {
   readonly clock: ManualClock;
   readonly random: SeededRandom;
   readonly store: ModelledKeyStore;
-  readonly way: ProofWay;
+  readonly proofMode: ProofMode;
   readonly members: { readonly key: string; readonly value: IMember }[];
   readonly nodes = new Map<string, LeaseNode>();
 
   private readonly restores: boolean;
 
-  constructor({ clock, nodes, restores = false, seed, way }: ILeaseFleetOptions) {
+  constructor({ clock, nodes, restores = false, seed, proofMode }: ILeaseFleetOptions) {
     this.clock = clock;
     this.restores = restores;
-    this.way = way;
+    this.proofMode = proofMode;
     this.random = new SeededRandom(seed);
     this.store = new ModelledKeyStore(clock);
     this.members = Array.from({ length: nodes }, (_, index) => makeMember(index));
@@ -266,7 +266,7 @@
     const callsBefore = this.store.calls;
     for (let ms = 3000; ms < 18_000; ms += 50) {
       if (ms === 4000) this.startOutage();
-      if (ms === 13_000) for (const node of this.nodes.values()) node.isTurnedAway = false;
+      if (ms === 13_000) for (const node of this.nodes.values()) node.isRejectedByStore = false;
       if (ms >= 4000 && ms % 1250 === 0) this.store.endKey();
       if (this.restores) this.updateStore(ms);
       await this.clock.advanceBy(50);
@@ -287,10 +287,13 @@
       this.store.restore(LOST_CHANGES);
     }
     for (const node of this.nodes.values()) {
-      if (RESTORES_MS.includes(ms - CUT_AFTER_MS) && this.random.getFloat() < CUT_SHARE) {
-        node.isCutOff = true;
+      if (
+        RESTORES_MS.includes(ms - PARTITION_AFTER_MS) &&
+        this.random.getFloat() < PARTITION_SHARE
+      ) {
+        node.isPartitioned = true;
       }
-      if (RESTORES_MS.includes(ms - HEALED_AFTER_MS)) node.isCutOff = false;
+      if (RESTORES_MS.includes(ms - PARTITION_END_MS)) node.isPartitioned = false;
     }
   }
 
@@ -312,7 +315,7 @@
     for (const node of nodes) {
       const isFirst = first.has(node.member.address);
       node.isBehindQueue = !isFirst && this.random.getFloat() < QUEUE_SHARE;
-      node.isTurnedAway = isFirst || node.isBehindQueue || this.random.getFloat() < 0.33;
+      node.isRejectedByStore = isFirst || node.isBehindQueue || this.random.getFloat() < 0.33;
     }
   }
 }
--- a/packages/dispatch/src/test/modelledKeyStore.ts
+++ b/packages/dispatch/src/test/modelledKeyStore.ts
@@ -6,7 +6,7 @@
 
 const KEYS = 12;
 /** The operator writes again what the store has lost after this time, in ms. */
-const REWRITTEN_MS = 1500;
+const REWRITE_DELAY_MS = 1500;
 /** The one route of the configuration. */
 export const ROUTE = makeRoute();
 
@@ -27,7 +27,7 @@
   private keys: readonly string[] = Array.from({ length: KEYS }, (_, index) => `key-${index}`);
   private copies: readonly IStoreCopy[] = [];
   /** What the operator wrote last, whatever the store holds. */
-  private written = this.copy();
+  private lastWritten = this.copy();
   /** When each key ended. */
   readonly endedMs = new Map<string, number>();
 
@@ -40,7 +40,7 @@
     this.keys = rest;
     this.version += 1;
     this.configVersion += 1;
-    this.written = this.copy();
+    this.lastWritten = this.copy();
     this.endedMs.set(first, this.clock.getMonotonicTime());
   }
 
@@ -49,13 +49,13 @@
     const copy = this.copies.at(-lost);
     if (copy === undefined) return;
     this.era += 1;
-    this.take(copy, copy.version);
-    this.clock.startTimer(REWRITTEN_MS, () => {
-      this.take(this.written, this.version + 1);
+    this.load(copy, copy.version);
+    this.clock.startTimer(REWRITE_DELAY_MS, () => {
+      this.load(this.lastWritten, this.version + 1);
     });
   }
 
-  private take({ configVersion, keys }: IStoreCopy, version: number): void {
+  private load({ configVersion, keys }: IStoreCopy, version: number): void {
     this.keys = keys;
     this.configVersion = configVersion;
     this.version = version;
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -142,7 +142,7 @@
   const node = new DirectNode({
     settings,
     authority: new EmptyAuthority(),
-    cases: new EmptyCaseStore(),
+    quarantineStore: new EmptyCaseStore(),
     protocol: {
       callers: new SilentCallers(),
       targets: new MuxTargetProtocol(),
--- a/packages/lab/src/soak/breaks/node/deafToCallers.ts
+++ b/packages/lab/src/soak/breaks/node/deafToCallers.ts
@@ -1,7 +1,7 @@
 /** Requests of callers that left go on, and are sent again and again. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
-const MODULE = 'dispatch/dist/entry/common/requestRun.js';
+const MODULE = 'dispatch/dist/entry/common/requestRunner.js';
 
 await wrapMethod(MODULE, 'RequestRunner', 'run', (original) => {
   return function (request) {
--- a/packages/lab/src/soak/breaks/node/foreignAnswers.ts
+++ b/packages/lab/src/soak/breaks/node/foreignAnswers.ts
@@ -5,11 +5,11 @@
 );
 
 interface ILoaded {
-  readonly USERS_PROTOCOL: { readonly targets: { getCorrelation: unknown } };
+  readonly PLATFORM_PROTOCOL: { readonly targets: { getCorrelation: unknown } };
 }
 
-const { USERS_PROTOCOL } = (await import(MODULE.href)) as ILoaded;
-if (typeof USERS_PROTOCOL.targets.getCorrelation !== 'function') {
+const { PLATFORM_PROTOCOL } = (await import(MODULE.href)) as ILoaded;
+if (typeof PLATFORM_PROTOCOL.targets.getCorrelation !== 'function') {
   throw new Error('there is no getCorrelation in the protocol of targets');
 }
-USERS_PROTOCOL.targets.getCorrelation = () => '';
+PLATFORM_PROTOCOL.targets.getCorrelation = () => '';
--- a/packages/lab/src/soak/breaks/node/repeatBookings.ts
+++ b/packages/lab/src/soak/breaks/node/repeatBookings.ts
@@ -2,7 +2,7 @@
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
-const MODULE = 'dispatch/dist/entry/common/requestRun.js';
+const MODULE = 'dispatch/dist/entry/common/requestRunner.js';
 
 await wrapMethod(MODULE, 'RequestRunner', 'hasNextAttempt', (original) => {
   return function (request, state) {
