--- a/packages/dispatch/src/entry/common/attemptOutcome.ts
+++ b/packages/dispatch/src/entry/common/attemptOutcome.ts
@@ -1,4 +1,4 @@
-/** Judges what came of sending a request to a target. */
+/** Determines the outcome of sending a request to a target. */
 import type { ITargetAnswer } from '@parsleymux/routing';
 import { TransportError, TransportFailure } from '@parsleymux/routing';
 import { GrantOutcome } from '../../grants/common/grant.js';
@@ -6,17 +6,17 @@
 const FIRST_SERVER_ERROR = 500;
 const MISDIRECTED = 421;
 
-/** Tells whether an answer with a good status really comes whole from a target. */
+/** Checks whether a success response was sent by the target itself and is complete. */
 export type AnswerCheck = (answer: ITargetAnswer) => boolean;
 
-/** The judgement. */
+/** The result of an attempt. */
 export interface IAttemptResult {
   readonly outcome: GrantOutcome;
   /** Whether the target may have run the request. */
   readonly mayHaveRun: boolean;
-  /** The answer, if it may be handed to the caller. */
+  /** The target's response, if it may be returned to the caller. */
   readonly answer: ITargetAnswer | undefined;
-  /** Requests a second that the target takes, if its own answer named a limit. */
+  /** The rate limit that the target announced in its own response, in requests per second. */
   readonly rateLimit?: number | undefined;
 }
 
@@ -27,7 +27,7 @@
 };
 
 /**
- * Judges an answer.
+ * Determines the outcome of a response.
  *
  * @example
  * const { outcome } = decideAnswerOutcome(answer, isAuthentic);
@@ -38,7 +38,7 @@
 ): IAttemptResult {
   const { rateLimit } = answer;
   if (answer.notRun) {
-    // Another target answered: its limit is none of the one that was meant.
+    // Another target responded, so its rate limit does not apply to the intended target.
     if (answer.status === MISDIRECTED) return MISDIRECTED_RESULT;
     return { outcome: GrantOutcome.Shed, mayHaveRun: false, answer: undefined, rateLimit };
   }
@@ -61,7 +61,7 @@
   [TransportFailure.Cancelled]: GrantOutcome.Abandoned,
 };
 
-/** Judges an exchange that brought no whole answer. */
+/** Determines the outcome of an exchange without a complete response. */
 export function decideFailureOutcome(error: unknown): IAttemptResult {
   if (!(error instanceof TransportError)) throw error;
   const isStale = error.failure === TransportFailure.Broken && error.reusedConnection;
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -1,4 +1,4 @@
-/** Sends one attempt of a request to one target, and judges what came of it. */
+/** Sends one attempt of a request to one target and determines its outcome. */
 import type { Clock } from '@parsleymux/base';
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
@@ -10,12 +10,12 @@
 import type { IEntryRequest } from './entryRequest.js';
 import type { TargetNotices } from './targetNotices.js';
 
-/** Answers above this size are not taken, in bytes: half of what a small VM can spare. */
+/** Largest accepted response, in bytes: half of the memory that a small VM can spare. */
 const MAX_ANSWER_BYTES = 67_108_864;
-/** The target is told to stop this much sooner, in ms, so that its own last word still arrives. */
+/** The target gets a deadline this much earlier, in ms, so that its own timeout response still arrives. */
 const TARGET_MARGIN_MS = 20;
 
-/** A target was granted that may not be used any more, or the request's key has ended meanwhile. */
+/** The granted target may no longer be used, or the request's key has been revoked in the meantime. */
 const NOT_SENT: IAttemptResult = {
   outcome: GrantOutcome.Abandoned,
   mayHaveRun: false,
@@ -29,18 +29,20 @@
   readonly notices: TargetNotices;
   readonly keys: KeyChecker;
   readonly isAuthentic: AnswerCheck;
-  /** Headers that are added for one target. */
+  /** Headers to add for a particular target. */
   readonly listTargetHeaders: (targetId: string) => readonly Header[];
 }
 
 /** How one attempt is sent. */
 export interface ISendAttemptOptions {
   readonly signal: AbortSignal;
-  /** Whether a kept connection must not be used. */
+  /** Whether the attempt must use a new connection. */
   readonly needsFreshConnection: boolean;
 }
 
 /**
+ * Sends attempts and records the notices of targets.
+ *
  * @example
  * const { outcome } = await sender.send(request, target, { signal, needsFreshConnection: false });
  */
@@ -53,7 +55,7 @@
     { needsFreshConnection: freshConnection, signal }: ISendAttemptOptions,
   ): Promise<IAttemptResult> {
     const { clock, isAuthentic, keys, listTargetHeaders, notices, transport } = this.options;
-    // The grant may have waited in a queue; the target may have told this node meanwhile.
+    // While the grant waited in a queue, the target may have announced that it is draining or overloaded.
     if (notices.isExcluded(target)) return NOT_SENT;
     if (keys.checkAgain(request.sender, request.route).kind === 'refused') return NOT_SENT;
     const remainingMs = request.deadlineMs - clock.getMonotonicTime();
@@ -61,7 +63,7 @@
       const answer = await transport.send(
         {
           target: target.address,
-          // Connections to a former life lead nowhere, or hang: each life has its own.
+          // Connections to an earlier incarnation are dead or hang, so each incarnation has its own.
           member: formatLife(target),
           method: request.method,
           path: request.path,
@@ -73,7 +75,7 @@
         { signal, maxAnswerBytes: MAX_ANSWER_BYTES, freshConnection },
       );
       const result = decideAnswerOutcome(answer, isAuthentic);
-      // What is not the target's own answer may bear anything.
+      // Headers of a response that is not the target's own can't be relied on.
       if (isAnswered(result.outcome)) notices.record(target, answer);
       return result;
     } catch (error) {
--- a/packages/dispatch/src/entry/common/callerProtocol.ts
+++ b/packages/dispatch/src/entry/common/callerProtocol.ts
@@ -1,30 +1,30 @@
-/** What callers say in headers, beyond HTTP: varies with the deployment. */
+/** The deployment-specific request and response headers of callers. */
 import type { Header } from '@parsleymux/routing';
 import type { Credential } from '../../tenants/common/credential.js';
 
-/** Headers of a request by their names in lower case. */
+/** Headers of a request by their lower-case names. */
 export type CallerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
-/** The convention by which callers name their requests and say how long they wait. */
+/** Reads identifiers, credentials and deadlines from the headers of callers. */
 export abstract class CallerProtocol {
-  /** The caller's identifier of the request; undefined when it gave none. */
+  /** The identifier that the caller gave the request; undefined if it gave none. */
   abstract getRequestId(headers: CallerHeaders): string | undefined;
 
-  /** What the caller presents itself by, such as a key; undefined when it presents nothing. */
+  /** The caller's credentials, such as a key; undefined if it sent none. */
   abstract getCaller(headers: CallerHeaders): string | undefined;
 
-  /** What the caller presents as the key of a tenant. */
+  /** The tenant key that the caller sent, or the reason why there is none. */
   abstract readCredential(headers: readonly Header[]): Credential;
 
-  /** Whether only the entry may see or set a header while requests need keys; `name` in lower case. */
+  /** Whether a header is reserved for the entry while requests need keys; `name` in lower case. */
   abstract isPrivate(name: string): boolean;
 
-  /** Headers by which a target learns whose key a request bears. */
+  /** Headers that identify the tenant of a request to the target. */
   abstract listTenantHeaders(tenant: string): readonly Header[];
 
-  /** How long the caller waits, in ms; undefined when it doesn't say, NaN when it makes no sense. */
+  /** How long the caller waits, in ms; undefined if it isn't given, NaN if it is malformed. */
   abstract getTimeoutMs(headers: CallerHeaders): number | undefined;
 
-  /** Headers that an answer of the node's own carries, so that the caller knows what it answers. */
+  /** Headers of responses that the node generates, which identify the request to the caller. */
   abstract listAnswerHeaders(headers: CallerHeaders): readonly Header[];
 }
--- a/packages/dispatch/src/entry/common/cancellableAttempt.ts
+++ b/packages/dispatch/src/entry/common/cancellableAttempt.ts
@@ -1,9 +1,9 @@
-/** One attempt of a request that may have several at a time. */
+/** One of several concurrent attempts of a request. */
 import { JoinedSignal } from '@parsleymux/base';
 import type { GrantOutcome } from '../../grants/common/grant.js';
 
 /**
- * Can be given up while the request goes on.
+ * Can be cancelled without cancelling the request.
  *
  * @example
  * const attempt = new CancellableAttempt(requestSignal);
@@ -11,7 +11,7 @@
  */
 export class CancellableAttempt {
   private isDone = false;
-  /** What the home is told when the attempt was cancelled. */
+  /** The outcome to report to the home if the attempt was cancelled. */
   cancelOutcome: GrantOutcome | undefined;
   private readonly controller = new AbortController();
   private readonly joined: JoinedSignal;
--- a/packages/dispatch/src/entry/common/pathHealth.test.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.test.ts
@@ -4,9 +4,9 @@
 import { makeTarget } from '../../test/builders.js';
 import { PathHealth } from './pathHealth.js';
 
-test('a broken path is left out for a while, unless its target has started anew', async () => {
-  // Symptom: a target that is back gets no requests of one node. Sequence: the node can't connect
-  // while the target restarts under its identifier. Cause: the path was remembered by identifier.
+test('an unreachable target is excluded for a while, unless it has restarted', async () => {
+  // Guards against a restarted target that receives no requests from one node: the node failed to connect
+  // during the restart and remembered the path by the target's identifier alone.
   const clock = new ManualClock();
   let known = makeTarget('t1', { bornMs: 1000 });
   const paths = new PathHealth(clock, () => known);
--- a/packages/dispatch/src/entry/common/pathHealth.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.ts
@@ -1,9 +1,9 @@
-/** Targets that this node alone can't reach at present. */
+/** Tracks targets that this node can't connect to. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { isSameLife } from '../../catalog/common/catalog.js';
 
-/** A target is left out this long after a failed connection, in ms, doubling up to the longest. */
+/** How long a target is excluded after a failed connection, in ms; doubles with each failure. */
 const INITIAL_PAUSE_MS = 1500;
 const MAX_PAUSE_MS = 6000;
 
@@ -14,41 +14,41 @@
 }
 
 /**
- * A cut between one node and a target shows nowhere else, so the home can't know of it; the node
- * itself names such targets as excluded when it asks. A target that has started anew meanwhile may
- * stand elsewhere, so its former life's broken path no longer counts.
+ * A network partition between one node and a target is not visible to the home, so the node itself lists
+ * such targets as excluded in its grant requests. The exclusion ends when the target restarts, since the new
+ * incarnation may run elsewhere.
  *
  * @example
  * const excluded = paths.listBroken();
  */
 export class PathHealth {
-  private readonly broken = new Map<string, IUnreachablePath>();
+  private readonly unreachable = new Map<string, IUnreachablePath>();
 
   constructor(
     private readonly clock: Clock,
-    /** What is known of a target now. */
+    /** Returns the current record of a target. */
     private readonly findTarget: (id: string) => ITargetRecord | undefined,
   ) {}
 
   recordUnreachable(target: ITargetRecord): void {
-    const previousMs = this.broken.get(target.id)?.pauseMs ?? 0;
+    const previousMs = this.unreachable.get(target.id)?.pauseMs ?? 0;
     const pauseMs = Math.min(MAX_PAUSE_MS, Math.max(INITIAL_PAUSE_MS, previousMs * 2));
     const untilMs = this.clock.getMonotonicTime() + pauseMs;
-    this.broken.set(target.id, { target, pauseMs, untilMs });
+    this.unreachable.set(target.id, { target, pauseMs, untilMs });
   }
 
   recordReachable(targetId: string): void {
-    this.broken.delete(targetId);
+    this.unreachable.delete(targetId);
   }
 
   listUnreachable(): readonly string[] {
     const nowMs = this.clock.getMonotonicTime();
     const oldestMs = nowMs - MAX_PAUSE_MS;
-    for (const [id, { target, untilMs }] of this.broken) {
+    for (const [id, { target, untilMs }] of this.unreachable) {
       const current = this.findTarget(id);
       const hasRestarted = current !== undefined && !isSameLife(target, current);
-      if (untilMs < oldestMs || hasRestarted) this.broken.delete(id);
+      if (untilMs < oldestMs || hasRestarted) this.unreachable.delete(id);
     }
-    return [...this.broken].filter(([, { untilMs }]) => nowMs < untilMs).map(([id]) => id);
+    return [...this.unreachable].filter(([, { untilMs }]) => nowMs < untilMs).map(([id]) => id);
   }
 }
--- a/packages/dispatch/src/entry/common/requestRunner.test.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.test.ts
@@ -16,7 +16,7 @@
 
 type Reply = ITargetAnswer | TransportError | (() => Promise<ITargetAnswer>);
 
-/** Replies in turn, and remembers what it was sent. */
+/** Sends the replies in order, and records the requests. */
 class ScriptedTransport extends TargetTransport {
   readonly sent: ITargetRequest[] = [];
   readonly options: ISendOptions[] = [];
@@ -29,13 +29,13 @@
     const reply = this.replies[this.sent.length];
     this.sent.push(request);
     this.options.push(options);
-    if (reply === undefined) throw new Error('one request too many');
+    if (reply === undefined) throw new Error('unexpected request');
     if (reply instanceof TransportError) throw reply;
     return typeof reply === 'function' ? reply() : Promise.resolve(reply);
   }
 
   override retireConnections(): void {
-    // None are kept.
+    // There are no idle connections.
   }
 
   override hasIdleConnection(): boolean {
@@ -47,18 +47,18 @@
   }
 }
 
-/** Grants another target each time. */
+/** Grants a different target for each request. */
 class CountingSelector extends TargetSelector {
-  readonly asked: IGrantRequest[] = [];
+  readonly requests: IGrantRequest[] = [];
   readonly outcomes: GrantOutcome[] = [];
 
   override choose(request: IGrantRequest): Promise<Selection> {
-    this.asked.push(request);
-    const target = makeTarget(`t${this.asked.length}`);
+    this.requests.push(request);
+    const target = makeTarget(`t${this.requests.length}`);
     const report = (outcome: GrantOutcome): void => {
       this.outcomes.push(outcome);
     };
-    const needsFreshConnection = this.asked.length > 1;
+    const needsFreshConnection = this.requests.length > 1;
     const grant = { target, home: 'h', suspicion: 0, needsFreshConnection, report };
     return Promise.resolve({ kind: 'granted', grant });
   }
@@ -134,11 +134,11 @@
   ['a failure of the target', makeAnswer(500)],
   ['a broken connection', makeError(TransportFailure.Broken, true)],
   ['a time-out', makeError(TransportFailure.Timeout, true)],
-  ['a success that no target vouches for', makeAnswer(200, { headers: [['forged', '1']] })],
+  ['a success that is not authentic', makeAnswer(200, { headers: [['forged', '1']] })],
 ] as const) {
-  test(`a booking is sent once: ${name}`, async () => {
-    // Symptom: a booking runs twice. Sequence: a target runs it and its answer is lost; the node
-    // sends it to another. Cause: no answer was taken for not run.
+  test(`a request that is not idempotent is sent once: ${name}`, async () => {
+    // Guards against a booking that runs twice: a target runs it, its response is lost, and the node
+    // concludes that the request has not run and sends it to another target.
     const { answer, transport } = await run([reply], false);
     assert.equal(transport.sent.length, 1);
     assert.ok(answer.status >= 500);
@@ -150,24 +150,24 @@
     const { answer, selector, transport } = await run([reply, makeAnswer(200)], true);
     assert.equal(answer.status, 200);
     assert.equal(transport.sent.length, 2);
-    assert.deepEqual(selector.asked[1]?.excluded, ['t1']);
-    assert.equal(selector.asked[1].attempt, 2);
+    assert.deepEqual(selector.requests[1]?.excluded, ['t1']);
+    assert.equal(selector.requests[1].attempt, 2);
   });
 }
 
 for (const [name, reply] of [
-  ['the target says so', makeAnswer(503, { notRun: true })],
-  ['another target has the address', makeAnswer(421, { notRun: true })],
-  ['no connection was made', makeError(TransportFailure.Connect, false)],
+  ['the target sheds it', makeAnswer(503, { notRun: true })],
+  ['another target has its address', makeAnswer(421, { notRun: true })],
+  ['the connection fails', makeError(TransportFailure.Connect, false)],
 ] as const) {
-  test(`a booking that has certainly not run is sent again: ${name}`, async () => {
+  test(`a request that has certainly not run is retried: ${name}`, async () => {
     const { answer, transport } = await run([reply, makeAnswer(200)], false);
     assert.equal(answer.status, 200);
     assert.equal(transport.sent.length, 2);
   });
 }
 
-test('a refusal by all targets is a refusal with when to come back, for nothing has run', async () => {
+test('a request that all targets shed is refused with a Retry-After and as not run', async () => {
   const shed = makeAnswer(503, { notRun: true });
   const { answer } = await run([shed, shed], false);
   assert.equal(answer.status, 503);
@@ -175,13 +175,13 @@
   assert.ok(answer.headers.some(([name]) => name === 'retry-after'));
 });
 
-test('the last failure that a target gave is handed on as it came', async () => {
+test('the last failure response of a target is returned unchanged', async () => {
   const { answer } = await run([makeAnswer(500), makeAnswer(502)], true);
   assert.equal(answer.status, 502);
   assert.equal(Buffer.from(answer.body).toString(), 'body');
 });
 
-test('a refusal of the home is answered at once, its wait in seconds', async () => {
+test('a refusal by the home is returned immediately, with its Retry-After in seconds', async () => {
   const { answer } = await run([], false, new RefusingSelector());
   assert.equal(answer.status, 503);
   assert.deepEqual(
@@ -190,9 +190,9 @@
   );
 });
 
-test('a request that may be repeated does not wait for a target that hangs', async () => {
-  // Symptom: reads time out while most targets answer at once. Sequence: a target accepts a request
-  // and never answers. Cause: the second target was asked only after the first had failed.
+test('an idempotent request does not wait for a hanging target', async () => {
+  // Guards against reads that time out while most targets respond quickly: a target accepts a request and
+  // never responds, and the second target is tried only after the first has failed.
   const clock = new ManualClock();
   const hang = (): Promise<ITargetAnswer> => new Promise(() => undefined);
   const running = run([hang, makeAnswer(200)], true, undefined, clock);
@@ -202,25 +202,24 @@
   assert.equal(transport.sent.length, 2);
 });
 
-/** Grants the first question, and leaves the second in a queue until it is withdrawn. */
+/** Grants the first request, and queues the second until it is cancelled. */
 class QueueingSelector extends CountingSelector {
-  isWithdrawn = false;
+  isCancelled = false;
 
   override choose(request: IGrantRequest, signal?: AbortSignal): Promise<Selection> {
     if (request.attempt === 1) return super.choose(request);
     return new Promise((_, reject) => {
       signal?.addEventListener('abort', () => {
-        this.isWithdrawn = true;
-        reject(new Error('withdrawn'));
+        this.isCancelled = true;
+        reject(new Error('cancelled'));
       });
     });
   }
 }
 
-test('an answer that is ready does not wait for a second target', async () => {
-  // Symptom: answers arrive late under load. Sequence: a read is slow, a second target is asked for,
-  // all slots are taken and the question is queued; the first target answers. Cause: the answer
-  // waited for the question.
+test('a response that is ready does not wait for a second target', async () => {
+  // Guards against late responses under load: a read is slow, the grant request for a second target is queued
+  // because all slots are taken, and the response of the first target waits for that grant.
   const clock = new ManualClock();
   const selector = new QueueingSelector();
   const late = async (): Promise<ITargetAnswer> => {
@@ -234,10 +233,10 @@
   });
   await clock.advanceBy(900);
   assert.equal(isAnswered, true);
-  assert.equal(selector.isWithdrawn, true);
+  assert.equal(selector.isCancelled, true);
 });
 
-test('a booking waits for the one target that it was sent to', async () => {
+test('a request that is not idempotent waits for its only target', async () => {
   const clock = new ManualClock();
   const late = async (): Promise<ITargetAnswer> => {
     await clock.sleep(1500);
@@ -248,10 +247,9 @@
   assert.equal((await running).transport.sent.length, 1);
 });
 
-test('a kept connection that broke is told as such, and the next attempt takes a new one', async () => {
-  // Symptom: one request after the other fails with a broken connection. Sequence: a target forgets
-  // idle connections without notice; each request finds another of them. Cause: a broken kept
-  // connection was told like any other failure, and kept ones went on being used.
+test('a stale connection is reported as such, and the next attempt uses a new one', async () => {
+  // Guards against a series of requests that fail on broken connections: a target drops idle connections
+  // silently, and each attempt uses another of them because the failure is reported like any other.
   const { failure, mayHaveRun } = { failure: TransportFailure.Broken, mayHaveRun: true };
   const stale = new TransportError({ failure, mayHaveRun, reusedConnection: true });
   const { answer, selector, transport } = await run([stale, makeAnswer(200)], true);
@@ -263,14 +261,13 @@
   );
 });
 
-test('a request that another target turned away is a retry when it is sent again', async () => {
-  // Symptom: a service gets more arrivals than the limit of retries allows after its targets moved.
-  // Sequence: an address belongs to another target now, which answers that it has not run the request;
-  // the request is sent again. Cause: it counted as sent for the first time, as if nobody were reached.
+test('a request that was misdirected counts as a retry when it is sent again', async () => {
+  // Guards against retries that exceed the retry limit after targets moved: the address now belongs to
+  // another target, which responds that it has not run the request, and the second attempt counts as first.
   const misdirected = makeAnswer(421, { notRun: true });
   const { selector } = await run([misdirected, makeAnswer(200)], false);
   assert.deepEqual(
-    selector.asked.map(({ attempt, isRetry }) => ({ attempt, isRetry })),
+    selector.requests.map(({ attempt, isRetry }) => ({ attempt, isRetry })),
     [
       { attempt: 1, isRetry: false },
       { attempt: 1, isRetry: true },
@@ -278,16 +275,16 @@
   );
 });
 
-test('a request that reached no target is not a retry when it is sent again', async () => {
+test('a request that reached no target does not count as a retry when it is sent again', async () => {
   const unreachable = makeError(TransportFailure.Connect, false);
   const { selector } = await run([unreachable, makeAnswer(200)], false);
   assert.deepEqual(
-    selector.asked.map(({ isRetry }) => isRetry),
+    selector.requests.map(({ isRetry }) => isRetry),
     [false, false],
   );
 });
 
-test('the record of an attempt says which limit the target named, also where it shed', async () => {
+test('the record of an attempt contains the announced rate limit, also after shedding', async () => {
   const shed = makeAnswer(503, { notRun: true, rateLimit: 0.5 });
   const { answer } = await run([shed, makeAnswer(200, { rateLimit: 2 })], true);
   assert.deepEqual(
@@ -296,8 +293,8 @@
   );
 });
 
-test('what another target says at an address is not taken for the word of the one that was meant', async () => {
-  // Guards against a sound target that is left alone because the next one at its former address leaves.
+test('notices in the response of another target are not recorded for the intended one', async () => {
+  // Guards against a healthy target that is excluded because a target at its former address is draining.
   const clock = new ManualClock();
   const other = makeAnswer(421, { notRun: true, draining: true, rateLimit: 1 });
   const notices = new TargetNotices(clock);
--- a/packages/dispatch/src/entry/common/requestRunner.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -1,4 +1,4 @@
-/** One request from its first attempt to its final answer. */
+/** Runs a request from its first attempt to its final response. */
 import type { Clock } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
 import type { ITargetAnswer } from '@parsleymux/routing';
@@ -15,14 +15,14 @@
 import type { IAttemptRecord, IEntryAnswer, IEntryRequest } from './entryRequest.js';
 import type { PathHealth } from './pathHealth.js';
 
-/** Grants that may come to nothing before a byte was sent, per request: each costs one connect time. */
+/** Attempts per request that may fail before anything is sent: each may cost one connect timeout. */
 const MAX_UNSENT_ATTEMPTS = 4;
 /**
- * Share of its objective after which a request that may be repeated is sent to a second target too:
- * an answer within the objective is then still likely, and few requests usually take so long.
+ * Share of the latency objective after which an idempotent request is also sent to a second target. Few
+ * requests take this long, and the second target can still respond within the objective.
  */
 const HEDGE_DELAY_SHARE = 0.6;
-/** When to come back after a request that no target took, in ms: about one request's work. */
+/** Retry-After of a request that no target accepted, in ms: about the duration of one request. */
 const DEFAULT_RETRY_MS = 250;
 
 /** Options of a {@link RequestRunner}. */
@@ -31,7 +31,7 @@
   readonly paths: PathHealth;
   readonly quarantine: RequestQuarantine;
   readonly failureDomain: string;
-  /** The targets of a service, as far as this node knows them. */
+  /** The targets of a service that this node knows. */
   readonly listTargets: (service: string) => readonly ITargetRecord[];
 }
 
@@ -43,16 +43,16 @@
   sent: number;
   unsent: number;
   mayHaveRun: boolean;
-  /** Whether any target was reached. */
-  hasArrived: boolean;
-  /** The last failure that a target itself answered with. */
+  /** Whether any attempt reached a target. */
+  hasReachedTarget: boolean;
+  /** The last failure response of a target itself. */
   lastAnswer: ITargetAnswer | undefined;
   lastOutcome: GrantOutcome | undefined;
 }
 
 /**
- * Runs requests, one attempt after the other. A request that can't be repeated goes on only while
- * it is certain that no target has run it.
+ * Runs requests with retries and hedging. A request that is not idempotent is retried only while it is
+ * certain that no target has run it.
  *
  * @example
  * const answer = await runner.run(request, signal);
@@ -64,7 +64,7 @@
     this.sender = new AttemptSender(options);
   }
 
-  /** Rejects only when `signal` aborts: the caller left. */
+  /** Rejects only if `signal` is aborted, because the caller disconnected. */
   async run(request: IEntryRequest, signal: AbortSignal): Promise<IEntryAnswer> {
     const state: IRunState = {
       attempts: [],
@@ -72,7 +72,7 @@
       sent: 0,
       unsent: 0,
       mayHaveRun: false,
-      hasArrived: false,
+      hasReachedTarget: false,
       lastAnswer: undefined,
       lastOutcome: undefined,
     };
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Sends to one target, and to a second one if the first is slow and the request may be repeated.
-   * A target that hangs would otherwise keep the request until nobody waits for it any more.
+   * Sends the request to one target, and also to a second one if the first is slow and the request is
+   * idempotent. A hanging target would otherwise hold the request until its deadline.
    */
   private async tryWithHedge(
     request: IEntryRequest,
@@ -128,15 +128,15 @@
     if (winner.outcome !== GrantOutcome.Succeeded) {
       return first.hasEnded() ? secondResult : firstResult;
     }
-    // The target of the first one was too slow: that is evidence, though it was not waited for.
+    // The first attempt is reported as timed out: its target was too slow, which is evidence against it.
     first.cancel(GrantOutcome.TimedOut);
     second.cancel(GrantOutcome.Abandoned);
     return winner;
   }
 
   /**
-   * Asks for a second target until the first answers; undefined then. The question may wait in a
-   * queue, and an answer that is ready must not wait with it.
+   * Requests a second target; returns undefined if the first attempt ends before the grant. The grant
+   * request may be queued, and a response that is ready must not wait for it.
    */
   private async chooseHedgeTarget(
     request: IEntryRequest,
@@ -147,7 +147,7 @@
   ): Promise<Selection | undefined> {
     const pendingSelection = new CancellableAttempt(signal);
     const choice = this.choose(request, state, [running.target.id], pendingSelection.signal);
-    // Withdrawn questions reject, here and when the caller leaves.
+    // The selection rejects when it is cancelled, here or because the caller disconnected.
     const selected = choice.catch(() => undefined);
     const selection = await Promise.race([selected, runningResult.then(() => undefined)]);
     pendingSelection.cancel(GrantOutcome.Abandoned);
@@ -180,7 +180,7 @@
         failureDomain: this.options.failureDomain,
         attempt,
         isRepeated: state.unsent > 0,
-        isRetry: state.hasArrived || running.length > 0,
+        isRetry: state.hasReachedTarget || running.length > 0,
         isIdempotent: route.isIdempotent,
         mayRetry: route.isIdempotent && attempt < route.maxAttempts,
         isHedge: running.length > 0,
@@ -198,14 +198,14 @@
     );
   }
 
-  /** Targets that this node can't reach, or that have told it to send them nothing. */
+  /** Targets that this node can't reach, or whose notices exclude them. */
   private listExcluded(service: string): readonly string[] {
     const { listTargets, notices, paths } = this.options;
-    const told = listTargets(service).filter((target) => notices.isExcluded(target));
-    return [...paths.listUnreachable(), ...told.map(({ id }) => id)];
+    const notified = listTargets(service).filter((target) => notices.isExcluded(target));
+    return [...paths.listUnreachable(), ...notified.map(({ id }) => id)];
   }
 
-  /** A new connection costs both sides a handshake, so the home prefers targets that need none. */
+  /** Targets with idle connections. The home prefers them, since they need no new handshake. */
   private listConnected(service: string): readonly string[] {
     const { listTargets, transport } = this.options;
     return listTargets(service)
@@ -235,11 +235,11 @@
     if (attempt.cancelOutcome !== undefined) return result;
     this.recordPath(grant, result);
     state.tried.push(grant.target.id);
-    // A shed request reached the target: it counts as sent, though it has not run.
+    // A shed request has reached the target, so it counts as sent although it has not run.
     if (result.mayHaveRun || result.outcome === GrantOutcome.Shed) state.sent += 1;
     else state.unsent += 1;
     state.mayHaveRun ||= result.mayHaveRun;
-    state.hasArrived ||= hasArrived(result);
+    state.hasReachedTarget ||= hasReachedTarget(result);
     state.lastAnswer = result.answer ?? state.lastAnswer;
     state.lastOutcome = result.outcome;
     state.attempts.push({
@@ -289,33 +289,33 @@
   }
 }
 
-/** No home is asked about a request that this node knows to be held back. */
+/** Refuses a request that this node knows to be quarantined, without requesting a grant from the home. */
 function refuseQuarantined(holdMs: number): Selection {
   const code = ResultCode.RequestQuarantined;
   return { kind: 'refused', code, retryAfterMs: Math.ceil(holdMs), home: '' };
 }
 
-/** No time to come back is given where coming back would change nothing. */
+/** Omits the Retry-After if it is 0, which means that a retry would not succeed. */
 function toRetryAfter(retryAfterMs: number): { readonly retryAfterMs?: number } {
   return retryAfterMs === 0 ? {} : { retryAfterMs };
 }
 
-/** Whether a target was reached: it may have run the request, or answered that it did not. */
-function hasArrived({ mayHaveRun, outcome }: IAttemptResult): boolean {
+/** Whether the attempt reached a target, which may have run the request or responded that it did not. */
+function hasReachedTarget({ mayHaveRun, outcome }: IAttemptResult): boolean {
   return mayHaveRun || outcome === GrantOutcome.Shed || outcome === GrantOutcome.Misdirected;
 }
 
-/** Streamed bodies have no size yet; answers here are held until whole. */
+/** The size of a buffered body. A streamed body has no known size, but responses are buffered here. */
 function countBodyBytes(answer: ITargetAnswer | undefined): number {
   return answer?.body instanceof Uint8Array ? answer.body.byteLength : 0;
 }
 
-/** Gives back a grant that came too late to be used. */
+/** Returns a grant that arrived too late to be used. */
 function discardSelection(selection: Selection | undefined): void {
   if (selection?.kind === 'granted') selection.grant.report(GrantOutcome.Abandoned, 0);
 }
 
-/** The result if it comes within `limitMs`, else undefined. */
+/** Resolves to the result, or to undefined if it takes longer than `limitMs`. */
 function waitAtMost<T>(clock: Clock, result: Promise<T>, limitMs: number): Promise<T | undefined> {
   return new Promise((resolve, reject) => {
     const timer = clock.startTimer(limitMs, () => {
--- a/packages/dispatch/src/entry/common/targetNotices.test.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.test.ts
@@ -25,7 +25,7 @@
   return makeAnswer({ status: 503, notRun: true, headers: [['retry-after', retryAfter]] });
 }
 
-test('a target that says that it leaves is left out for the rest of its life', async () => {
+test('a target that announces draining is excluded for the rest of its incarnation', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
   notices.record(TARGET, makeAnswer({ draining: true }));
@@ -35,13 +35,13 @@
   assert.ok(notices.isDraining(TARGET));
 });
 
-test('the next life of a target that left may be sent requests', () => {
+test('the next incarnation of a drained target receives requests', () => {
   const notices = new TargetNotices(new ManualClock());
   notices.record(TARGET, makeAnswer({ draining: true }));
   assert.equal(notices.isExcluded(makeTarget('i-1', { bornMs: 2000 })), false);
 });
 
-test('a target that asks to be left alone is left alone for so long', async () => {
+test('a target is excluded for the time of its Retry-After', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
   notices.record(TARGET, makeShed('2.5'));
@@ -52,7 +52,7 @@
   assert.equal(notices.isDraining(TARGET), false);
 });
 
-test('a wait that makes no sense is passed over, and a huge one is cut', async () => {
+test('a malformed Retry-After is ignored, and a huge one is capped', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
   for (const text of ['-5', 'soon', '', 'NaN', '1e9']) notices.record(TARGET, makeShed(text));
@@ -62,13 +62,13 @@
   assert.equal(notices.isExcluded(TARGET), false);
 });
 
-test('a Retry-After of an answer that ran says nothing of the target', () => {
+test('a Retry-After of a request that ran does not exclude the target', () => {
   const notices = new TargetNotices(new ManualClock());
   notices.record(TARGET, makeAnswer({ status: 500, headers: [['retry-after', '3']] }));
   assert.equal(notices.isExcluded(TARGET), false);
 });
 
-test('a limit is passed on with its age until an answer does not name it, and holds for one life', async () => {
+test('a rate limit is listed with its age until a response omits it, for one incarnation', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
   notices.record(TARGET, makeAnswer({ rateLimit: 1.5 }));
@@ -81,7 +81,7 @@
   assert.deepEqual(notices.listLimits([TARGET]), []);
 });
 
-test('Retry-After is read as seconds or as a date', () => {
+test('Retry-After is parsed as seconds or as a date', () => {
   const wallMs = Date.parse('Fri, 04 Dec 2026 10:00:00 GMT');
   assert.equal(parseRetryAfterMs('3', wallMs), 3000);
   assert.equal(parseRetryAfterMs('0.25', wallMs), 250);
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -1,4 +1,4 @@
-/** What targets have told this node in their answers about being sent more. */
+/** Drain notices, Retry-After times and rate limits that targets announced in their responses. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetAnswer } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
@@ -8,23 +8,24 @@
 import { parseRetryAfterMs } from './retryAfter.js';
 
 const RETRY_AFTER = 'retry-after';
-/** No target is left alone longer than this on its own word, in ms: a wrong word costs its capacity. */
+/** Longest Retry-After that is honored, in ms: an erroneous value would waste the target's capacity. */
 const MAX_RETRY_AFTER_MS = 600_000;
-/** Lives of targets that are kept in mind at most, the oldest going first: more than a fleet has. */
+/** Incarnations that are remembered, more than a fleet has; the oldest are evicted first. */
 const MAX_INCARNATIONS = 4096;
 
 interface INotice {
   isDraining: boolean;
-  /** Requests a second that it takes from all nodes together, and when it said so last. */
+  /** Limit for all nodes together, in requests per second, and when it was last announced. */
   limit: { readonly ratePerS: number; readonly atMs: number } | undefined;
-  /** When it may be sent requests again, in ms of the monotonic clock. */
+  /** When the target may receive requests again, in ms of the monotonic clock. */
   waitUntilMs: number;
 }
 
 /**
- * A target that leaves says so in its answers, seconds before any list does when the store is away; one
- * that has no room may say for how long, or name a limit of requests from all nodes together. A node that went on sending would have requests cut off, or
- * shed again, though it had been told. Each holds for one life of the target.
+ * A draining target announces it in its responses, seconds before the target list does while the store is
+ * unavailable. An overloaded target may send a Retry-After, or a rate limit for all nodes together. Without
+ * these notices, a node would keep sending requests that are cut off or shed again. A notice is valid for
+ * one incarnation of the target.
  *
  * @example
  * notices.record(target, answer);
@@ -35,7 +36,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes a whole answer of the target itself. */
+  /** Records the notices in a complete response of the target itself. */
   record(target: ITargetRecord, answer: ITargetAnswer): void {
     const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
     const { draining, rateLimit: ratePerS } = answer;
@@ -54,7 +55,7 @@
     return this.notices.get(formatLife(target))?.isDraining === true;
   }
 
-  /** Limits that some of the targets have named, the latest first. */
+  /** Rate limits that the given targets have announced, the latest first. */
   listLimits(targets: readonly ITargetRecord[]): readonly INamedLimit[] {
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
@@ -67,7 +68,7 @@
     return limits.sort((left, right) => left.ageMs - right.ageMs);
   }
 
-  /** Whether nothing is to be sent to the target now. */
+  /** Whether the target must not receive requests now. */
   isExcluded(target: ITargetRecord): boolean {
     if (this.notices.size === 0) return false;
     const notice = this.notices.get(formatLife(target));
--- a/packages/dispatch/src/entry/node/callerConnections.ts
+++ b/packages/dispatch/src/entry/node/callerConnections.ts
@@ -1,28 +1,29 @@
-/** Connections of callers: which requests each has open, and how they end when the node stops. */
+/** Tracks callers' connections and their open requests, and closes connections when the node stops. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
 interface IConnection {
-  /** Requests without a whole answer, in the order of arrival. */
+  /** Requests without a complete response, in the order of arrival. */
   readonly open: IncomingMessage[];
-  /** The last answer says that the connection ends: what comes behind it is not read. */
+  /** Whether a response has announced the close of the connection: later requests are not handled. */
   isClosing: boolean;
 }
 
 /**
- * Ends connections only where no request can be lost.
+ * Closes connections without losing a request.
  *
- * A request that was passed on to a target and whose connection then closes has run without an
- * answer. So an answer may announce the end only while nothing stands behind it, and what arrives
- * after the announcement is dropped unread, which callers may send again elsewhere.
+ * A request that was forwarded to a target runs even if its connection closes, but its response is lost.
+ * A response therefore announces the close (`connection: close`) only if no other request is pending
+ * behind it. Requests that arrive after the announcement are dropped unread, so callers can safely
+ * resend them to another node.
  */
 export class CallerConnections {
   private readonly connections = new Map<Socket, IConnection>();
   private isStopping = false;
-  /** Whether any caller ever connected. */
+  /** Whether any caller has connected since the start. */
   hasAcceptedConnection = false;
 
-  /** Requests without a whole answer, on all connections. */
+  /** Requests without a complete response, on all connections. */
   get openRequests(): number {
     let sum = 0;
     for (const { open } of this.connections.values()) sum += open.length;
@@ -33,7 +34,7 @@
     return this.connections.size;
   }
 
-  /** Whether no request of the connection waits for its answer. */
+  /** Whether no request of the connection is waiting for its response. */
   isIdle(socket: Socket): boolean {
     return (this.connections.get(socket)?.open.length ?? 0) === 0;
   }
@@ -44,7 +45,7 @@
     socket.once('close', () => this.connections.delete(socket));
   }
 
-  /** False when the request is behind an announced end and must not be handled. */
+  /** Returns false if the request follows an announced close and must not be handled. */
   startRequest(request: IncomingMessage): boolean {
     const connection = this.connections.get(request.socket);
     if (connection === undefined || connection.isClosing) return false;
@@ -59,7 +60,10 @@
     if (index !== -1) connection.open.splice(index, 1);
   }
 
-  /** Announces the end of the connection with this answer if the node stops and nothing is behind. */
+  /**
+   * Announces the close of the connection in this response if the node is stopping or `mustEnd` is set,
+   * unless another request is pending behind it.
+   */
   announceClose(request: IncomingMessage, response: ServerResponse, mustEnd: boolean): void {
     const connection = this.connections.get(request.socket);
     if (connection === undefined) return;
@@ -69,12 +73,12 @@
     response.setHeader('connection', 'close');
   }
 
-  /** From now on answers end their connections. */
+  /** From now on, responses announce the close of their connections. */
   stop(): void {
     this.isStopping = true;
   }
 
-  /** Closes the connections that have no request open. */
+  /** Closes the connections without open requests. */
   closeIdle(): void {
     for (const [socket, { open }] of this.connections) {
       if (open.length > 0) continue;
--- a/packages/dispatch/src/entry/node/frontServer.ts
+++ b/packages/dispatch/src/entry/node/frontServer.ts
@@ -1,4 +1,4 @@
-/** The port of the callers: reads requests, finds their routes, and writes their answers. */
+/** The HTTP server for callers: reads requests, matches their routes and writes the responses. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import { Socket } from 'node:net';
@@ -20,15 +20,15 @@
 import { readBody } from './requestBody.js';
 import { computeFingerprints } from './requestFingerprint.js';
 
-/** Largest header section that the parser takes, in bytes; the configured limit is checked besides. */
+/** Largest header section that the parser accepts, in bytes; the configured limit is checked separately. */
 const PARSER_HEADER_BYTES = 131_072;
-/** Callers may wait this long at most when they say nothing, in ms. */
+/** Timeout of requests whose callers give no deadline, in ms. */
 const DEFAULT_CALLER_TIMEOUT_MS = 60_000;
-/** A node that knows no configuration yet expects one within about this time, in ms. */
+/** Retry-After while the node has no configuration, in ms: one usually arrives within this time. */
 const NOT_READY_RETRY_MS = 300;
-/** A connection is kept this much longer than callers may leave it idle, in ms: clocks and links differ. */
+/** Extra time for which idle connections are kept, in ms: allows for differences of clocks and latency. */
 const IDLE_MARGIN_MS = 2000;
-/** Until a configuration sets it, in ms. */
+/** Idle timeout until a configuration sets it, in ms. */
 const INITIAL_IDLE_MS = 15_000;
 const INTERNAL_ERROR = 500;
 
@@ -54,7 +54,7 @@
   | { readonly kind: 'refused'; readonly answer: IEntryAnswer };
 
 /**
- * Serves callers until it is stopped.
+ * Accepts requests of callers and serves them until it is stopped.
  *
  * @example
  * const front = new FrontServer(options);
@@ -84,7 +84,7 @@
     });
   }
 
-  /** Stops listening. Connections that are open go on. */
+  /** Stops listening. Open connections are still served. */
   closePort(): void {
     this.server.close();
   }
@@ -96,15 +96,15 @@
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!this.connections.startRequest(request)) return;
-    const left = new AbortController();
+    const disconnected = new AbortController();
     response.once('close', () => {
       this.connections.endRequest(request);
-      if (!response.writableFinished) left.abort(new Error('the caller left'));
+      if (!response.writableFinished) disconnected.abort(new Error('caller disconnected'));
     });
     try {
-      await this.serve(request, response, left.signal);
+      await this.serve(request, response, disconnected.signal);
     } catch (error) {
-      this.handleFault(request, response, error, left.signal);
+      this.handleInternalError(request, response, error, disconnected.signal);
     }
   }
 
@@ -160,7 +160,7 @@
     return { kind: 'routed', route: match.route, catalog, sender: checked.sender };
   }
 
-  /** The request with its body, or the refusal of it. */
+  /** Reads the complete request; returns the refusal if it can't be accepted. */
   private async read(
     request: IncomingMessage,
     routed: Extract<Routed, { kind: 'routed' }>,
@@ -172,7 +172,7 @@
     if (Number.isNaN(timeoutMs)) return makeEntryRefusal(ResultCode.MalformedDeadline);
     const result = await readBody(request, catalog.limits.maxBodyBytes);
     if (result.kind === 'too-large') return makeEntryRefusal(ResultCode.BodyTooLarge);
-    if (result.kind === 'broken') return makeEntryRefusal(ResultCode.MalformedRequest);
+    if (result.kind === 'aborted') return makeEntryRefusal(ResultCode.MalformedRequest);
     const service = picker.pick(route);
     if (service === undefined) return makeEntryRefusal(ResultCode.NoTarget, NOT_READY_RETRY_MS);
     return {
@@ -197,7 +197,7 @@
     };
   }
 
-  /** Where requests need keys, the target learns whose key it is, and not the key. */
+  /** Where requests need keys, the target receives the tenant's name instead of the key. */
   private listTargetHeaders(
     request: IncomingMessage,
     { catalog, sender }: Extract<Routed, { kind: 'routed' }>,
@@ -231,14 +231,14 @@
     response.end(isHead ? undefined : answer.body);
   }
 
-  private handleFault(
+  private handleInternalError(
     request: IncomingMessage,
     response: ServerResponse,
     error: unknown,
     signal: AbortSignal,
   ): void {
     const reason = error instanceof Error ? (error.stack ?? error.message) : String(error);
-    this.options.log.error('request failed by a fault of the program', {
+    this.options.log.error('request failed with an internal error', {
       request: this.describe(request).id,
       reason,
     });
--- a/packages/dispatch/src/entry/node/malformedRequest.ts
+++ b/packages/dispatch/src/entry/node/malformedRequest.ts
@@ -1,21 +1,21 @@
-/** Answers to what is no request. */
+/** Refuses input that the HTTP parser rejects. */
 import type { Socket } from 'node:net';
 import type { CallerConnections } from './callerConnections.js';
 
 const BAD_REQUEST = 400;
-/** Statuses of what the parser refuses, by its codes. */
+/** Response statuses by the parser's error codes. */
 const STATUSES: ReadonlyMap<string, number> = new Map([
   ['HPE_HEADER_OVERFLOW', 431],
   ['ERR_HTTP_REQUEST_TIMEOUT', 408],
 ]);
-/** The caller broke the connection off: nobody is left to be answered. */
+/** The caller reset the connection, so no response can be sent. */
 const RESET = 'ECONNRESET';
 
 /**
- * Answers and ends the connection.
+ * Sends an error response and closes the connection.
  *
- * While a request of the connection waits for its answer, the refusal of what came behind would be
- * taken for that answer; the connection is cut instead, which claims nothing.
+ * While an earlier request of the connection is waiting for its response, the caller would take the
+ * error for that response. The connection is then destroyed without a response.
  *
  * @example
  * server.on('clientError', (error, socket) => refuseMalformed(error, socket, connections));
--- a/packages/dispatch/src/entry/node/requestBody.ts
+++ b/packages/dispatch/src/entry/node/requestBody.ts
@@ -1,14 +1,14 @@
-/** Reads the whole body of a request within limits. */
+/** Reads the complete body of a request up to a size limit. */
 import type { IncomingMessage } from 'node:http';
 
-/** What came of reading. */
+/** The result of reading a body. */
 export type BodyResult =
-  | { readonly kind: 'whole'; readonly body: Uint8Array }
+  | { readonly kind: 'complete'; readonly body: Uint8Array }
   | { readonly kind: 'too-large' }
-  | { readonly kind: 'broken' };
+  | { readonly kind: 'aborted' };
 
 /**
- * Resolves when the body is whole, too large or broken off; never rejects.
+ * Resolves when the body is complete, too large or aborted by the caller; never rejects.
  *
  * @example
  * const result = await readBody(request, limits.maxBodyBytes);
@@ -23,13 +23,13 @@
       else resolve({ kind: 'too-large' });
     });
     request.once('end', () => {
-      resolve({ kind: 'whole', body: Buffer.concat(chunks) });
+      resolve({ kind: 'complete', body: Buffer.concat(chunks) });
     });
     request.once('error', () => {
-      resolve({ kind: 'broken' });
+      resolve({ kind: 'aborted' });
     });
     request.once('close', () => {
-      resolve({ kind: 'broken' });
+      resolve({ kind: 'aborted' });
     });
   });
 }
--- a/packages/dispatch/src/entry/node/requestFingerprint.test.ts
+++ b/packages/dispatch/src/entry/node/requestFingerprint.test.ts
@@ -10,12 +10,12 @@
   body: new TextEncoder().encode('a side of beef'),
 };
 
-test('copies of a request have the same names', () => {
+test('identical requests have the same fingerprints', () => {
   const copy = { ...CONTENT, body: new TextEncoder().encode('a side of beef') };
   assert.deepEqual(computeFingerprints(copy), computeFingerprints(CONTENT));
 });
 
-test('a request that differs in any part but the query has other names', () => {
+test('requests that differ in any part except the query share no fingerprint', () => {
   const others = [
     { ...CONTENT, caller: 'key-5' },
     { ...CONTENT, caller: undefined },
@@ -28,7 +28,7 @@
   assert.equal(new Set(fingerprints).size, 2 * (1 + others.length));
 });
 
-test('requests that differ in the query alone share one of two names', () => {
+test('requests that differ only in the query share one of two fingerprints', () => {
   const [exact, anyQuery] = computeFingerprints(CONTENT);
   const [otherExact, otherAny] = computeFingerprints({ ...CONTENT, path: '/orders/7?page=3' });
   assert.notEqual(exact, otherExact);
@@ -36,7 +36,7 @@
   assert.deepEqual(computeFingerprints({ ...CONTENT, path: '/orders/7' }), [anyQuery]);
 });
 
-test('no part can be moved over the border to the next one', () => {
+test('moving text from one part to the next changes the fingerprint', () => {
   const left = computeFingerprints({ ...CONTENT, host: 'a","b', path: '/' });
   const right = computeFingerprints({ ...CONTENT, host: 'a', path: 'b","/' });
   assert.notDeepEqual(left, right);
--- a/packages/dispatch/src/entry/node/requestFingerprint.ts
+++ b/packages/dispatch/src/entry/node/requestFingerprint.ts
@@ -1,27 +1,28 @@
-/** Names what a caller asked for, so that two copies of one request can be told to be the same. */
+/** Computes fingerprints of requests, by which copies of the same request are recognized. */
 import { createHash } from 'node:crypto';
 
-/** Bytes of the hash that are kept: collisions by chance or by design are out of reach. */
+/** Bytes of the hash that are kept: enough to make accidental and deliberate collisions infeasible. */
 const FINGERPRINT_BYTES = 16;
 
-/** What makes two requests the same, whatever their identifiers are. */
+/** The parts by which two requests are considered the same, whatever their identifiers are. */
 export interface IRequestContent {
   /**
-   * What the caller presents itself by; undefined where it presents nothing. An address won't do: the
-   * same caller comes from many, and many callers come from one.
+   * The credentials that the caller sent; undefined if it sent none. The address is not used, since one
+   * caller may use many addresses and many callers may share one.
    */
   readonly caller: string | undefined;
   readonly method: string;
   readonly host: string;
-  /** With the query. */
+  /** Includes the query. */
   readonly path: string;
   readonly body: Uint8Array;
 }
 
 /**
- * The names of a request: one for exactly this request, and one for all that differ in the query alone.
- * A target may crash under a path whatever the query is; or under one query, while others succeed and
- * clear the path. Headers don't count: they differ between copies (identifier, time left, connection).
+ * Returns the fingerprints of a request: one for the exact request, and one for all requests that differ
+ * only in the query. Both are needed: a path may crash targets whatever the query is, or only with one
+ * query, while requests with other queries succeed and clear the path. Headers are not included, since
+ * they differ between copies of a request (identifier, remaining time, connection).
  *
  * @example
  * const [exact, anyQuery] = computeFingerprints(content);
@@ -34,7 +35,7 @@
 
 function hashContent(content: IRequestContent, path: string): string {
   const { body, caller, host, method } = content;
-  // As JSON, no part can be moved over the border to the next one.
+  // JSON keeps the parts separate: text can't move from one part to the next with the same result.
   const head = JSON.stringify([caller ?? null, method, host, path]);
   const hash = createHash('sha256').update(head).update(body).digest();
   return hash.subarray(0, FINGERPRINT_BYTES).toString('hex');
--- a/packages/dispatch/src/entry/node/requestLog.ts
+++ b/packages/dispatch/src/entry/node/requestLog.ts
@@ -1,4 +1,4 @@
-/** One log line and the counters for each request. */
+/** Writes one log line per request and updates the request metrics. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { ResultCode, getResultInfo } from '@parsleymux/base';
 import type { Registry } from 'prom-client';
@@ -6,7 +6,7 @@
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { IEntryAnswer, IEntryRequest } from '../common/entryRequest.js';
 
-/** Buckets around the objectives that services usually have, in seconds. */
+/** Histogram buckets around the usual latency objectives of services, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.4, 0.7, 1, 1.5, 2.5, 4, 6];
 const FIRST_FAILURE_STATUS = 400;
 
@@ -18,7 +18,7 @@
   readonly registry: Registry;
 }
 
-/** Writes what an operator needs to get from a request's id to its cause. */
+/** Logs what an operator needs to diagnose a request by its identifier. */
 export class RequestLog {
   private readonly requests: Counter<'route' | 'code' | 'status'>;
   private readonly latency: Histogram<'route'>;
@@ -28,20 +28,20 @@
     const registers = [options.registry];
     this.requests = new Counter({
       name: 'parsleymux_entry_requests_total',
-      help: 'Requests of callers, by route, result code and status.',
+      help: 'Requests received from callers, by route, result code and status.',
       labelNames: ['route', 'code', 'status'],
       registers,
     });
     this.latency = new Histogram({
       name: 'parsleymux_entry_request_seconds',
-      help: 'Time from the arrival of a request to its answer.',
+      help: 'Time from the arrival of a request to its response, in seconds.',
       labelNames: ['route'],
       buckets: LATENCY_BUCKETS,
       registers,
     });
     this.attempts = new Counter({
       name: 'parsleymux_entry_attempts_total',
-      help: 'Attempts to have a request run by a target, by outcome.',
+      help: 'Attempts to send a request to a target, by service and outcome.',
       labelNames: ['service', 'outcome'],
       registers,
     });
@@ -72,7 +72,7 @@
     });
   }
 
-  /** A request that came to no route. */
+  /** Records a request that was refused before or without a route. */
   recordUnrouted(
     request: { readonly id: string; readonly path: string },
     answer: IEntryAnswer,
@@ -90,7 +90,7 @@
     });
   }
 
-  /** The caller closed its connection before the answer. */
+  /** Records a request whose caller disconnected before the response. */
   recordDisconnected(request: IEntryRequest): void {
     const route = request.route.name;
     this.requests.inc({ route, code: String(ResultCode.CallerGone), status: '' });
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,4 +1,4 @@
-/** Dispatching directly: homes grant targets, entries send, followers keep everybody up to date. */
+/** Direct dispatching: homes grant targets, entries send requests, followers distribute store tables. */
 export * from './app/node/directNode.js';
 export * from './app/node/directNodeSettings.js';
 export * from './catalog/common/catalog.js';
