--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -1,4 +1,4 @@
-/** Hands the messages of other nodes to the parts of this one. */
+/** Routes datagrams of other nodes to the components that handle them. */
 import type { DirectoryService } from '../../directory/node/directoryService.js';
 import type { BeliefSharing } from '../../grants/common/beliefSharing.js';
 import type { DatagramBody } from '../../grants/common/datagramChannel.js';
@@ -8,7 +8,7 @@
 import type { QuotaSharing } from '../../quotas/common/quotaSharing.js';
 import type { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 
-/** Parts of a node that take messages. */
+/** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
   readonly beliefs: BeliefSharing;
   readonly quarantine: QuarantineSharing;
@@ -20,7 +20,7 @@
 }
 
 /**
- * Hands a message to the part that it is for.
+ * Passes a datagram to the component that handles its kind.
  *
  * @example
  * channel.setHandler((sender, body) => handleDatagram(handlers, sender, body));
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -1,4 +1,4 @@
-/** A node that dispatches directly: from start to exit. */
+/** A node that dispatches directly, with its lifecycle from start to exit. */
 import { randomInt } from 'node:crypto';
 import type { Server } from 'node:http';
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
@@ -41,23 +41,23 @@
 
 const MAX_INCARNATION = 0x7fff_ffff;
 /**
- * From the signal on new connections still come for this long, in ms: the balancer asks every
- * second and takes a node out after two misses.
+ * How long new connections still arrive after the signal to stop, in ms: the balancer checks readiness
+ * every second and removes a node after two failed checks.
  */
 const DRAIN_NOTICE_MS = 2600;
 /**
- * Kept back from the time to stop, in ms: a busy half of a core takes some 100 ms to close what is
- * left, and a process that is still there at the end is killed with all that it has not written.
+ * Part of the grace time reserved for closing the node, in ms: half of a busy core needs some 100 ms for
+ * it, and a process that has not exited by the end is killed and loses its unwritten output.
  */
 const STOP_MARGIN_MS = 900;
 const STOP_CHECK_MS = 50;
 /**
  * Longest wait for a connection to a target, in ms: some fifty round trips between failure domains.
- * A target that doesn't accept by then is cut off or overfull, and nothing was sent yet.
+ * A target that does not accept by then is partitioned or overloaded, and nothing has been sent yet.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** How the deployment's callers and targets speak. */
+/** The protocols of the deployment's callers and targets. */
 export interface IDeploymentProtocol {
   readonly callers: CallerProtocol;
   readonly targets: TargetProtocol;
@@ -77,7 +77,7 @@
 }
 
 /**
- * Entry, home and follower in one process.
+ * Runs entry, home and store follower in one process.
  *
  * @example
  * const node = new DirectNode(options);
@@ -111,13 +111,13 @@
     });
   }
 
-  /** Takes changed settings. Addresses and the failure domain stay those of the start. */
+  /** Applies changed settings, except for addresses and the failure domain, which stay as at the start. */
   updateSettings(settings: IDirectNodeSettings): void {
     this.settings = settings;
     this.homes?.setBounds(toServiceBounds(settings));
   }
 
-  /** Opens the ports and starts the loops; the node is ready once it knows a configuration. */
+  /** Opens the ports and starts the loops. The node is ready once it has received a configuration. */
   async start(): Promise<void> {
     const { clock, log, random, settings } = this.options;
     logDirectoryChanges(this.directory, log);
@@ -191,15 +191,15 @@
     retries.start();
     quotas.start();
     this.loops = service.run(this.background.signal).catch((error: unknown) => {
-      log.error('directory stopped by a fault of the program', { reason: String(error) });
+      log.error('directory stopped by an internal error', { reason: String(error) });
     });
     this.store.add(this.createQuarantinePersister(quarantine, service)).start();
     log.info('started', { ...settings, incarnation: this.incarnation });
   }
 
   /**
-   * Leaves without cutting a request: not ready at once, answers end their connections, then the
-   * port closes, and what is in flight is finished as far as the grace time allows.
+   * Shuts down without interrupting requests: the node becomes not ready immediately, responses close their
+   * connections, the port is closed, and pending requests are finished within the grace time.
    */
   async stopGracefully(): Promise<void> {
     const { clock, log } = this.options;
@@ -225,7 +225,7 @@
   }
 
   async dispose(): Promise<void> {
-    this.background.abort(new Error('the node stops'));
+    this.background.abort(new Error('the node is stopping'));
     await this.loops;
     await this.store.dispose();
   }
--- a/packages/dispatch/src/app/node/directNodeSettings.ts
+++ b/packages/dispatch/src/app/node/directNodeSettings.ts
@@ -1,29 +1,29 @@
-/** What a node that dispatches directly is told at its start. */
+/** The settings with which a directly dispatching node is started. */
 import type { ITenantBounds } from '../../tenants/common/tenant.js';
 
 /** Settings of a node that dispatches directly. */
 export interface IDirectNodeSettings {
   readonly name: string;
   readonly failureDomain: string;
-  /** Addresses to listen on, each an IP number and a port. */
+  /** Addresses to listen on, each an IP address and a port. */
   readonly frontAddress: string;
   readonly readyAddress: string;
   readonly datagramAddress: string;
   readonly stateAddress: string;
   readonly metricsAddress: string;
-  /** Datagram addresses of nodes that may be alive when this one starts. */
+  /** Datagram addresses of nodes that may be running when this one starts. */
   readonly seeds: readonly string[];
-  /** Whether the whole fleet starts for the first time. */
+  /** Whether the fleet starts for the first time. */
   readonly isFirstStart: boolean;
-  /** Retries of one service that all nodes together may send. */
+  /** Retry limit of one service for all nodes together: window in ms, ratio to requests, and burst. */
   readonly retryWindowMs: number;
   readonly retryRatio: number;
   readonly retryBurst: number;
-  /** Share of a service's sound targets that must be used while many requests fail. */
+  /** Share of a service's healthy targets that stay in use while many requests fail. */
   readonly floorShare: number;
   readonly tenants: ITenantBounds;
-  /** From the signal to stop until the process is ended by force, in ms. */
+  /** Time from the signal to stop until the process is killed, in ms. */
   readonly graceMs: number;
-  /** Work for others that the VM can carry, relative to other VMs. */
+  /** Capacity of the VM for work on behalf of other nodes, relative to other VMs. */
   readonly capacity: number;
 }
--- a/packages/dispatch/src/app/node/directoryLog.ts
+++ b/packages/dispatch/src/app/node/directoryLog.ts
@@ -1,11 +1,11 @@
-/** One line for each change of what a node believes of configuration, targets and members. */
+/** Logs each change of the configuration, targets and members that a node knows. */
 import type { Logger } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { ITableChange } from '../../directory/common/authority.js';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 
 /**
- * Writes the lines from now on.
+ * Logs all changes from now on.
  *
  * @example
  * logDirectoryChanges(directory, log);
--- a/packages/dispatch/src/app/node/directoryMetrics.ts
+++ b/packages/dispatch/src/app/node/directoryMetrics.ts
@@ -1,11 +1,11 @@
-/** What a node follows, for the metrics. */
+/** Metrics of the tables and targets that a node follows. */
 import type { Registry } from 'prom-client';
 import { Gauge } from 'prom-client';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { HomeService } from '../../home/common/homeService.js';
 
 /**
- * Registers the gauges. They are read when they are fetched.
+ * Registers the gauges. Their values are read when metrics are collected.
  *
  * @example
  * countDirectory(directory, homes, registry);
@@ -17,7 +17,7 @@
 ): void {
   new Gauge({
     name: 'parsleymux_store_era',
-    help: 'Era of the store that a table is followed in; rises when the store comes back older.',
+    help: 'Store epoch of a table; incremented when the store is restored from an older copy.',
     labelNames: ['table'],
     registers: [registry],
     collect() {
@@ -26,7 +26,7 @@
   });
   new Gauge({
     name: 'parsleymux_limited_targets',
-    help: 'Targets of services whose home this node is that name a limit of requests.',
+    help: 'Targets with an announced rate limit, of the services whose home is this node.',
     registers: [registry],
     collect() {
       const targets = homes.listBooks().flatMap(([, book]) => book.listTargets());
--- a/packages/dispatch/src/app/node/heldRequests.ts
+++ b/packages/dispatch/src/app/node/heldRequests.ts
@@ -1,16 +1,18 @@
-/** How many requests this node holds back, for the metrics. */
+/** Metric for quarantined requests. */
 import type { Registry } from 'prom-client';
 import { Gauge } from 'prom-client';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 
 /**
+ * Registers the gauge of the requests that this node holds back.
+ *
  * @example
  * countHeldRequests(quarantine, registry);
  */
 export function countHeldRequests(quarantine: RequestQuarantine, registry: Registry): void {
   new Gauge({
     name: 'parsleymux_held_requests',
-    help: 'Requests that are held back, or may only be tried, for targets crashed under them.',
+    help: 'Requests that are quarantined or on trial because targets crashed while running them.',
     registers: [registry],
     collect() {
       this.set(quarantine.listConvicted().length);
--- a/packages/dispatch/src/app/node/malformedRows.ts
+++ b/packages/dispatch/src/app/node/malformedRows.ts
@@ -1,11 +1,11 @@
-/** The counter of entries in the store that nobody could make sense of. */
+/** Metric for malformed rows of the store. */
 import type { Registry } from 'prom-client';
 import { Counter } from 'prom-client';
 import type { Authority } from '../../directory/common/authority.js';
 
 /**
- * Registers the counter. It is read from the tables when it is fetched, so that no table has to know
- * of metrics.
+ * Registers the counter. Its value is read from the tables when metrics are collected, so that tables do
+ * not depend on metrics.
  *
  * @example
  * countMalformedRows(authority, registry);
@@ -14,7 +14,7 @@
   const { catalog, members, targets } = authority;
   new Counter({
     name: 'parsleymux_malformed_rows_total',
-    help: 'Rows of the store that could not be understood and name nothing to use.',
+    help: 'Rows of the store that could not be decoded, by table.',
     labelNames: ['table'],
     registers: [registry],
     collect() {
--- a/packages/dispatch/src/app/node/statusServers.ts
+++ b/packages/dispatch/src/app/node/statusServers.ts
@@ -1,4 +1,4 @@
-/** Small servers for whoever watches the node: the balancer, and the collector of metrics. */
+/** HTTP servers for the balancer's readiness check and for the collection of metrics. */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 import type { Registry } from 'prom-client';
@@ -7,7 +7,7 @@
 const UNAVAILABLE = 503;
 
 /**
- * Answers 200 while the node takes new connections, whatever the path.
+ * Responds with 200 while the node accepts new connections, for any path.
  *
  * @example
  * const server = createReadyServer(() => isReady);
@@ -19,7 +19,7 @@
 }
 
 /**
- * Answers with all metrics, whatever the path.
+ * Responds with all metrics, for any path.
  *
  * @example
  * const server = createMetricsServer(registry);
--- a/packages/dispatch/src/app/node/tenantComponents.ts
+++ b/packages/dispatch/src/app/node/tenantComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that look after tenants, put together. */
+/** Composes a node's key checks and quotas. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
@@ -20,6 +20,8 @@
 }
 
 /**
+ * Creates the components of a node that check keys and enforce quotas.
+ *
  * @example
  * const tenants = new TenantParts({ clock, random, directory, getBounds });
  * const homes = new HomeService({ admission: tenants.createAdmission(self), ... });
@@ -37,14 +39,14 @@
     });
   }
 
-  /** Whether requests with keys are served; a node that would refuse them all is not ready. */
+  /** Whether requests with keys are served. A node that would refuse them all is not ready. */
   isServing(): boolean {
     const { directory } = this.options;
     if (directory.getCatalog()?.requiresKeys !== true) return true;
     return directory.tenants.version !== undefined && this.keys.isLeaseValid();
   }
 
-  /** What decides at the homes of this node, whose address is `self`. */
+  /** The admission control for the homes on this node, whose address is `self`. */
   createAdmission(self: string): TenantAdmission {
     const { directory } = this.options;
     const quotas = new TenantQuotas({
--- a/packages/dispatch/src/log/node/lineSink.test.ts
+++ b/packages/dispatch/src/log/node/lineSink.test.ts
@@ -8,7 +8,7 @@
 
 const LINES_PER_S = 1000;
 const SECONDS = 10;
-/** What the sink promises: its burst, and its rate for the time that passes. */
+/** The bound that the sink guarantees: its burst plus its rate for the elapsed time. */
 const MAX_LINES = 400 + 100 * SECONDS;
 
 async function readWhenSettled(path: string): Promise<readonly string[]> {
@@ -21,9 +21,9 @@
   }
 }
 
-test('ten times the usual lines stay within the budget, and failures are kept first', async (t) => {
-  // Symptom: a node is busy writing its log when it has most to do. Sequence: load grows tenfold and
-  // each request writes a line. Cause: nothing bounded the lines, or failures were dropped alike.
+test('ten times the usual lines stay within the limit, and failures have priority', async (t) => {
+  // Guards against a log that adds to an overload: load grows tenfold, each request writes a line, and the
+  // lines are not limited, or failures are dropped like other lines.
   const folder = mkdtempSync(join(tmpdir(), 'parsleymux-'));
   const path = join(folder, 'log');
   const descriptor = openSync(path, 'w');
--- a/packages/dispatch/src/log/node/lineSink.ts
+++ b/packages/dispatch/src/log/node/lineSink.ts
@@ -1,19 +1,19 @@
-/** Writes log lines to a file descriptor without ever waiting for its reader. */
+/** Writes log lines to a file descriptor without blocking on its reader. */
 import { write } from 'node:fs';
 import type { Clock } from '@parsleymux/base';
 
-/** Lines that wait for a slow reader, in bytes; what comes on top is dropped and counted. */
+/** Largest size of lines that wait for a slow reader, in bytes; further lines are dropped and counted. */
 const MAX_PENDING_BYTES = 262_144;
-/** Lines a second that a node may write, and how many it may write at once after a quiet time. */
+/** Rate limit of a node's log lines, and the burst that it may write after a quiet period. */
 const LINES_PER_S = 100;
 const BURST_LINES = 400;
-/** Of these, lines that tell nothing bad leave this many to those that do. */
+/** Tokens of the burst that are reserved for important lines. */
 const RESERVED_LINES = 200;
 const MS_PER_S = 1000;
 
 /**
- * A bounded, asynchronous sink. A blocking write to a full pipe would stop the whole node, for
- * every caller, because somebody does not read its log.
+ * A bounded, asynchronous sink. A blocking write to a full pipe would stop the node for all callers
+ * whenever the reader of the log is slow.
  *
  * @example
  * const sink = new LineSink(1, clock);
@@ -25,8 +25,9 @@
   private isWriting = false;
   private tokens = BURST_LINES;
   private refilledMs: number;
-  /** Lines that were dropped since the last line that said so, and in all. */
+  /** Lines dropped since the last notice about dropped lines. */
   private droppedSinceNotice = 0;
+  /** Lines dropped in total. */
   dropped = 0;
 
   constructor(
@@ -36,7 +37,7 @@
     this.refilledMs = clock.getMonotonicTime();
   }
 
-  /** `isImportant` keeps the line ahead of others when there are too many. */
+  /** Writes or drops a line. Important lines have priority when the rate limit is reached. */
   write(line: string, isImportant: boolean): void {
     if (!this.takeToken(isImportant)) {
       this.dropped += 1;
@@ -78,7 +79,7 @@
 
   private writeRest(bytes: Buffer): void {
     write(this.descriptor, bytes, (error, written) => {
-      // Nobody is left to read: the lines are lost, and there is nowhere to say so.
+      // The reader has closed the pipe: the lines are lost, and the error can't be reported anywhere.
       const rest = error === null ? bytes.subarray(written) : bytes.subarray(bytes.length);
       if (rest.length > 0) {
         this.writeRest(rest);
--- a/packages/dispatch/src/tenants/common/credential.ts
+++ b/packages/dispatch/src/tenants/common/credential.ts
@@ -1,7 +1,7 @@
-/** What a caller presents itself by, before anybody has looked it up. */
+/** A caller's credential before it is looked up. */
 import type { ResultCode } from '@parsleymux/base';
 
-/** A key's digest, or the result that says what is wrong with what came. */
+/** The digest of a key, or the result code for a missing or malformed one. */
 export type Credential =
   | { readonly kind: 'key'; readonly digest: string }
   | { readonly kind: 'unusable'; readonly code: ResultCode };
--- a/packages/dispatch/src/tenants/common/keyChecker.test.ts
+++ b/packages/dispatch/src/tenants/common/keyChecker.test.ts
@@ -16,7 +16,7 @@
 const ROUTE = makeRoute();
 const PUBLIC = makeRoute({ isPublic: true });
 
-/** Stands still while it is suspended; its time of day may be set. */
+/** Simulates a suspended machine, whose monotonic clock stands still, and steps of the wall clock. */
 class SuspendableClock extends ManualClock {
   private suspendedMs = 0;
   private steppedMs = 0;
@@ -38,7 +38,7 @@
   readonly clock: SuspendableClock;
   readonly directory: NodeDirectory;
   readonly checker: KeyChecker;
-  /** Takes a configuration that was the newest at `provenAt`. */
+  /** Applies a configuration that was proven the newest at `provenAt`. */
   readonly setTenants: (
     version: number,
     tenants: readonly ITenantRule[],
@@ -66,12 +66,12 @@
   return decision.kind === 'refused' ? decision.code : ResultCode.Ok;
 }
 
-test('a configuration without tenants asks nobody for a key', () => {
+test('a configuration without tenants requires no keys', () => {
   const { checker } = createFixture();
   assert.equal(getCode(checker, NONE), ResultCode.Ok);
 });
 
-test('keys decide who sends, and public routes need none', () => {
+test('keys identify tenants, and public routes need no key', () => {
   const { checker, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   assert.deepEqual(checker.check(KEY, ROUTE), {
@@ -85,8 +85,8 @@
   }
 });
 
-test('a node that hears nothing serves no key once its lease is over', async () => {
-  // Guards against: a node that is cut off goes on serving a key that was withdrawn.
+test('a node without updates accepts no key after its lease has expired', async () => {
+  // Guards against a partitioned node that keeps accepting a revoked key.
   const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   await clock.advanceBy(LEASE_MS - 1);
@@ -97,16 +97,16 @@
   assert.equal(getCode(checker, KEY, PUBLIC), ResultCode.Ok);
 });
 
-test('time for which the machine was suspended counts against the lease', () => {
-  // Guards against: a node that was suspended past its lease takes its keys for fresh.
+test('the time of a suspension counts against the lease', () => {
+  // Guards against a node that was suspended longer than its lease and considers its keys fresh.
   const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.suspend(LEASE_MS);
   assert.equal(getCode(checker, KEY), ResultCode.KeysOutdated);
 });
 
-test('a step of the time of day lengthens no lease', async () => {
-  // Guards against: a lease that is measured by the time of day alone.
+test('a step of the wall clock does not extend the lease', async () => {
+  // Guards against a lease that is measured only by the wall clock.
   const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.stepWallTime(-60_000);
@@ -114,8 +114,8 @@
   assert.equal(getCode(checker, KEY), ResultCode.KeysOutdated);
 });
 
-test('a proof that follows a step of the time of day is believed', async () => {
-  // Guards against: a node that refuses all keys until its time of day has caught up with a step back.
+test('a proof after a step of the wall clock is accepted', async () => {
+  // Guards against a node that refuses all keys until its wall clock has caught up after a step back.
   const { checker, clock, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   clock.stepWallTime(-60_000);
@@ -125,8 +125,8 @@
   assert.equal(getCode(checker, KEY), ResultCode.Ok);
 });
 
-test('a proof that arrives late counts from the moment that it speaks of', async () => {
-  // Guards against: a lease that begins when the answer of the store comes in.
+test('the lease of a delayed proof starts at the time that the proof states', async () => {
+  // Guards against a lease that starts when the store's response arrives.
   const { checker, clock, setTenants } = createFixture();
   const sentAt = readInstant(clock);
   await clock.advanceBy(LEASE_MS - 100);
@@ -136,8 +136,8 @@
   assert.equal(getCode(checker, KEY), ResultCode.KeysOutdated);
 });
 
-test('a key that may be newer than this node’s list is not said to be unknown', async () => {
-  // Guards against: callers with a new key are turned away for good by a node that has older news.
+test('a key that may be newer than the node’s list is not refused as unknown', async () => {
+  // Guards against a node with an older list that refuses callers with a new key permanently.
   const { checker, clock, directory, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   await clock.advanceBy(TENANT_BOUNDS.applyMs);
@@ -150,8 +150,8 @@
   assert.equal(getCode(checker, OTHER), ResultCode.KeysOutdated);
 });
 
-test('a request that waited is refused when its key ended or went to another tenant', () => {
-  // Guards against: a request that waits for a slot is sent with a key that was withdrawn meanwhile.
+test('a queued request is refused if its key was revoked or moved to another tenant', () => {
+  // Guards against a request that waits for a slot and is sent although its key was revoked meanwhile.
   const { checker, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   const decision = checker.check(KEY, ROUTE);
--- a/packages/dispatch/src/tenants/common/keyChecker.ts
+++ b/packages/dispatch/src/tenants/common/keyChecker.ts
@@ -1,4 +1,4 @@
-/** Decides whether a request may be sent for the tenant whose key it bears. */
+/** Authenticates requests by the keys of tenants. */
 import type { Clock, ResultCode as ResultCodeType } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { IRouteRule } from '../../catalog/common/catalog.js';
@@ -6,17 +6,17 @@
 import type { Credential } from './credential.js';
 import type { ITenantBounds, ITenantRule } from './tenant.js';
 
-/** When a node whose keys are outdated expects newer ones, in ms: two updates. */
+/** Retry-After while a node's keys are outdated, in ms: the time of two updates. */
 const OUTDATED_RETRY_MS = 500;
 
-/** Who sends a request, as far as the configuration cares. */
+/** The tenant and key of a caller. */
 export interface ICallerIdentity {
-  /** Digest of the key; undefined where the route needs none. */
+  /** Digest of the key; undefined if the request is accepted without one. */
   readonly key: string | undefined;
   readonly tenant: ITenantRule | undefined;
 }
 
-/** What became of a credential. */
+/** The result of checking a credential. */
 export type KeyDecision =
   | { readonly kind: 'accepted'; readonly sender: ICallerIdentity }
   | {
@@ -25,7 +25,7 @@
       readonly retryAfterMs?: number;
     };
 
-/** A sender where no key is needed. */
+/** The identity of callers without a key. */
 export const ANONYMOUS: ICallerIdentity = { key: undefined, tenant: undefined };
 const ACCEPTED_ANONYMOUS: KeyDecision = { kind: 'accepted', sender: ANONYMOUS };
 const OUTDATED: KeyDecision = {
@@ -42,9 +42,9 @@
 }
 
 /**
- * Keys are served under a lease: only while this node can show that its list of keys was the newest at
- * a moment less than the lease ago. A node that is cut off refuses them after that, because a key that
- * ended meanwhile looks like any other.
+ * Keys are accepted under a lease: only while this node has a proof that its list of keys was the newest
+ * less than the lease ago. A partitioned node refuses all keys after that, since it can't distinguish a
+ * revoked key from a valid one.
  *
  * @example
  * const decision = checker.check(credential, route);
@@ -65,7 +65,7 @@
     return this.isListCurrent() ? { kind: 'refused', code: ResultCode.UnknownKey } : OUTDATED;
   }
 
-  /** Looks at an accepted sender again: time has passed, and newer keys may have come. */
+  /** Checks an accepted caller again, since its key may have been revoked or the lease may have expired. */
   checkAgain({ key, tenant }: ICallerIdentity, route: IRouteRule): KeyDecision {
     if (key === undefined) return ACCEPTED_ANONYMOUS;
     const decision = this.check({ kind: 'key', digest: key }, route);
@@ -73,18 +73,18 @@
     return isMoved ? { kind: 'refused', code: ResultCode.UnknownKey } : decision;
   }
 
-  /** Whether keys are served at all now. */
+  /** Whether the lease is valid, so that keys are accepted. */
   isLeaseValid(): boolean {
     const { keyLeaseMs } = this.options.getBounds();
     return keyLeaseMs === undefined || this.getProofAgeMs() < keyLeaseMs;
   }
 
-  /** How long ago the list of keys was certainly the newest, in ms; infinite if never. */
+  /** Time since the list of keys was last proven to be the newest, in ms; infinite if never. */
   getProofAgeMs(): number {
     return this.options.directory.tenants.getProofAgeMs();
   }
 
-  /** On a public route the key of a tenant still tells the target who asks. */
+  /** On a public route, a valid key is optional but still identifies the tenant to the target. */
   private checkOptional(credential: Credential): KeyDecision {
     if (credential.kind === 'unusable' || !this.isLeaseValid()) return ACCEPTED_ANONYMOUS;
     const tenant = this.options.directory.tenantIndex.findByKey(credential.digest);
@@ -92,7 +92,7 @@
     return { kind: 'accepted', sender: { key: credential.digest, tenant } };
   }
 
-  /** Whether a key that is not on the list can be told to be unknown, rather than too new. */
+  /** Whether the list is recent enough that a key missing from it is unknown rather than new. */
   private isListCurrent(): boolean {
     const { directory, getBounds } = this.options;
     if (!directory.hasCurrentTenants()) return false;
--- a/packages/dispatch/src/tenants/common/tenant.ts
+++ b/packages/dispatch/src/tenants/common/tenant.ts
@@ -1,36 +1,36 @@
-/** Tenants: who may send requests, by which keys, and how many. */
+/** Tenants, their keys and their quotas. */
 
 /** One tenant as configured. */
 export interface ITenantRule {
   readonly name: string;
-  /** Digests of its keys, see computeKeyDigest. */
+  /** Digests of the tenant's keys; see computeKeyDigest. */
   readonly keys: readonly string[];
-  /** Takes the place of the route's priority; undefined leaves it. */
+  /** Overrides the route's priority if set. */
   readonly priority?: number | undefined;
-  /** Requests a second on average, over all nodes; undefined means no limit. */
+  /** Average rate limit over all nodes, in requests per second; undefined means no limit. */
   readonly ratePerS?: number | undefined;
-  /** Requests at once after a pause, over all nodes. */
+  /** Burst over all nodes, in requests. */
   readonly burst: number;
 }
 
-/** How far tenants may be off their limits, and for how long keys hold; from the settings. */
+/** Tolerances for quotas and the lease on keys, from the settings. */
 export interface ITenantBounds {
   /**
-   * A node that can't show for this long that its keys are the newest serves none of them, in ms;
-   * undefined leaves them in force.
+   * Lease on keys, in ms: a node without a freshness proof for its keys for this long refuses all of them.
+   * Undefined means that keys never expire.
    */
   readonly keyLeaseMs: number | undefined;
-  /** Within this time a new key is known on every node in touch, in ms. */
+  /** Time within which every connected node applies a new key, in ms. */
   readonly applyMs: number;
-  /** Length of the window in which a tenant's requests are counted, in ms. */
+  /** Length of the window in which the requests of a tenant are counted, in ms. */
   readonly quotaWindowMs: number;
-  /** Share of a limit that may be exceeded in a window. */
+  /** Share by which a limit may be exceeded in a window. */
   readonly quotaExcess: number;
-  /** Requests above that share that may be exceeded in a window. */
+  /** Requests by which a limit may be exceeded in a window, in addition to that share. */
   readonly quotaSlack: number;
 }
 
-/** Bounds where nobody bounds tenants: keys hold for ever, and quotas are kept exactly. */
+/** Default bounds: keys never expire, and quotas have no tolerance. */
 export const DEFAULT_TENANT_BOUNDS: ITenantBounds = {
   keyLeaseMs: undefined,
   applyMs: 0,
@@ -39,7 +39,7 @@
   quotaSlack: 0,
 };
 
-/** Whether two rules mean the same. */
+/** Whether two rules are equal. */
 export function isSameTenant(left: ITenantRule, right: ITenantRule): boolean {
   return (
     left.priority === right.priority &&
--- a/packages/dispatch/src/tenants/common/tenantIndex.ts
+++ b/packages/dispatch/src/tenants/common/tenantIndex.ts
@@ -3,8 +3,8 @@
 import type { ITenantRule } from './tenant.js';
 
 /**
- * Follows the table of tenants change by change, so that one tenant's change costs the same however many
- * there are.
+ * Applies changes of the tenant table incrementally, so that the cost of a change does not depend on the
+ * number of tenants.
  *
  * @example
  * table.onDidChange((changes) => index.apply(changes));
@@ -31,7 +31,7 @@
   }
 
   apply(changes: readonly ITableChange<ITenantRule>[]): void {
-    // A key may move from one tenant to another, so all former ones go first.
+    // A key may move from one tenant to another, so all former entries are removed first.
     for (const { key: name } of changes) this.remove(name);
     for (const { value } of changes) if (value !== undefined) this.add(value);
   }
--- a/packages/dispatch/src/tenants/node/keyDigest.ts
+++ b/packages/dispatch/src/tenants/node/keyDigest.ts
@@ -1,10 +1,12 @@
-/** Digests stand for callers' keys everywhere behind the caller's own header. */
+/** Computes the digests that replace callers' keys everywhere outside the request header. */
 import { createHash } from 'node:crypto';
 
-/** Bytes that are kept: enough that no second key can be found for a digest. */
+/** Bytes of the hash that are kept: enough to make a second key with the same digest infeasible. */
 const DIGEST_BYTES = 16;
 
 /**
+ * Returns the digest of a key, in base64url.
+ *
  * @example
  * const tenant = index.find(computeKeyDigest(key));
  */
