--- a/packages/dispatch/src/quotas/common/quotaLimit.ts
+++ b/packages/dispatch/src/quotas/common/quotaLimit.ts
@@ -1,23 +1,23 @@
-/** What a quota amounts to in one window. */
+/** Converts quotas to limits per window. */
 import type { ITenantBounds, ITenantRule } from '../../tenants/common/tenant.js';
 
 /**
- * Part of what a window may hold above the limit that homes use; the rest covers homes that change or do
- * not know of each other yet, and nodes that reach no home.
+ * Part of the tolerance of a window that homes use. The rest covers homes that are replaced or have not
+ * received each other's announcements yet, and nodes that reach no home.
  */
 const HOMES_EXTRA_SHARE = 0.35;
 const MS_PER_S = 1000;
 
-/** Requests of a tenant in one window. */
+/** Limits for the requests of a tenant in one window. */
 export interface IWindowLimit {
-  /** What all homes together let in. */
+  /** Requests that all homes together admit. */
   readonly homes: number;
-  /** How much more than its rate and burst a tenant may have at the most. */
+  /** Tolerance above the tenant's rate and burst. */
   readonly extra: number;
 }
 
 /**
- * The limit of a tenant; undefined for one without.
+ * Returns the window limit of a tenant; undefined for a tenant without a quota.
  *
  * @example
  * const limit = computeWindowLimit(tenant, bounds);
@@ -32,7 +32,7 @@
   return { homes: nominal + HOMES_EXTRA_SHARE * extra, extra };
 }
 
-/** Requests a second that a tenant may send if it uses each window to its end; undefined without a limit. */
+/** Returns the highest sustained rate of a tenant, in requests per second; undefined without a quota. */
 export function computeMeanLimit(tenant: ITenantRule, bounds: ITenantBounds): number | undefined {
   const limit = computeWindowLimit(tenant, bounds);
   return limit === undefined ? undefined : (limit.homes * MS_PER_S) / bounds.quotaWindowMs;
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -1,34 +1,34 @@
-/** What part of the tenants' limits is this home's to spend. */
+/** Computes this home's shares of the tenants' limits. */
 import type { Clock } from '@parsleymux/base';
 import { AT_WORK_MS } from '../../grants/common/homePace.js';
 import { RequestRate } from './requestRate.js';
 
-/** What another home announced is out of date after this time, in ms: four announcements. */
+/** Announcements of other homes expire after this time, in ms: four announcement intervals. */
 const ANNOUNCEMENT_TTL_MS = 2000;
 /**
- * Requests a second that each home is taken to see of a tenant besides, when its limit is divided by what
- * they see: of one that sends next to nothing, the next request may come to any home.
+ * Rate that is added to each home's observed rate of a tenant when the limit is divided, in requests per
+ * second. The next request of a nearly idle tenant may arrive at any home.
  */
 const ASSUMED_RATE_PER_S = 2;
-/** Homes that began within this time of each other began together, in ms: a fleet that starts. */
+/** Homes that started within this time of each other count as started together, as a fleet does; in ms. */
 const SIMULTANEOUS_START_MS = 2000;
-/** Below this rate a tenant counts as idle, a second: one request some ten seconds ago. */
+/** Below this rate a tenant counts as idle, in requests per second: one request some ten seconds ago. */
 const IDLE_RATE_PER_S = 0.003;
-/** Part of a home's own limit above which it names the tenant to the others. */
+/** Part of its own share of a limit above which a home reports the tenant to the others. */
 const NEAR_LIMIT_SHARE = 0.7;
 
 /** Requests of one tenant at one home. */
 export interface ITenantRate {
   readonly perS: number;
-  /** Whether the home is near its part of the limit; others answer with their rates. */
+  /** Whether the home is near its share of the limit; the others then announce their rates. */
   readonly isNearLimit: boolean;
 }
 
 /** Requests of tenants at one home. */
 export interface ITenantUse {
-  /** Since when the home has been asked without a pause, in ms. */
+  /** How long the home has received grant requests without a pause, in ms. */
   readonly atWorkMs: number;
-  /** Of all tenants, a second. */
+  /** Rate of all tenants together, in requests per second. */
   readonly total: number;
   readonly tenants: ReadonlyMap<string, ITenantRate>;
 }
@@ -40,14 +40,15 @@
 /** Options of {@link QuotaShares}. */
 export interface IQuotaSharesOptions {
   readonly clock: Clock;
-  /** Services that have homes. */
+  /** The number of services that have homes. */
   readonly countServices: () => number;
 }
 
 /**
- * Homes divide a tenant's limit by what they see of it. As long as no home is near its part, the parts
- * follow the requests of all tenants together, so that nothing needs to be said of any single one; a
- * tenant that comes near its limit anywhere is named by all, and divided by its own requests.
+ * Homes divide the limit of a tenant in proportion to the requests that they receive. While no home is near
+ * its share, the shares follow the rates of all tenants together, so that single tenants need not be
+ * announced. Once a tenant is near its limit at any home, all homes announce its rate, and its limit is
+ * divided by the rates of this tenant.
  *
  * @example
  * shares.record('sese880');
@@ -57,7 +58,7 @@
   private readonly total = new RequestRate();
   private readonly rates = new Map<string, RequestRate>();
   private readonly others = new Map<string, ITimestampedUse>();
-  /** What this home announced last: parts add up to one only if all divide by the same figures. */
+  /** This home's last announcement: shares add up to one only if all homes use the same figures. */
   private announced: ITimestampedUse | undefined;
   private lastMs = -Infinity;
   private sinceMs: number | undefined;
@@ -75,17 +76,20 @@
     rate.add(nowMs);
   }
 
-  /** Since when this home has been asked without a pause, in ms; undefined if it never was. */
+  /**
+   * Start of the current period of grant requests without a pause, in ms of the monotonic clock; undefined
+   * before the first one.
+   */
   get startMs(): number | undefined {
     return this.sinceMs;
   }
 
-  /** Takes what another home sees. */
+  /** Records the announcement of another home. */
   recordRemoteUse(home: string, use: ITenantUse): void {
     this.others.set(home, { ...use, atMs: this.options.clock.getMonotonicTime() });
   }
 
-  /** Part of a tenant's limit that is this home's, from 0 to 1. */
+  /** This home's share of a tenant's limit, from 0 to 1. */
   getShare(tenant: string): number {
     const nowMs = this.options.clock.getMonotonicTime();
     const others = this.listOthers(nowMs);
@@ -102,8 +106,8 @@
   }
 
   /**
-   * What this home may use besides: as long as no other has named the tenant, each of them is far enough
-   * from its own part.
+   * Additional share that this home may use: while no other home has reported the tenant, none of them is
+   * near its own share.
    */
   getBorrowedShare(tenant: string): number {
     return this.isReportedNearLimit(tenant)
@@ -111,13 +115,13 @@
       : (1 - NEAR_LIMIT_SHARE) * (1 - this.getShare(tenant));
   }
 
-  /** Whether another home is near its part of the tenant's limit. */
+  /** Whether another home is near its share of the tenant's limit. */
   isReportedNearLimit(tenant: string): boolean {
     const others = this.listOthers(this.options.clock.getMonotonicTime());
     return others.some(({ tenants }) => tenants.get(tenant)?.isNearLimit === true);
   }
 
-  /** Whether this home began while another, which has named the tenant, was at work already. */
+  /** Whether this home started later than another home that has reported the tenant. */
   hasTakenOver(tenant: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
     const ownMs = this.getAtWorkMs(nowMs);
@@ -126,7 +130,10 @@
     });
   }
 
-  /** What to announce to the others; `limitOf` in requests a second, undefined without a limit. */
+  /**
+   * Returns the announcement for the other homes. `getLimit` returns requests per second, or undefined
+   * without a limit.
+   */
   summarize(getLimit: (tenant: string) => number | undefined): ITenantUse {
     const nowMs = this.options.clock.getMonotonicTime();
     const tenants = new Map<string, ITenantRate>();
@@ -142,7 +149,7 @@
     return this.announced;
   }
 
-  /** Forgets tenants that sent next to nothing lately. */
+  /** Removes tenants that have sent almost nothing recently. */
   clearIdle(): void {
     const nowMs = this.options.clock.getMonotonicTime();
     for (const [name, rate] of this.rates) {
@@ -150,12 +157,15 @@
     }
   }
 
-  /** Whether announcements of the others would have arrived by now. */
+  /** Whether this home has been active long enough to have received the others' announcements. */
   private isInformed(nowMs: number): boolean {
     return this.sinceMs !== undefined && nowMs - this.sinceMs > ANNOUNCEMENT_TTL_MS / 2;
   }
 
-  /** A limit is divided by requests once every home has named the tenant, also one that sees none. */
+  /**
+   * Adds the tenants that other homes have reported. A limit is divided by the rates of its tenant only
+   * once every home has announced them, including homes that receive none of its requests.
+   */
   private addReportedTenants(tenants: Map<string, ITenantRate>, nowMs: number): void {
     for (const { tenants: named } of this.listOthers(nowMs)) {
       for (const [name, { isNearLimit }] of named) {
--- a/packages/dispatch/src/quotas/common/quotaSharing.ts
+++ b/packages/dispatch/src/quotas/common/quotaSharing.ts
@@ -1,4 +1,4 @@
-/** Homes at work announce to each other what they see of the tenants. */
+/** Exchanges the request rates of tenants between active homes. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import type { TenantUse } from '@parsleymux/schema';
@@ -8,10 +8,10 @@
 import type { HomeService } from '../../home/common/homeService.js';
 import type { QuotaShares } from './quotaShares.js';
 
-/** Homes of a service that are informed: the one at work, and the one that would take over. */
+/** Number of homes per service that receive announcements: the active one and its successor. */
 const INFORMED_HOMES = 2;
 const MILLI = 1000;
-/** Tenants in one datagram: some 20 bytes each. The busiest go first. */
+/** Most tenants in one datagram, some 20 bytes each. Those with the highest rates are sent. */
 const MAX_TENANTS = 100;
 
 /** Options of a {@link QuotaSharing}. */
@@ -22,13 +22,15 @@
   readonly shares: QuotaShares;
   /** Whether any tenant has a limit. */
   readonly hasQuotas: () => boolean;
-  /** What a tenant may send on average, a second; undefined without a limit. */
+  /** The mean rate limit of a tenant, in requests per second; undefined without a limit. */
   readonly getLimit: (tenant: string) => number | undefined;
   /** Homes of a service, best first. */
   readonly rankHomes: (service: string) => readonly string[];
 }
 
 /**
+ * Announces this home's rates and receives those of other homes.
+ *
  * @example
  * sharing.start();
  */
@@ -38,7 +40,7 @@
 
   constructor(private readonly options: IQuotaSharingOptions) {}
 
-  /** Announces from the first time that this node is asked as a home; most nodes never are. */
+  /** Starts announcing after the first grant request to this node; most nodes never receive one. */
   start(): void {
     if (this.options.homes.listBooks().length > 0) this.startTimer();
     else
@@ -48,7 +50,7 @@
       });
   }
 
-  /** Takes what another home sees. */
+  /** Records the announcement of another home. */
   handleTenantUse(sender: string, { atWorkMs, tenants, totalMilli }: TenantUse): void {
     const rates = tenants.map(({ near: isNearLimit, rateMilli, tenant }) => {
       return [tenant, { perS: rateMilli / MILLI, isNearLimit }] as const;
--- a/packages/dispatch/src/quotas/common/requestRate.ts
+++ b/packages/dispatch/src/quotas/common/requestRate.ts
@@ -1,10 +1,15 @@
-/** Requests a second, averaged so that what lies further back counts less. */
+/** Estimates a request rate by an exponentially weighted average. */
 
 const MS_PER_S = 1000;
-/** After this time a request counts for a third, in ms: several announcements, a fraction of a window. */
+/**
+ * Time constant, in ms, after which a request counts about a third: several announcement intervals, and a
+ * fraction of a quota window.
+ */
 const TIME_CONSTANT_MS = 2000;
 
 /**
+ * The average rate of recorded requests, in requests per second.
+ *
  * @example
  * rate.add(now);
  * rate.getPerS(now);
--- a/packages/dispatch/src/quotas/common/tenantAdmission.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantAdmission.test.ts
@@ -18,7 +18,7 @@
 const SELF = '10.0.0.1:7200';
 const ENTRY = '10.0.0.2:7200';
 const NORTH: ITenantRule = { name: 'north', keys: ['key-n'], ratePerS: 1, burst: 0 };
-const ENDED = makeGrantRequest({ key: 'key-x', catalogVersion: 3 });
+const REVOKED = makeGrantRequest({ key: 'key-x', catalogVersion: 3 });
 
 function createFixture() {
   const clock = new ManualClock();
@@ -38,21 +38,21 @@
   return { admission, clock, setVersion };
 }
 
-test('a home refuses a key that its own list has ended', () => {
-  // Guards against: an entry that was suspended serves a withdrawn key, since no clock of its own shows how long.
+test('a home refuses a key that is missing from its own list', () => {
+  // Guards against an entry that accepts a revoked key after a suspension whose length its clocks don't show.
   const { admission, setVersion } = createFixture();
   setVersion(3);
-  const decision = admission.check(ENDED, ENTRY);
+  const decision = admission.check(REVOKED, ENTRY);
   assert.equal(decision.kind === 'refused' && decision.code, ResultCode.UnknownKey);
 });
 
-test('a home with an older list, or one that is outdated, does not overrule the entry', async () => {
+test('a home with an older or outdated list does not overrule the entry', async () => {
   const { admission, clock, setVersion } = createFixture();
   setVersion(2);
-  assert.equal(admission.check(ENDED, ENTRY).kind, 'accepted');
+  assert.equal(admission.check(REVOKED, ENTRY).kind, 'accepted');
   setVersion(3);
   await clock.advanceBy(TENANT_BOUNDS.keyLeaseMs ?? 0);
-  assert.equal(admission.check(ENDED, ENTRY).kind, 'accepted');
+  assert.equal(admission.check(REVOKED, ENTRY).kind, 'accepted');
 });
 
 function countAdmitted(admission: TenantAdmission, node: string, most: number): number {
@@ -62,7 +62,7 @@
   return admitted;
 }
 
-test('a request holds one token, and gives it back only if it has certainly not run', () => {
+test('a request holds one token, which is released only if the request has certainly not run', () => {
   const { admission, setVersion } = createFixture();
   setVersion(3);
   assert.ok(countAdmitted(admission, ENTRY, 1000) < 1000);
@@ -84,7 +84,7 @@
   }
 });
 
-test('a node that is no home, and decides alone, spends less than a home', () => {
+test('a node that decides without a home admits less than a home', () => {
   const { admission, setVersion } = createFixture();
   setVersion(3);
   assert.ok(countAdmitted(admission, SELF, 1000) < countAdmitted(admission, ENTRY, 1000) / 4);
--- a/packages/dispatch/src/quotas/common/tenantAdmission.ts
+++ b/packages/dispatch/src/quotas/common/tenantAdmission.ts
@@ -1,4 +1,4 @@
-/** The home's decision whether a tenant may have a request sent. */
+/** The home's admission control for the requests of tenants. */
 import type { ResultCode as ResultCodeType } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
@@ -8,13 +8,13 @@
 import type { ITenantRule } from '../../tenants/common/tenant.js';
 import type { IQuotaFacts, QuotaRole, TenantQuotas } from './tenantQuotas.js';
 
-/** A token that a request holds until it is known whether it has run. */
+/** The quota token that a request holds until its outcome is known. */
 export interface IQuotaToken {
   readonly tenant: string;
   readonly role: QuotaRole;
 }
 
-/** What becomes of a request of a tenant. */
+/** The decision on a request of a tenant. */
 export type TenantDecision =
   | { readonly kind: 'accepted'; readonly token: IQuotaToken | undefined }
   | {
@@ -42,9 +42,9 @@
 }
 
 /**
- * A request holds one token from its admission until it is known not to have run, however often it is
- * sent. The home also checks the key a second time: an entry that was suspended, and whose time
- * of day was set back meanwhile, can't see how old its own keys are.
+ * A request takes one quota token, however often it is sent; the token is returned only if the request has
+ * certainly not run. The home also checks the key again: an entry that was suspended and whose wall clock
+ * was set back meanwhile can't determine the age of its own keys.
  *
  * @example
  * const decision = admission.check(request, node);
@@ -52,7 +52,7 @@
 export class TenantAdmission {
   constructor(private readonly options: ITenantAdmissionOptions) {}
 
-  /** Decides on a request that `node` asks for. */
+  /** Decides on a grant request of `node`. */
   check(request: IGrantRequest, node: string): TenantDecision {
     if (request.key === undefined) return ACCEPTED;
     const { directory, quotas } = this.options;
@@ -66,13 +66,13 @@
     return { kind: 'refused', code: ResultCode.QuotaExceeded, retryAfterMs, quota };
   }
 
-  /** Takes the token of a request back, if `outcome` says that it has not run; undefined: never granted. */
+  /** Releases the token of a request that has not run; `outcome` is undefined if it was never granted. */
   settle({ role, tenant }: IQuotaToken, outcome: GrantOutcome | undefined): void {
     if (outcome !== undefined && !NOT_RUN.has(outcome)) return;
     this.options.quotas.release(tenant, role);
   }
 
-  /** A home with older news than the entry can't tell an unknown key from a new one. */
+  /** Accepts an unknown key if the entry's list may be newer, since the key may have been added meanwhile. */
   private checkUnknown({ catalogVersion }: IGrantRequest): TenantDecision {
     const { directory, keys } = this.options;
     const isNewer = (directory.getCatalog()?.version ?? -Infinity) >= catalogVersion;
--- a/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
@@ -12,7 +12,7 @@
 const WINDOW_MS = TENANT_BOUNDS.quotaWindowMs;
 const NODES = 110;
 
-/** What may run of a tenant in one window, over all nodes. */
+/** The most requests of a tenant that may run in one window, over all nodes. */
 function computeMaxPerWindow({ burst, ratePerS = 0 }: ITenantRule): number {
   const whole = (ratePerS * WINDOW_MS) / 1000 + burst;
   return whole * (1 + TENANT_BOUNDS.quotaExcess) + TENANT_BOUNDS.quotaSlack;
@@ -38,14 +38,14 @@
   }
 }
 
-/** Requests of tenants, a second, by home. */
+/** Requests per second, by tenant and home. */
 type Demand = readonly (readonly number[])[];
 
 class Fleet {
   readonly clock = new ManualClock();
   readonly homes: Home[];
   tenants: ITenantRule[];
-  /** When each request was let in, by tenant. */
+  /** Times of the admitted requests, by tenant. */
   readonly admitted: number[][];
   readonly refused: number[];
   private readonly random: SeededRandom;
@@ -62,7 +62,7 @@
     return new Home(name, this.clock, seed);
   }
 
-  /** Another process takes over from a home; `knows`: it had their announcements before. */
+  /** Replaces a home by a new process; `knows`: whether it receives announcements before it serves. */
   replaceHome(index: number, knows: boolean): void {
     const home = this.makeHome(`h${index}'${this.clock.getMonotonicTime()}`, index);
     this.homes[index] = home;
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Most requests of a tenant in any window. */
+  /** The most admitted requests of a tenant in any window. */
   countMaxPerWindow(tenant: number): number {
     const times = this.admitted[tenant] ?? [];
     let first = 0;
@@ -119,7 +119,7 @@
 ];
 const SEEDS = Array.from({ length: 30 }, (_, index) => index + 1);
 
-test('tenants within their quotas are refused next to nothing, however it is divided', async () => {
+test('tenants within their quotas are almost never refused, however their requests are divided', async () => {
   for (const seed of SEEDS.slice(0, 5)) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(20_000, CALM);
@@ -129,8 +129,9 @@
   }
 });
 
-test('many small tenants are refused next to nothing by homes that start anew', async () => {
-  // Guards against: one request of a small tenant is taken for a rate near its limit, and divided away.
+test('many small tenants are almost never refused by homes that have just started', async () => {
+  // Guards against a single request of a small tenant that counts as a rate near its limit, so that the
+  // limit is divided by it.
   let refused = 0;
   let admitted = 0;
   for (const seed of SEEDS.slice(0, 5)) {
@@ -146,7 +147,7 @@
   assert.ok(refused <= admitted / 1000, `${refused} refused, ${admitted} admitted`);
 });
 
-test('a tenant that uses one service alone gets its whole quota there', async () => {
+test('a tenant that uses only one service gets its whole quota there', async () => {
   const fleet = new Fleet([SMALL, LARGE], 1);
   const demand: Demand = [
     [14, 0, 0],
@@ -158,8 +159,8 @@
   assert.ok((fleet.refused[0] ?? 0) - before <= 2, `${fleet.refused[0]} refused`);
 });
 
-test('a tenant that sends many times its quota stays below what a window may hold', async () => {
-  // Guards against: homes that divide a limit by what they know, and together exceed it.
+test('a tenant that sends many times its quota stays within the window limit', async () => {
+  // Guards against homes that divide a limit by different figures and exceed it together.
   for (const seed of SEEDS) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(3000, CALM);
@@ -178,8 +179,8 @@
   }
 });
 
-test('a tenant that has calmed down is named no more', async () => {
-  // Guards against: homes that answer each other's announcements go on naming a tenant for ever.
+test('a tenant whose rate has dropped is no longer reported', async () => {
+  // Guards against homes that report a tenant permanently by responding to each other's announcements.
   const fleet = new Fleet([SMALL, LARGE], 1);
   await fleet.run(
     4000,
@@ -190,8 +191,8 @@
   assert.ok(fleet.homes.every(({ shares }) => !shares.isReportedNearLimit(SMALL.name)));
 });
 
-test('homes that are replaced in series hand out nothing twice', async () => {
-  // Guards against: each home that takes over gives a hot tenant its share of the window anew.
+test('homes that are replaced one after the other do not grant a share twice', async () => {
+  // Guards against each new home granting an overloading tenant its share of the window again.
   for (const seed of SEEDS) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     const hot = CALM.map((perHome) => perHome.map((perS) => perS * 7.5));
@@ -207,7 +208,7 @@
   }
 });
 
-test('a lowered quota holds one window later', async () => {
+test('a lowered quota is enforced one window later', async () => {
   for (const seed of SEEDS.slice(0, 5)) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(6000, CALM);
@@ -221,8 +222,8 @@
   }
 });
 
-test('nodes that reach no home stay below the limit together with the homes', () => {
-  // Guards against: a fleet that is cut in parts spends each tenant's limit in each of them.
+test('nodes that reach no home stay within the limit together with the homes', () => {
+  // Guards against a partitioned fleet that spends the limit of each tenant in every partition.
   for (const seed of SEEDS) {
     for (const tenant of [SMALL, LARGE]) {
       const clock = new ManualClock();
@@ -242,7 +243,7 @@
   }
 });
 
-test('a tenant without a limit is never refused, and what did not run is given back', () => {
+test('a tenant without a limit is never refused, and requests that did not run are released', () => {
   const clock = new ManualClock();
   const { quotas } = new Home('h', clock, 1);
   const free: ITenantRule = { name: 'free', keys: [], burst: 0 };
--- a/packages/dispatch/src/quotas/common/tenantQuotas.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.ts
@@ -1,4 +1,4 @@
-/** Counts the requests of tenants against their quotas. */
+/** Enforces the quotas of tenants. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { SlidingCount } from '../../home/common/slidingCount.js';
 import type { ITenantBounds, ITenantRule } from '../../tenants/common/tenant.js';
@@ -7,15 +7,15 @@
 import type { QuotaShares } from './quotaShares.js';
 
 /**
- * Part of what a window may hold above the limit that all nodes together use that reach no home, as long as
- * they are at most the second part of the fleet.
+ * Part of the tolerance of a window that nodes without a reachable home use together, and the largest share
+ * of the fleet that such nodes may be for this to hold.
  */
 const CUT_OFF_EXTRA_SHARE = 0.35;
 const MAX_CUT_OFF_NODES_SHARE = 0.35;
-/** Waits that callers are told, in ms. */
+/** Bounds of the Retry-After that callers receive, in ms. */
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 2000;
-/** Counts that are kept; beyond it the one unused for longest is forgotten. */
+/** Number of counts that are kept; beyond it, the least recently used one is removed. */
 const MAX_COUNTS = 20_000;
 
 /** Options of {@link TenantQuotas}. */
@@ -24,41 +24,41 @@
   readonly random: RandomSource;
   readonly shares: QuotaShares;
   readonly getBounds: () => ITenantBounds;
-  /** Nodes of the fleet. */
+  /** The number of nodes of the fleet. */
   readonly countNodes: () => number;
 }
 
-/** What a decision on a quota rests on. */
+/** The figures behind a quota decision, as written to the log. */
 export interface IQuotaFacts {
   readonly tenant: string;
   readonly role: QuotaRole;
-  /** Requests of the tenant in the window that this node let in. */
+  /** Requests of the tenant that this node admitted in the window. */
   readonly used: number;
-  /** Requests that it may let in. */
+  /** Requests that it may admit in the window. */
   readonly part: number;
 }
 
-/** A tenant has used what this node may let in. */
+/** The refusal of a request because the tenant has used this node's allowance. */
 export interface IQuotaRefusal {
-  /** Until there is room for one more, in ms. */
+  /** Estimated time until another request can be admitted, in ms. */
   readonly retryAfterMs: number;
   readonly facts: IQuotaFacts;
 }
 
-/** Who counts: a home that sees a service's requests, or a node that reaches no home. */
+/** The role in which a node counts: as the home of a service, or as a node that reaches no home. */
 export type QuotaRole = 'home' | 'cut-off';
 
-/** Requests of one tenant at this node within the window. */
+/** Requests of one tenant at this node in the window. */
 interface ITenantCount {
   readonly used: SlidingCount;
-  /** From 0 to 1: rounds the part of a node that reaches no home, which may be less than one request. */
+  /** From 0 to 1; rounds the allowance of a node that reaches no home, which may be below one request. */
   readonly rounding: number;
 }
 
 /**
- * In each window a tenant has its rate for that time and its burst. A home spends its share of that; a
- * node that reaches no home spends a small part of what may be exceeded, so that all such nodes
- * together stay below it.
+ * In each window a tenant may send its rate over that time plus its burst. A home admits its share of this.
+ * A node that reaches no home admits a small part of the tolerance, so that all such nodes together stay
+ * within the tolerance.
  *
  * @example
  * const refusal = quotas.spend(tenant, 'home');
@@ -70,7 +70,7 @@
 
   constructor(private readonly options: ITenantQuotasOptions) {}
 
-  /** Counts a request of the tenant; returns the refusal if there is no room for it. */
+  /** Counts a request of the tenant; returns a refusal if it exceeds the allowance. */
   spend(tenant: ITenantRule, role: QuotaRole): IQuotaRefusal | undefined {
     const { clock, getBounds } = this.options;
     if (role === 'home') this.recordHomeRequest(tenant.name);
@@ -89,12 +89,12 @@
     return undefined;
   }
 
-  /** Gives back what was counted for a request that no target has run. */
+  /** Removes a request from the count if no target has run it. */
   release(tenant: string, role: QuotaRole): void {
     this.counts.get(formatKey(tenant, role))?.used.remove(this.options.clock.getMonotonicTime());
   }
 
-  /** Counts of an earlier time as home miss what other homes have granted since. */
+  /** Clears the counts when this node becomes a home again: they lack what other homes granted meanwhile. */
   private recordHomeRequest(tenant: string): void {
     const { shares } = this.options;
     shares.record(tenant);
@@ -103,7 +103,7 @@
     this.counts.clear();
   }
 
-  /** What this node may let in, in a window. */
+  /** The number of requests that this node may admit in a window. */
   private computeAllowance(
     tenant: string,
     { extra, homes }: IWindowLimit,
@@ -121,8 +121,9 @@
   }
 
   /**
-   * A home that takes over must not grant at once what the former one has just granted. A tenant above its
-   * quota uses each window in clumps, so that its requests leave the window late.
+   * Raises the allowance of a new home gradually, since the previous home may just have granted the same
+   * requests. The increase is quadratic because a tenant above its quota sends its requests in bursts, which
+   * leave the window late.
    */
   private getRampUpFactor(tenant: string): number {
     const { clock, getBounds, shares } = this.options;
@@ -139,7 +140,7 @@
       used: new SlidingCount(getBounds().quotaWindowMs),
       rounding: random.getFloat(),
     };
-    // Put in anew, so that it goes to the end of the order in which counts are forgotten.
+    // Reinserted to mark it as the most recently used.
     this.counts.delete(key);
     this.counts.set(key, count);
     const [oldest] = this.counts.keys();
@@ -148,7 +149,7 @@
   }
 }
 
-/** On average, room for one more comes after the window divided by what it holds. */
+/** On average, a request leaves the window after the window's length divided by the limit. */
 function computeRetryAfterMs(limit: number, windowMs: number): number {
   return Math.ceil(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, windowMs / limit)));
 }
--- a/packages/dispatch/src/test/builders.ts
+++ b/packages/dispatch/src/test/builders.ts
@@ -1,4 +1,4 @@
-/** Values for tests, with everything filled in that a test doesn't care about. */
+/** Builders of values for tests, with defaults for everything that a test does not set. */
 import type { Clock } from '@parsleymux/base';
 import { createSilentLogger } from '@parsleymux/base';
 import type { ICatalog, IRouteRule, ITargetRecord } from '../catalog/common/catalog.js';
@@ -76,7 +76,7 @@
   };
 }
 
-/** Of a configuration that asks for no keys, unless `directory` holds another. */
+/** Makes a key checker; without a `directory`, the configuration requires no keys. */
 export function makeKeyChecker(clock: Clock, directory = new NodeDirectory(clock)): KeyChecker {
   return new KeyChecker({ clock, directory, getBounds: () => TENANT_BOUNDS });
 }
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -1,4 +1,4 @@
-/** Nodes that follow one store on simulated time while keys end and the store turns some nodes away. */
+/** Simulates nodes that follow a store while keys are revoked and the store rejects some nodes. */
 import type { ManualClock } from '@parsleymux/base';
 import { SeededRandom, createSilentLogger } from '@parsleymux/base';
 import type { ICatalog, ITargetRecord } from '../catalog/common/catalog.js';
@@ -21,25 +21,25 @@
 
 const STORE_LATENCY_MS = 4;
 const LOST_SHARE = 0.02;
-/** Datagrams that are under way for seconds, as behind a full queue or a cut that heals. */
+/** Share of datagrams that are delayed by up to MAX_DELAY_MS, as by a full queue or a healing partition. */
 const DELAYED_SHARE = 0.01;
 const MAX_DELAY_MS = 4000;
-/** Every datagram to a node behind a full queue takes this much longer, in ms. */
+/** Additional delay of every datagram to a node behind a full queue, in ms, and the share of such nodes. */
 const QUEUE_MS = 6000;
 const QUEUE_SHARE = 0.1;
 const POLL_MS = 5;
-/** When the store comes back, in ms of the run, and how many changes it has lost then. */
+/** When the store is restored from an older copy, in ms of the run, and how many changes it loses. */
 const RESTORES_MS = [3500, 10_600];
 const LOST_CHANGES = 2;
-/** From then on nodes are cut off, and until then, in ms after the store came back. */
+/** Start and end of the partition of some nodes, in ms after the restore, and the share of these nodes. */
 const PARTITION_AFTER_MS = 1000;
 const PARTITION_SHARE = 0.3;
 const PARTITION_END_MS = 7000;
 
-/** Who proves that a node's keys are the newest. */
+/** Whether nodes prove their keys to be the newest through the store followers or by their own reads. */
 export type ProofMode = 'followers' | 'every-node';
 
-/** One node's way to the store. */
+/** One node's access to a table of the store. */
 class ModelledTable<T> extends AuthorityTable<T> {
   override readonly malformedRows = 0;
 
@@ -66,7 +66,7 @@
     for (;;) {
       const rows = this.listRows();
       if (store.version < after) {
-        throw new StoreCallError(StoreFailure.HistoryLost, 'a version that is not there');
+        throw new StoreCallError(StoreFailure.HistoryLost, 'version does not exist');
       }
       if (rows.version > after) return rows;
       const { era, version } = store;
@@ -127,18 +127,18 @@
   }
 
   override setHandler(): void {
-    // Nodes are found by their addresses.
+    // Datagrams are passed to nodes by their addresses.
   }
 
   override dispose(): void {
-    // Nothing is open.
+    // Holds no resources.
   }
 }
 
 class LeaseNode {
   isRejectedByStore = false;
   isBehindQueue = false;
-  /** Reaches neither the store nor other nodes. */
+  /** Whether the node reaches neither the store nor other nodes. */
   isPartitioned = false;
   readonly directory: NodeDirectory;
   readonly checker: KeyChecker;
@@ -201,7 +201,7 @@
 
   throwIfRejected(): void {
     if (this.isRejectedByStore || this.isPartitioned)
-      throw new StoreCallError(StoreFailure.Busy, 'turned away');
+      throw new StoreCallError(StoreFailure.Busy, 'rejected');
   }
 
   isServed(key: string): boolean {
@@ -209,11 +209,11 @@
   }
 }
 
-/** What came of a run. */
+/** The results of a run. */
 export interface ILeaseFigures {
-  /** Ended keys that a node served later than the lease, in looks at a node. */
+  /** Number of checks in which a node accepted a revoked key after the lease. */
   readonly servedTooLate: number;
-  /** Time for which nodes that reach others refused a key that held, added over all nodes, in s. */
+  /** Total time for which connected nodes refused a valid key, summed over all nodes, in s. */
   readonly withoutServiceS: number;
   readonly callsPerS: number;
 }
@@ -224,11 +224,13 @@
   readonly seed: number;
   readonly nodes: number;
   readonly proofMode: ProofMode;
-  /** Whether the store comes back from older copies while keys end. Default false. */
+  /** Whether the store is restored from older copies while keys are revoked. Default: false. */
   readonly restores?: boolean;
 }
 
 /**
+ * Runs the nodes, and checks which keys they accept.
+ *
  * @example
  * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, proofMode: 'followers' }).run();
  */
@@ -255,8 +257,8 @@
   }
 
   /**
-   * From 4 s to 13 s a third of the nodes is turned away, the first followers among them, some receive datagrams
-   * seconds late, and keys end.
+   * From 4 s to 13 s, the store rejects a third of the nodes, including the first followers, some nodes
+   * receive datagrams seconds late, and keys are revoked.
    */
   async run(): Promise<ILeaseFigures> {
     const end = new AbortController();
@@ -267,10 +269,10 @@
     for (let ms = 3000; ms < 18_000; ms += 50) {
       if (ms === 4000) this.startOutage();
       if (ms === 13_000) for (const node of this.nodes.values()) node.isRejectedByStore = false;
-      if (ms >= 4000 && ms % 1250 === 0) this.store.endKey();
+      if (ms >= 4000 && ms % 1250 === 0) this.store.revokeKey();
       if (this.restores) this.updateStore(ms);
       await this.clock.advanceBy(50);
-      for (const node of this.nodes.values()) this.look(node, figures);
+      for (const node of this.nodes.values()) this.checkNode(node, figures);
     }
     end.abort();
     await Promise.allSettled(running);
@@ -278,12 +280,12 @@
   }
 
   /**
-   * A key ends that no node hears of before the store has lost it; then some nodes are cut off with what
-   * they have read of the older copy.
+   * Restores the store, which loses the revocation of a key before any node reads it. Then some nodes are
+   * partitioned with the state that they have read from the older copy.
    */
   private updateStore(ms: number): void {
     if (RESTORES_MS.includes(ms)) {
-      this.store.endKey();
+      this.store.revokeKey();
       this.store.restore(LOST_CHANGES);
     }
     for (const node of this.nodes.values()) {
@@ -297,11 +299,14 @@
     }
   }
 
-  private look(node: LeaseNode, figures: { servedTooLate: number; withoutServiceS: number }): void {
+  private checkNode(
+    node: LeaseNode,
+    figures: { servedTooLate: number; withoutServiceS: number },
+  ): void {
     const nowMs = this.clock.getMonotonicTime();
     const leaseMs = TENANT_BOUNDS.keyLeaseMs ?? 0;
-    for (const [key, endedMs] of this.store.endedMs) {
-      if (nowMs - endedMs > leaseMs && node.isServed(key)) figures.servedTooLate += 1;
+    for (const [key, revokedMs] of this.store.revokedMs) {
+      if (nowMs - revokedMs > leaseMs && node.isServed(key)) figures.servedTooLate += 1;
     }
     if (!node.isBehindQueue && !node.isServed(this.store.lastKey)) figures.withoutServiceS += 0.05;
   }
--- a/packages/dispatch/src/test/memoryNetwork.ts
+++ b/packages/dispatch/src/test/memoryNetwork.ts
@@ -1,4 +1,4 @@
-/** Datagrams between nodes of one test, in memory. */
+/** An in-memory network for the datagrams between the nodes of a test. */
 import type { ManualClock } from '@parsleymux/base';
 import { SeededRandom } from '@parsleymux/base';
 import type { DatagramBody } from '../grants/common/datagramChannel.js';
@@ -7,7 +7,7 @@
 const DELAY_MS = 1;
 const SEED = 3;
 
-/** Carries datagrams and loses some. */
+/** Delivers datagrams after a delay and drops a share of them. */
 export class MemoryNetwork {
   readonly handlers = new Map<string, (sender: string, body: DatagramBody) => void>();
   readonly random = new SeededRandom(SEED);
--- a/packages/dispatch/src/test/modelledKeyStore.ts
+++ b/packages/dispatch/src/test/modelledKeyStore.ts
@@ -1,39 +1,39 @@
-/** The operator's rows of a store that may come back from an older copy, on simulated time. */
+/** Simulates the operator's rows of a store that may be restored from an older copy. */
 import type { ManualClock } from '@parsleymux/base';
 import type { ICatalog } from '../catalog/common/catalog.js';
 import type { ITableChanges } from '../directory/common/authority.js';
 import { makeCatalog, makeRoute } from './builders.js';
 
 const KEYS = 12;
-/** The operator writes again what the store has lost after this time, in ms. */
+/** Time after which the operator rewrites what the store has lost, in ms. */
 const REWRITE_DELAY_MS = 1500;
-/** The one route of the configuration. */
+/** The only route of the configuration. */
 export const ROUTE = makeRoute();
 
-/** Rows of the operator at one version. */
+/** A copy of the operator's rows at one version. */
 interface IStoreCopy {
   readonly configVersion: number;
   readonly keys: readonly string[];
   readonly version: number;
 }
 
-/** The store's rows of the operator; calls are counted. */
+/** Holds the operator's rows and counts calls. */
 export class ModelledKeyStore {
   calls = 0;
   version = 1;
   era = 1;
-  /** Counts the operator's configurations; it never goes back. */
+  /** Version of the operator's configuration, which is never decremented by the operator. */
   private configVersion = 1;
   private keys: readonly string[] = Array.from({ length: KEYS }, (_, index) => `key-${index}`);
   private copies: readonly IStoreCopy[] = [];
-  /** What the operator wrote last, whatever the store holds. */
+  /** The operator's last write, which the store may have lost. */
   private lastWritten = this.copy();
-  /** When each key ended. */
-  readonly endedMs = new Map<string, number>();
+  /** When each key was revoked. */
+  readonly revokedMs = new Map<string, number>();
 
   constructor(private readonly clock: ManualClock) {}
 
-  endKey(): void {
+  revokeKey(): void {
     const [first, ...rest] = this.keys;
     if (first === undefined || rest.length === 0) return;
     this.copies = [...this.copies, this.copy()];
@@ -41,10 +41,10 @@
     this.version += 1;
     this.configVersion += 1;
     this.lastWritten = this.copy();
-    this.endedMs.set(first, this.clock.getMonotonicTime());
+    this.revokedMs.set(first, this.clock.getMonotonicTime());
   }
 
-  /** Comes back from a copy of before the last `lost` changes; the operator writes again a moment later. */
+  /** Restores the copy before the last `lost` changes; the operator rewrites the lost rows later. */
   restore(lost: number): void {
     const copy = this.copies.at(-lost);
     if (copy === undefined) return;
@@ -66,7 +66,7 @@
     return { configVersion, keys, version };
   }
 
-  /** A key that holds to the end. */
+  /** A key that is never revoked. */
   get lastKey(): string {
     return this.keys.at(-1) ?? '';
   }
