--- a/packages/dispatch/src/entry/common/requestRunner.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -110,7 +110,7 @@
     signal: AbortSignal,
   ): Promise<IAttemptResult> {
     const first = new CancellableAttempt(signal);
-    const firstResult = this.tryTarget(request, grant, state, first);
+    const firstResult = this.sendToTarget(request, grant, state, first);
     const { isIdempotent, maxAttempts, objectiveMs } = request.route;
     if (!isIdempotent || state.sent + 2 > maxAttempts) return firstResult;
     const hedgeDelayMs = objectiveMs * HEDGE_DELAY_SHARE;
@@ -123,7 +123,7 @@
       return firstResult;
     }
     const second = new CancellableAttempt(signal);
-    const secondResult = this.tryTarget(request, selection.grant, state, second);
+    const secondResult = this.sendToTarget(request, selection.grant, state, second);
     const winner = await Promise.race([firstResult, secondResult]);
     if (winner.outcome !== GrantOutcome.Succeeded) {
       return first.hasEnded() ? secondResult : firstResult;
@@ -213,7 +213,7 @@
       .map(({ id }) => id);
   }
 
-  private async tryTarget(
+  private async sendToTarget(
     request: IEntryRequest,
     grant: IGrant,
     state: IRunState,
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -40,10 +40,10 @@
   record(target: ITargetRecord, answer: ITargetAnswer): void {
     const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
     const { draining, rateLimit: ratePerS } = answer;
-    const known = this.notices.get(formatLife(target));
-    if (ratePerS === undefined && known !== undefined) known.limit = undefined;
+    const existing = this.notices.get(formatLife(target));
+    if (ratePerS === undefined && existing !== undefined) existing.limit = undefined;
     if (!draining && waitMs === undefined && ratePerS === undefined) return;
-    const notice = known ?? this.open(formatLife(target));
+    const notice = existing ?? this.createNotice(formatLife(target));
     notice.isDraining ||= draining;
     if (ratePerS !== undefined) {
       notice.limit = { ratePerS, atMs: this.clock.getMonotonicTime() };
@@ -83,7 +83,7 @@
     return waitMs === undefined ? undefined : Math.min(MAX_RETRY_AFTER_MS, waitMs);
   }
 
-  private open(incarnation: string): INotice {
+  private createNotice(incarnation: string): INotice {
     const notice: INotice = { isDraining: false, limit: undefined, waitUntilMs: -Infinity };
     this.notices.set(incarnation, notice);
     const [oldest] = this.notices.keys();
--- a/packages/dispatch/src/entry/node/frontServer.ts
+++ b/packages/dispatch/src/entry/node/frontServer.ts
@@ -205,10 +205,10 @@
     const headers = listHeaders(request);
     if (catalog.requiresKeys !== true) return headers;
     const { callers } = this.options;
-    const shown = headers.filter(([name]) => !callers.isPrivate(name));
+    const publicHeaders = headers.filter(([name]) => !callers.isPrivate(name));
     return sender.tenant === undefined
-      ? shown
-      : [...shown, ...callers.listTenantHeaders(sender.tenant.name)];
+      ? publicHeaders
+      : [...publicHeaders, ...callers.listTenantHeaders(sender.tenant.name)];
   }
 
   private write(
@@ -222,8 +222,8 @@
     const headers = answer.headers.filter(([name]) => name !== 'content-length');
     for (const [name, value] of headers) response.appendHeader(name, value);
     if (answer.runState !== RunState.Ran) {
-      const own = this.options.callers.listAnswerHeaders(request.headers);
-      for (const [name, value] of own) response.setHeader(name, value);
+      const localHeaders = this.options.callers.listAnswerHeaders(request.headers);
+      for (const [name, value] of localHeaders) response.setHeader(name, value);
     }
     const isHead = request.method === 'HEAD';
     if (!isHead) response.setHeader('content-length', String(answer.body.byteLength));
--- a/packages/dispatch/src/entry/node/malformedRequest.ts
+++ b/packages/dispatch/src/entry/node/malformedRequest.ts
@@ -9,7 +9,7 @@
   ['ERR_HTTP_REQUEST_TIMEOUT', 408],
 ]);
 /** The caller reset the connection, so no response can be sent. */
-const RESET = 'ECONNRESET';
+const CONNECTION_RESET = 'ECONNRESET';
 
 /**
  * Sends an error response and closes the connection.
@@ -26,7 +26,7 @@
   connections: CallerConnections,
 ): void {
   const code = (error as { readonly code?: string }).code ?? '';
-  const canAnswer = connections.isIdle(socket) && socket.writable && code !== RESET;
+  const canAnswer = connections.isIdle(socket) && socket.writable && code !== CONNECTION_RESET;
   if (!canAnswer) {
     socket.destroy();
     return;
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -93,15 +93,17 @@
   getShare(tenant: string): number {
     const nowMs = this.options.clock.getMonotonicTime();
     const others = this.listOthers(nowMs);
-    const named = others.flatMap(({ tenants }) => tenants.get(tenant)?.perS ?? []);
-    const isDividedByTenantRate = others.length > 0 && named.length === others.length;
-    const own = isDividedByTenantRate ? this.getOwnRate(tenant, nowMs) : this.getOwnTotal(nowMs);
-    const otherRates = isDividedByTenantRate ? named : others.map(({ total }) => total);
-    const all = otherRates.reduce(
+    const announcedRates = others.flatMap(({ tenants }) => tenants.get(tenant)?.perS ?? []);
+    const isDividedByTenantRate = others.length > 0 && announcedRates.length === others.length;
+    const ownRate = isDividedByTenantRate
+      ? this.getOwnRate(tenant, nowMs)
+      : this.getOwnTotal(nowMs);
+    const otherRates = isDividedByTenantRate ? announcedRates : others.map(({ total }) => total);
+    const totalRate = otherRates.reduce(
       (sum, rate) => sum + rate + ASSUMED_RATE_PER_S,
-      own + ASSUMED_RATE_PER_S,
+      ownRate + ASSUMED_RATE_PER_S,
     );
-    const share = (own + ASSUMED_RATE_PER_S) / all;
+    const share = (ownRate + ASSUMED_RATE_PER_S) / totalRate;
     return this.isInformed(nowMs) ? share : Math.min(share, 1 / this.options.countServices());
   }
 
@@ -139,8 +141,8 @@
     const tenants = new Map<string, ITenantRate>();
     for (const [name, rate] of this.rates) {
       const perS = rate.getRatePerS(nowMs);
-      const part = (getLimit(name) ?? Infinity) * this.getShare(name);
-      const isNearLimit = perS > part * NEAR_LIMIT_SHARE;
+      const ownLimit = (getLimit(name) ?? Infinity) * this.getShare(name);
+      const isNearLimit = perS > ownLimit * NEAR_LIMIT_SHARE;
       if (isNearLimit || this.isReportedNearLimit(name)) tenants.set(name, { perS, isNearLimit });
     }
     this.addReportedTenants(tenants, nowMs);
--- a/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
@@ -62,11 +62,11 @@
     return new Home(name, this.clock, seed);
   }
 
-  /** Replaces a home by a new process; `knows`: whether it receives announcements before it serves. */
-  replaceHome(index: number, knows: boolean): void {
+  /** Replaces a home by a new process, which may receive the others' announcements before it serves. */
+  replaceHome(index: number, receivesAnnouncements: boolean): void {
     const home = this.makeHome(`h${index}'${this.clock.getMonotonicTime()}`, index);
     this.homes[index] = home;
-    if (knows) this.announce();
+    if (receivesAnnouncements) this.announce();
   }
 
   async run(ms: number, demand: Demand): Promise<void> {
@@ -195,11 +195,11 @@
   // Guards against each new home granting an overloading tenant its share of the window again.
   for (const seed of SEEDS) {
     const fleet = new Fleet([SMALL, LARGE], seed);
-    const hot = CALM.map((perHome) => perHome.map((perS) => perS * 7.5));
-    await fleet.run(4000, hot);
+    const overload = CALM.map((perHome) => perHome.map((perS) => perS * 7.5));
+    await fleet.run(4000, overload);
     for (const index of [0, 1, 2]) {
       fleet.replaceHome(index, true);
-      await fleet.run(1500, hot);
+      await fleet.run(1500, overload);
     }
     for (const [index, tenant] of fleet.tenants.entries()) {
       const most = fleet.countMaxPerWindow(index);
@@ -246,9 +246,9 @@
 test('a tenant without a limit is never refused, and requests that did not run are released', () => {
   const clock = new ManualClock();
   const { quotas } = new Home('h', clock, 1);
-  const free: ITenantRule = { name: 'free', keys: [], burst: 0 };
+  const unlimited: ITenantRule = { name: 'free', keys: [], burst: 0 };
   for (let sent = 0; sent < 10_000; sent += 1) {
-    assert.equal(quotas.spend(free, 'home'), undefined);
+    assert.equal(quotas.spend(unlimited, 'home'), undefined);
   }
   for (let sent = 0; sent < 10_000; sent += 1) {
     assert.equal(quotas.spend(SMALL, 'home'), undefined);
--- a/packages/dispatch/src/quotas/common/tenantQuotas.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.ts
@@ -79,11 +79,11 @@
     if (limit === undefined) return undefined;
     const nowMs = clock.getMonotonicTime();
     const count = this.getCount(tenant.name, role);
-    const part = this.computeAllowance(tenant.name, limit, role, count);
+    const allowance = this.computeAllowance(tenant.name, limit, role, count);
     const used = count.used.count(nowMs);
-    if (used + 1 > part) {
-      const facts = { tenant: tenant.name, role, used, part: Math.round(part) };
-      return { retryAfterMs: computeRetryAfterMs(part, bounds.quotaWindowMs), facts };
+    if (used + 1 > allowance) {
+      const facts = { tenant: tenant.name, role, used, part: Math.round(allowance) };
+      return { retryAfterMs: computeRetryAfterMs(allowance, bounds.quotaWindowMs), facts };
     }
     count.used.add(nowMs);
     return undefined;
@@ -115,9 +115,9 @@
       const share = shares.getShare(tenant) + shares.getBorrowedShare(tenant);
       return homes * share * this.getRampUpFactor(tenant);
     }
-    const part =
+    const allowance =
       (CUT_OFF_EXTRA_SHARE * extra) / Math.max(1, countNodes() * MAX_CUT_OFF_NODES_SHARE);
-    return Math.floor(part + rounding);
+    return Math.floor(allowance + rounding);
   }
 
   /**
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -210,7 +210,7 @@
 }
 
 /** The results of a run. */
-export interface ILeaseFigures {
+export interface ILeaseResults {
   /** Number of checks in which a node accepted a revoked key after the lease. */
   readonly servedTooLate: number;
   /** Total time for which connected nodes refused a valid key, summed over all nodes, in s. */
@@ -260,7 +260,7 @@
    * From 4 s to 13 s, the store rejects a third of the nodes, including the first followers, some nodes
    * receive datagrams seconds late, and keys are revoked.
    */
-  async run(): Promise<ILeaseFigures> {
+  async run(): Promise<ILeaseResults> {
     const end = new AbortController();
     const running = [...this.nodes.values()].flatMap((node) => node.start(end.signal));
     const figures = { servedTooLate: 0, withoutServiceS: 0, callsPerS: 0 };
