--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -11,7 +11,7 @@
 import { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import { DirectoryService } from '../../directory/node/directoryService.js';
 import { createStateServer } from '../../directory/node/stateServer.js';
-import type { AnswerCheck } from '../../entry/common/attemptOutcome.js';
+import type { ResponseCheck } from '../../entry/common/attemptOutcome.js';
 import type { CallerProtocol } from '../../entry/common/callerProtocol.js';
 import { PathHealth } from '../../entry/common/pathHealth.js';
 import { TargetNotices } from '../../entry/common/targetNotices.js';
@@ -61,7 +61,7 @@
 export interface IDeploymentProtocol {
   readonly callers: CallerProtocol;
   readonly targets: TargetProtocol;
-  readonly isAuthentic: AnswerCheck;
+  readonly isAuthentic: ResponseCheck;
   readonly listTargetHeaders: (targetId: string) => readonly Header[];
 }
 
--- a/packages/dispatch/src/entry/common/attemptOutcome.ts
+++ b/packages/dispatch/src/entry/common/attemptOutcome.ts
@@ -7,7 +7,7 @@
 const MISDIRECTED = 421;
 
 /** Checks whether a success response was sent by the target itself and is complete. */
-export type AnswerCheck = (answer: ITargetAnswer) => boolean;
+export type ResponseCheck = (response: ITargetAnswer) => boolean;
 
 /** The result of an attempt. */
 export interface IAttemptResult {
@@ -15,7 +15,7 @@
   /** Whether the target may have run the request. */
   readonly mayHaveRun: boolean;
   /** The target's response, if it may be returned to the caller. */
-  readonly answer: ITargetAnswer | undefined;
+  readonly response: ITargetAnswer | undefined;
   /** The rate limit that the target announced in its own response, in requests per second. */
   readonly rateLimit?: number | undefined;
 }
@@ -23,32 +23,32 @@
 const MISDIRECTED_RESULT: IAttemptResult = {
   outcome: GrantOutcome.Misdirected,
   mayHaveRun: false,
-  answer: undefined,
+  response: undefined,
 };
 
 /**
  * Determines the outcome of a response.
  *
  * @example
- * const { outcome } = decideAnswerOutcome(answer, isAuthentic);
+ * const { outcome } = decideAnswerOutcome(response, isAuthentic);
  */
-export function decideAnswerOutcome(
-  answer: ITargetAnswer,
-  isAuthentic: AnswerCheck,
+export function decideResponseOutcome(
+  response: ITargetAnswer,
+  isAuthentic: ResponseCheck,
 ): IAttemptResult {
-  const { rateLimit } = answer;
-  if (answer.notRun) {
+  const { rateLimit } = response;
+  if (response.notRun) {
     // Another target responded, so its rate limit does not apply to the intended target.
-    if (answer.status === MISDIRECTED) return MISDIRECTED_RESULT;
-    return { outcome: GrantOutcome.Shed, mayHaveRun: false, answer: undefined, rateLimit };
+    if (response.status === MISDIRECTED) return MISDIRECTED_RESULT;
+    return { outcome: GrantOutcome.Shed, mayHaveRun: false, response: undefined, rateLimit };
   }
-  if (answer.status >= FIRST_SERVER_ERROR) {
-    return { outcome: GrantOutcome.Failed, mayHaveRun: true, answer, rateLimit };
+  if (response.status >= FIRST_SERVER_ERROR) {
+    return { outcome: GrantOutcome.Failed, mayHaveRun: true, response, rateLimit };
   }
-  if (!isAuthentic(answer)) {
-    return { outcome: GrantOutcome.Broken, mayHaveRun: true, answer: undefined };
+  if (!isAuthentic(response)) {
+    return { outcome: GrantOutcome.Broken, mayHaveRun: true, response: undefined };
   }
-  return { outcome: GrantOutcome.Succeeded, mayHaveRun: true, answer, rateLimit };
+  return { outcome: GrantOutcome.Succeeded, mayHaveRun: true, response, rateLimit };
 }
 
 const FAILURE_OUTCOMES: Readonly<Record<TransportFailure, GrantOutcome>> = {
@@ -68,6 +68,6 @@
   return {
     outcome: isStale ? GrantOutcome.Stale : FAILURE_OUTCOMES[error.failure],
     mayHaveRun: error.mayHaveRun,
-    answer: undefined,
+    response: undefined,
   };
 }
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -5,13 +5,13 @@
 import { formatLife } from '../../catalog/common/catalog.js';
 import { GrantOutcome, isAnswered } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
-import type { AnswerCheck, IAttemptResult } from './attemptOutcome.js';
-import { decideAnswerOutcome, decideFailureOutcome } from './attemptOutcome.js';
+import type { ResponseCheck, IAttemptResult } from './attemptOutcome.js';
+import { decideResponseOutcome, decideFailureOutcome } from './attemptOutcome.js';
 import type { IEntryRequest } from './entryRequest.js';
 import type { TargetNotices } from './targetNotices.js';
 
 /** Largest accepted response, in bytes: half of the memory that a small VM can spare. */
-const MAX_ANSWER_BYTES = 67_108_864;
+const MAX_RESPONSE_BYTES = 67_108_864;
 /** The target gets a deadline this much earlier, in ms, so that its own timeout response still arrives. */
 const TARGET_MARGIN_MS = 20;
 
@@ -19,7 +19,7 @@
 const NOT_SENT: IAttemptResult = {
   outcome: GrantOutcome.Abandoned,
   mayHaveRun: false,
-  answer: undefined,
+  response: undefined,
 };
 
 /** Options of an {@link AttemptSender}. */
@@ -28,7 +28,7 @@
   readonly transport: TargetTransport;
   readonly notices: TargetNotices;
   readonly keys: KeyChecker;
-  readonly isAuthentic: AnswerCheck;
+  readonly isAuthentic: ResponseCheck;
   /** Headers to add for a particular target. */
   readonly listTargetHeaders: (targetId: string) => readonly Header[];
 }
@@ -60,7 +60,7 @@
     if (keys.checkAgain(request.sender, request.route).kind === 'refused') return NOT_SENT;
     const remainingMs = request.deadlineMs - clock.getMonotonicTime();
     try {
-      const answer = await transport.send(
+      const response = await transport.send(
         {
           target: target.address,
           // Connections to an earlier incarnation are dead or hang, so each incarnation has its own.
@@ -72,11 +72,11 @@
           timeoutMs: remainingMs,
           targetTimeoutMs: Math.max(1, remainingMs - TARGET_MARGIN_MS),
         },
-        { signal, maxAnswerBytes: MAX_ANSWER_BYTES, freshConnection },
+        { signal, maxAnswerBytes: MAX_RESPONSE_BYTES, freshConnection },
       );
-      const result = decideAnswerOutcome(answer, isAuthentic);
+      const result = decideResponseOutcome(response, isAuthentic);
       // Headers of a response that is not the target's own can't be relied on.
-      if (isAnswered(result.outcome)) notices.record(target, answer);
+      if (isAnswered(result.outcome)) notices.record(target, response);
       return result;
     } catch (error) {
       return decideFailureOutcome(error);
--- a/packages/dispatch/src/entry/common/callerProtocol.ts
+++ b/packages/dispatch/src/entry/common/callerProtocol.ts
@@ -26,5 +26,5 @@
   abstract getTimeoutMs(headers: CallerHeaders): number | undefined;
 
   /** Headers of responses that the node generates, which identify the request to the caller. */
-  abstract listAnswerHeaders(headers: CallerHeaders): readonly Header[];
+  abstract listLocalResponseHeaders(headers: CallerHeaders): readonly Header[];
 }
--- a/packages/dispatch/src/entry/common/entryRequest.ts
+++ b/packages/dispatch/src/entry/common/entryRequest.ts
@@ -37,7 +37,7 @@
 }
 
 /** The final response to a request. */
-export interface IEntryAnswer {
+export interface IEntryResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
--- a/packages/dispatch/src/entry/common/requestRunner.test.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.test.ts
@@ -9,7 +9,7 @@
 import { TargetSelector } from '../../grants/common/targetSelector.js';
 import { makeKeyChecker, makeQuarantine, makeRoute, makeTarget } from '../../test/builders.js';
 import { ANONYMOUS } from '../../tenants/common/keyChecker.js';
-import type { IEntryAnswer, IEntryRequest } from './entryRequest.js';
+import type { IEntryResponse, IEntryRequest } from './entryRequest.js';
 import { PathHealth } from './pathHealth.js';
 import { RequestRunner } from './requestRunner.js';
 import { TargetNotices } from './targetNotices.js';
@@ -75,7 +75,7 @@
   }
 }
 
-function makeAnswer(status: number, fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
+function makeResponse(status: number, fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
   const body = Buffer.from('body');
   return { status, headers: [], body, notRun: false, draining: false, latencyMs: 1, ...fields };
 }
@@ -85,7 +85,7 @@
 }
 
 interface IFixture {
-  readonly answer: IEntryAnswer;
+  readonly response: IEntryResponse;
   readonly transport: ScriptedTransport;
   readonly selector: CountingSelector;
 }
@@ -126,29 +126,29 @@
     arrivedMs: 0,
     deadlineMs: 2000,
   };
-  const answer = await runner.run(request, new AbortController().signal);
-  return { answer, transport, selector };
+  const response = await runner.run(request, new AbortController().signal);
+  return { response, transport, selector };
 }
 
 for (const [name, reply] of [
-  ['a failure of the target', makeAnswer(500)],
+  ['a failure of the target', makeResponse(500)],
   ['a broken connection', makeError(TransportFailure.Broken, true)],
   ['a time-out', makeError(TransportFailure.Timeout, true)],
-  ['a success that is not authentic', makeAnswer(200, { headers: [['forged', '1']] })],
+  ['a success that is not authentic', makeResponse(200, { headers: [['forged', '1']] })],
 ] as const) {
   test(`a request that is not idempotent is sent once: ${name}`, async () => {
     // Guards against a booking that runs twice: a target runs it, its response is lost, and the node
     // concludes that the request has not run and sends it to another target.
-    const { answer, transport } = await run([reply], false);
+    const { response, transport } = await run([reply], false);
     assert.equal(transport.sent.length, 1);
-    assert.ok(answer.status >= 500);
-    assert.notEqual(answer.status, 503);
-    assert.notEqual(answer.runState, RunState.NotRun);
+    assert.ok(response.status >= 500);
+    assert.notEqual(response.status, 503);
+    assert.notEqual(response.runState, RunState.NotRun);
   });
 
   test(`an idempotent request goes to another target: ${name}`, async () => {
-    const { answer, selector, transport } = await run([reply, makeAnswer(200)], true);
-    assert.equal(answer.status, 200);
+    const { response, selector, transport } = await run([reply, makeResponse(200)], true);
+    assert.equal(response.status, 200);
     assert.equal(transport.sent.length, 2);
     assert.deepEqual(selector.requests[1]?.excluded, ['t1']);
     assert.equal(selector.requests[1].attempt, 2);
@@ -156,36 +156,36 @@
 }
 
 for (const [name, reply] of [
-  ['the target sheds it', makeAnswer(503, { notRun: true })],
-  ['another target has its address', makeAnswer(421, { notRun: true })],
+  ['the target sheds it', makeResponse(503, { notRun: true })],
+  ['another target has its address', makeResponse(421, { notRun: true })],
   ['the connection fails', makeError(TransportFailure.Connect, false)],
 ] as const) {
   test(`a request that has certainly not run is retried: ${name}`, async () => {
-    const { answer, transport } = await run([reply, makeAnswer(200)], false);
-    assert.equal(answer.status, 200);
+    const { response, transport } = await run([reply, makeResponse(200)], false);
+    assert.equal(response.status, 200);
     assert.equal(transport.sent.length, 2);
   });
 }
 
 test('a request that all targets shed is refused with a Retry-After and as not run', async () => {
-  const shed = makeAnswer(503, { notRun: true });
-  const { answer } = await run([shed, shed], false);
-  assert.equal(answer.status, 503);
-  assert.equal(answer.runState, RunState.NotRun);
-  assert.ok(answer.headers.some(([name]) => name === 'retry-after'));
+  const shed = makeResponse(503, { notRun: true });
+  const { response } = await run([shed, shed], false);
+  assert.equal(response.status, 503);
+  assert.equal(response.runState, RunState.NotRun);
+  assert.ok(response.headers.some(([name]) => name === 'retry-after'));
 });
 
 test('the last failure response of a target is returned unchanged', async () => {
-  const { answer } = await run([makeAnswer(500), makeAnswer(502)], true);
-  assert.equal(answer.status, 502);
-  assert.equal(Buffer.from(answer.body).toString(), 'body');
+  const { response } = await run([makeResponse(500), makeResponse(502)], true);
+  assert.equal(response.status, 502);
+  assert.equal(Buffer.from(response.body).toString(), 'body');
 });
 
 test('a refusal by the home is returned immediately, with its Retry-After in seconds', async () => {
-  const { answer } = await run([], false, new RefusingSelector());
-  assert.equal(answer.status, 503);
+  const { response } = await run([], false, new RefusingSelector());
+  assert.equal(response.status, 503);
   assert.deepEqual(
-    answer.headers.find(([name]) => name === 'retry-after'),
+    response.headers.find(([name]) => name === 'retry-after'),
     ['retry-after', '0.70'],
   );
 });
@@ -195,10 +195,10 @@
   // never responds, and the second target is tried only after the first has failed.
   const clock = new ManualClock();
   const hang = (): Promise<ITargetAnswer> => new Promise(() => undefined);
-  const running = run([hang, makeAnswer(200)], true, undefined, clock);
+  const running = run([hang, makeResponse(200)], true, undefined, clock);
   await clock.advanceBy(700);
-  const { answer, transport } = await running;
-  assert.equal(answer.status, 200);
+  const { response, transport } = await running;
+  assert.equal(response.status, 200);
   assert.equal(transport.sent.length, 2);
 });
 
@@ -224,7 +224,7 @@
   const selector = new QueueingSelector();
   const late = async (): Promise<ITargetAnswer> => {
     await clock.sleep(800);
-    return makeAnswer(200);
+    return makeResponse(200);
   };
   const running = run([late], true, selector, clock);
   let isAnswered = false;
@@ -240,7 +240,7 @@
   const clock = new ManualClock();
   const late = async (): Promise<ITargetAnswer> => {
     await clock.sleep(1500);
-    return makeAnswer(200);
+    return makeResponse(200);
   };
   const running = run([late], false, undefined, clock);
   await clock.advanceBy(1600);
@@ -252,8 +252,8 @@
   // silently, and each attempt uses another of them because the failure is reported like any other.
   const { failure, mayHaveRun } = { failure: TransportFailure.Broken, mayHaveRun: true };
   const stale = new TransportError({ failure, mayHaveRun, reusedConnection: true });
-  const { answer, selector, transport } = await run([stale, makeAnswer(200)], true);
-  assert.equal(answer.status, 200);
+  const { response, selector, transport } = await run([stale, makeResponse(200)], true);
+  assert.equal(response.status, 200);
   assert.deepEqual(selector.outcomes, ['stale', 'succeeded']);
   assert.deepEqual(
     transport.options.map(({ freshConnection }) => freshConnection),
@@ -264,8 +264,8 @@
 test('a request that was misdirected counts as a retry when it is sent again', async () => {
   // Guards against retries that exceed the retry limit after targets moved: the address now belongs to
   // another target, which responds that it has not run the request, and the second attempt counts as first.
-  const misdirected = makeAnswer(421, { notRun: true });
-  const { selector } = await run([misdirected, makeAnswer(200)], false);
+  const misdirected = makeResponse(421, { notRun: true });
+  const { selector } = await run([misdirected, makeResponse(200)], false);
   assert.deepEqual(
     selector.requests.map(({ attempt, isRetry }) => ({ attempt, isRetry })),
     [
@@ -277,7 +277,7 @@
 
 test('a request that reached no target does not count as a retry when it is sent again', async () => {
   const unreachable = makeError(TransportFailure.Connect, false);
-  const { selector } = await run([unreachable, makeAnswer(200)], false);
+  const { selector } = await run([unreachable, makeResponse(200)], false);
   assert.deepEqual(
     selector.requests.map(({ isRetry }) => isRetry),
     [false, false],
@@ -285,10 +285,10 @@
 });
 
 test('the record of an attempt contains the announced rate limit, also after shedding', async () => {
-  const shed = makeAnswer(503, { notRun: true, rateLimit: 0.5 });
-  const { answer } = await run([shed, makeAnswer(200, { rateLimit: 2 })], true);
+  const shed = makeResponse(503, { notRun: true, rateLimit: 0.5 });
+  const { response } = await run([shed, makeResponse(200, { rateLimit: 2 })], true);
   assert.deepEqual(
-    answer.attempts.map(({ rateLimit }) => rateLimit),
+    response.attempts.map(({ rateLimit }) => rateLimit),
     [0.5, 2],
   );
 });
@@ -296,9 +296,9 @@
 test('notices in the response of another target are not recorded for the intended one', async () => {
   // Guards against a healthy target that is excluded because a target at its former address is draining.
   const clock = new ManualClock();
-  const other = makeAnswer(421, { notRun: true, draining: true, rateLimit: 1 });
+  const other = makeResponse(421, { notRun: true, draining: true, rateLimit: 1 });
   const notices = new TargetNotices(clock);
-  await run([other, makeAnswer(200)], true, undefined, clock, notices);
+  await run([other, makeResponse(200)], true, undefined, clock, notices);
   assert.equal(notices.isDraining(makeTarget('t1')), false);
   assert.deepEqual(notices.listLimits([makeTarget('t1')]), []);
 });
--- a/packages/dispatch/src/entry/common/requestRunner.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -11,8 +11,8 @@
 import type { IAttemptSenderOptions } from './attemptSender.js';
 import { AttemptSender } from './attemptSender.js';
 import { CancellableAttempt } from './cancellableAttempt.js';
-import { makeLocalAnswer, makeTargetAnswer } from './entryAnswer.js';
-import type { IAttemptRecord, IEntryAnswer, IEntryRequest } from './entryRequest.js';
+import { makeLocalResponse, makeTargetResponse } from './entryResponse.js';
+import type { IAttemptRecord, IEntryResponse, IEntryRequest } from './entryRequest.js';
 import type { PathHealth } from './pathHealth.js';
 
 /** Attempts per request that may fail before anything is sent: each may cost one connect timeout. */
@@ -46,7 +46,7 @@
   /** Whether any attempt reached a target. */
   hasReachedTarget: boolean;
   /** The last failure response of a target itself. */
-  lastAnswer: ITargetAnswer | undefined;
+  lastResponse: ITargetAnswer | undefined;
   lastOutcome: GrantOutcome | undefined;
 }
 
@@ -55,7 +55,7 @@
  * certain that no target has run it.
  *
  * @example
- * const answer = await runner.run(request, signal);
+ * const response = await runner.run(request, signal);
  */
 export class RequestRunner {
   private readonly sender: AttemptSender;
@@ -65,7 +65,7 @@
   }
 
   /** Rejects only if `signal` is aborted, because the caller disconnected. */
-  async run(request: IEntryRequest, signal: AbortSignal): Promise<IEntryAnswer> {
+  async run(request: IEntryRequest, signal: AbortSignal): Promise<IEntryResponse> {
     const state: IRunState = {
       attempts: [],
       tried: [],
@@ -73,7 +73,7 @@
       unsent: 0,
       mayHaveRun: false,
       hasReachedTarget: false,
-      lastAnswer: undefined,
+      lastResponse: undefined,
       lastOutcome: undefined,
     };
     while (this.hasNextAttempt(request, state)) {
@@ -81,8 +81,8 @@
       if (selection.kind === 'refused') return this.makeRefusal(state, selection);
       const result = await this.tryWithHedge(request, selection.grant, state, signal);
       signal.throwIfAborted();
-      if (result.outcome === GrantOutcome.Succeeded && result.answer !== undefined) {
-        return makeTargetAnswer(result.answer, state.attempts);
+      if (result.outcome === GrantOutcome.Succeeded && result.response !== undefined) {
+        return makeTargetResponse(result.response, state.attempts);
       }
     }
     return this.makeFailure(request, state);
@@ -227,7 +227,7 @@
     });
     const latencyMs = clock.getMonotonicTime() - startMs;
     attempt.end();
-    const answerBytes = countBodyBytes(result.answer);
+    const answerBytes = countBodyBytes(result.response);
     const isLeaving = this.options.notices.isDraining(grant.target);
     const outcome = attempt.cancelOutcome ?? result.outcome;
     const { rateLimit } = result;
@@ -240,7 +240,7 @@
     else state.unsent += 1;
     state.mayHaveRun ||= result.mayHaveRun;
     state.hasReachedTarget ||= hasReachedTarget(result);
-    state.lastAnswer = result.answer ?? state.lastAnswer;
+    state.lastResponse = result.response ?? state.lastResponse;
     state.lastOutcome = result.outcome;
     state.attempts.push({
       target: grant.target.id,
@@ -256,18 +256,19 @@
   private recordPath(grant: IGrant, result: IAttemptResult): void {
     const { paths } = this.options;
     if (result.outcome === GrantOutcome.Unreachable) paths.recordUnreachable(grant.target);
-    if (result.answer !== undefined) paths.recordReachable(grant.target.id);
+    if (result.response !== undefined) paths.recordReachable(grant.target.id);
   }
 
-  private makeRefusal(state: IRunState, refusal: Refusal): IEntryAnswer {
-    if (state.lastAnswer !== undefined) return makeTargetAnswer(state.lastAnswer, state.attempts);
+  private makeRefusal(state: IRunState, refusal: Refusal): IEntryResponse {
+    if (state.lastResponse !== undefined)
+      return makeTargetResponse(state.lastResponse, state.attempts);
     const { attempts } = state;
     if (state.mayHaveRun) {
       const code = ResultCode.TargetFailed;
-      return makeLocalAnswer({ code, runState: RunState.MayHaveRun, attempts });
+      return makeLocalResponse({ code, runState: RunState.MayHaveRun, attempts });
     }
     const { code, retryAfterMs } = refusal;
-    return makeLocalAnswer({
+    return makeLocalResponse({
       code,
       runState: RunState.NotRun,
       attempts,
@@ -275,17 +276,18 @@
     });
   }
 
-  private makeFailure(request: IEntryRequest, state: IRunState): IEntryAnswer {
+  private makeFailure(request: IEntryRequest, state: IRunState): IEntryResponse {
     const { attempts } = state;
-    if (state.lastAnswer !== undefined) return makeTargetAnswer(state.lastAnswer, state.attempts);
+    if (state.lastResponse !== undefined)
+      return makeTargetResponse(state.lastResponse, state.attempts);
     if (!state.mayHaveRun) {
       const retryAfterMs = DEFAULT_RETRY_MS;
       const code = ResultCode.TargetShed;
-      return makeLocalAnswer({ code, runState: RunState.NotRun, attempts, retryAfterMs });
+      return makeLocalResponse({ code, runState: RunState.NotRun, attempts, retryAfterMs });
     }
     const isLate = this.getRemainingMs(request) <= 0 || state.lastOutcome === GrantOutcome.TimedOut;
     const code = isLate ? ResultCode.TargetTimeout : ResultCode.TargetFailed;
-    return makeLocalAnswer({ code, runState: RunState.MayHaveRun, attempts });
+    return makeLocalResponse({ code, runState: RunState.MayHaveRun, attempts });
   }
 }
 
@@ -306,8 +308,8 @@
 }
 
 /** The size of a buffered body. A streamed body has no known size, but responses are buffered here. */
-function countBodyBytes(answer: ITargetAnswer | undefined): number {
-  return answer?.body instanceof Uint8Array ? answer.body.byteLength : 0;
+function countBodyBytes(response: ITargetAnswer | undefined): number {
+  return response?.body instanceof Uint8Array ? response.body.byteLength : 0;
 }
 
 /** Returns a grant that arrived too late to be used. */
--- a/packages/dispatch/src/entry/common/targetNotices.test.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.test.ts
@@ -8,7 +8,7 @@
 
 const TARGET = makeTarget('i-1', { bornMs: 1000 });
 
-function makeAnswer(fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
+function makeResponse(fields: Partial<ITargetAnswer> = {}): ITargetAnswer {
   const body = new Uint8Array();
   return {
     status: 200,
@@ -22,14 +22,14 @@
 }
 
 function makeShed(retryAfter: string): ITargetAnswer {
-  return makeAnswer({ status: 503, notRun: true, headers: [['retry-after', retryAfter]] });
+  return makeResponse({ status: 503, notRun: true, headers: [['retry-after', retryAfter]] });
 }
 
 test('a target that announces draining is excluded for the rest of its incarnation', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
-  notices.record(TARGET, makeAnswer({ draining: true }));
-  notices.record(TARGET, makeAnswer());
+  notices.record(TARGET, makeResponse({ draining: true }));
+  notices.record(TARGET, makeResponse());
   await clock.advanceBy(60_000);
   assert.ok(notices.isExcluded(TARGET));
   assert.ok(notices.isDraining(TARGET));
@@ -37,7 +37,7 @@
 
 test('the next incarnation of a drained target receives requests', () => {
   const notices = new TargetNotices(new ManualClock());
-  notices.record(TARGET, makeAnswer({ draining: true }));
+  notices.record(TARGET, makeResponse({ draining: true }));
   assert.equal(notices.isExcluded(makeTarget('i-1', { bornMs: 2000 })), false);
 });
 
@@ -64,20 +64,20 @@
 
 test('a Retry-After of a request that ran does not exclude the target', () => {
   const notices = new TargetNotices(new ManualClock());
-  notices.record(TARGET, makeAnswer({ status: 500, headers: [['retry-after', '3']] }));
+  notices.record(TARGET, makeResponse({ status: 500, headers: [['retry-after', '3']] }));
   assert.equal(notices.isExcluded(TARGET), false);
 });
 
 test('a rate limit is listed with its age until a response omits it, for one incarnation', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
-  notices.record(TARGET, makeAnswer({ rateLimit: 1.5 }));
+  notices.record(TARGET, makeResponse({ rateLimit: 1.5 }));
   await clock.advanceBy(300);
   const limit = { targetId: TARGET.id, bornMs: TARGET.bornMs, ratePerS: 1.5, ageMs: 300 };
   assert.deepEqual(notices.listLimits([TARGET]), [limit]);
   assert.deepEqual(notices.listLimits([makeTarget('i-1', { bornMs: 2000 })]), []);
   assert.equal(notices.isExcluded(TARGET), false);
-  notices.record(TARGET, makeAnswer());
+  notices.record(TARGET, makeResponse());
   assert.deepEqual(notices.listLimits([TARGET]), []);
 });
 
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -28,7 +28,7 @@
  * one incarnation of the target.
  *
  * @example
- * notices.record(target, answer);
+ * notices.record(target, response);
  * if (notices.isExcluded(target)) choose another one;
  */
 export class TargetNotices {
@@ -37,9 +37,9 @@
   constructor(private readonly clock: Clock) {}
 
   /** Records the notices in a complete response of the target itself. */
-  record(target: ITargetRecord, answer: ITargetAnswer): void {
-    const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
-    const { draining, rateLimit: ratePerS } = answer;
+  record(target: ITargetRecord, response: ITargetAnswer): void {
+    const waitMs = response.notRun ? this.getWaitMs(response) : undefined;
+    const { draining, rateLimit: ratePerS } = response;
     const existing = this.notices.get(formatLife(target));
     if (ratePerS === undefined && existing !== undefined) existing.limit = undefined;
     if (!draining && waitMs === undefined && ratePerS === undefined) return;
--- a/packages/dispatch/src/entry/node/frontServer.ts
+++ b/packages/dispatch/src/entry/node/frontServer.ts
@@ -10,10 +10,10 @@
 import type { ICatalog, IRouteRule } from '../../catalog/common/catalog.js';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { CallerProtocol } from '../common/callerProtocol.js';
-import type { IEntryAnswer, IEntryRequest } from '../common/entryRequest.js';
+import type { IEntryResponse, IEntryRequest } from '../common/entryRequest.js';
 import type { RequestRunner } from '../common/requestRunner.js';
 import type { ICallerIdentity, KeyChecker } from '../../tenants/common/keyChecker.js';
-import { makeEntryRefusal } from '../common/entryAnswer.js';
+import { makeEntryRefusal } from '../common/entryResponse.js';
 import { CallerConnections } from './callerConnections.js';
 import { refuseMalformed } from './malformedRequest.js';
 import type { RequestLog } from './requestLog.js';
@@ -51,7 +51,7 @@
       readonly catalog: ICatalog;
       readonly sender: ICallerIdentity;
     }
-  | { readonly kind: 'refused'; readonly answer: IEntryAnswer };
+  | { readonly kind: 'refused'; readonly refusal: IEntryResponse };
 
 /**
  * Accepts requests of callers and serves them until it is stopped.
@@ -117,8 +117,8 @@
     const arrivedMs = clock.getMonotonicTime();
     const routed = this.findRoute(request);
     if (routed.kind === 'refused') {
-      requestLog.recordUnrouted(this.describe(request), routed.answer, arrivedMs);
-      this.write(request, response, routed.answer, hasBody(request));
+      requestLog.recordUnrouted(this.describe(request), routed.refusal, arrivedMs);
+      this.write(request, response, routed.refusal, hasBody(request));
       return;
     }
     const entryRequest = await this.read(request, routed, arrivedMs);
@@ -128,9 +128,9 @@
       return;
     }
     try {
-      const answer = await runner.run(entryRequest, signal);
-      requestLog.recordAnswer(entryRequest, answer);
-      this.write(request, response, answer, false);
+      const entryResponse = await runner.run(entryRequest, signal);
+      requestLog.recordResponse(entryRequest, entryResponse);
+      this.write(request, response, entryResponse, false);
     } catch (error) {
       if (!signal.aborted) throw error;
       requestLog.recordDisconnected(entryRequest);
@@ -165,7 +165,7 @@
     request: IncomingMessage,
     routed: Extract<Routed, { kind: 'routed' }>,
     arrivedMs: number,
-  ): Promise<IEntryRequest | IEntryAnswer> {
+  ): Promise<IEntryRequest | IEntryResponse> {
     const { callers, picker } = this.options;
     const { catalog, route, sender } = routed;
     const timeoutMs = callers.getTimeoutMs(request.headers) ?? DEFAULT_CALLER_TIMEOUT_MS;
@@ -214,21 +214,21 @@
   private write(
     request: IncomingMessage,
     response: ServerResponse,
-    answer: IEntryAnswer,
+    entryResponse: IEntryResponse,
     mustEnd: boolean,
   ): void {
     if (response.destroyed) return;
     this.connections.announceClose(request, response, mustEnd);
-    const headers = answer.headers.filter(([name]) => name !== 'content-length');
+    const headers = entryResponse.headers.filter(([name]) => name !== 'content-length');
     for (const [name, value] of headers) response.appendHeader(name, value);
-    if (answer.runState !== RunState.Ran) {
-      const localHeaders = this.options.callers.listAnswerHeaders(request.headers);
+    if (entryResponse.runState !== RunState.Ran) {
+      const localHeaders = this.options.callers.listLocalResponseHeaders(request.headers);
       for (const [name, value] of localHeaders) response.setHeader(name, value);
     }
     const isHead = request.method === 'HEAD';
-    if (!isHead) response.setHeader('content-length', String(answer.body.byteLength));
-    response.writeHead(answer.status);
-    response.end(isHead ? undefined : answer.body);
+    if (!isHead) response.setHeader('content-length', String(entryResponse.body.byteLength));
+    response.writeHead(entryResponse.status);
+    response.end(isHead ? undefined : entryResponse.body);
   }
 
   private handleInternalError(
@@ -256,7 +256,7 @@
 }
 
 function refuse(code: ResultCode, retryAfterMs?: number): Routed {
-  return { kind: 'refused', answer: makeEntryRefusal(code, retryAfterMs) };
+  return { kind: 'refused', refusal: makeEntryRefusal(code, retryAfterMs) };
 }
 
 function hasBody(request: IncomingMessage): boolean {
--- a/packages/dispatch/src/entry/node/malformedRequest.ts
+++ b/packages/dispatch/src/entry/node/malformedRequest.ts
@@ -26,8 +26,8 @@
   connections: CallerConnections,
 ): void {
   const code = (error as { readonly code?: string }).code ?? '';
-  const canAnswer = connections.isIdle(socket) && socket.writable && code !== CONNECTION_RESET;
-  if (!canAnswer) {
+  const canRespond = connections.isIdle(socket) && socket.writable && code !== CONNECTION_RESET;
+  if (!canRespond) {
     socket.destroy();
     return;
   }
--- a/packages/dispatch/src/entry/node/requestLog.ts
+++ b/packages/dispatch/src/entry/node/requestLog.ts
@@ -4,7 +4,7 @@
 import type { Registry } from 'prom-client';
 import { Counter, Histogram } from 'prom-client';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
-import type { IEntryAnswer, IEntryRequest } from '../common/entryRequest.js';
+import type { IEntryResponse, IEntryRequest } from '../common/entryRequest.js';
 
 /** Histogram buckets around the usual latency objectives of services, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.4, 0.7, 1, 1.5, 2.5, 4, 6];
@@ -47,27 +47,27 @@
     });
   }
 
-  recordAnswer(request: IEntryRequest, answer: IEntryAnswer): void {
+  recordResponse(request: IEntryRequest, response: IEntryResponse): void {
     const ms = this.measure(request.arrivedMs);
     const route = request.route.name;
-    this.requests.inc({ route, code: String(answer.code), status: String(answer.status) });
+    this.requests.inc({ route, code: String(response.code), status: String(response.status) });
     this.latency.observe({ route }, ms / 1000);
-    for (const { outcome } of answer.attempts) {
+    for (const { outcome } of response.attempts) {
       this.attempts.inc({ service: request.service, outcome });
     }
-    const isFailure = answer.status >= FIRST_FAILURE_STATUS;
+    const isFailure = response.status >= FIRST_FAILURE_STATUS;
     this.options.log[isFailure ? 'warn' : 'info']('request', {
       request: request.id,
       fingerprints: request.fingerprints,
       route,
       service: request.service,
       tenant: request.sender.tenant?.name,
-      status: answer.status,
-      result: getResultInfo(answer.code).name,
-      runState: answer.runState,
+      status: response.status,
+      result: getResultInfo(response.code).name,
+      runState: response.runState,
       ms,
       objectiveMs: request.route.objectiveMs,
-      attempts: answer.attempts,
+      attempts: response.attempts,
       ...this.describeDirectory(),
     });
   }
@@ -75,15 +75,15 @@
   /** Records a request that was refused before or without a route. */
   recordUnrouted(
     request: { readonly id: string; readonly path: string },
-    answer: IEntryAnswer,
+    response: IEntryResponse,
     arrivedMs: number,
   ): void {
-    const code = getResultInfo(answer.code).name;
-    this.requests.inc({ route: '', code: String(answer.code), status: String(answer.status) });
+    const code = getResultInfo(response.code).name;
+    this.requests.inc({ route: '', code: String(response.code), status: String(response.status) });
     this.options.log.warn('request refused', {
       request: request.id,
       path: request.path,
-      status: answer.status,
+      status: response.status,
       result: code,
       ms: this.measure(arrivedMs),
       ...this.describeDirectory(),
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -93,7 +93,7 @@
     return undefined;
   }
 
-  override listAnswerHeaders(): readonly [] {
+  override listLocalResponseHeaders(): readonly [] {
     return [];
   }
 
--- a/packages/lab/src/experiment/common/modelledCaller.ts
+++ b/packages/lab/src/experiment/common/modelledCaller.ts
@@ -1,7 +1,7 @@
 /** A caller: sends a request, comes back after refusals, and notes how it ended. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
-import type { IEntryAnswer, IRouteRule } from '@parsleymux/dispatch';
+import type { IEntryResponse, IRouteRule } from '@parsleymux/dispatch';
 import { ANONYMOUS } from '@parsleymux/dispatch';
 import type { FigureLedger } from './figures.js';
 import { Ending } from './figures.js';
@@ -23,7 +23,7 @@
 const MS_PER_S = 1000;
 
 /** What a caller looks at. */
-type CallerAnswer = Pick<IEntryAnswer, 'status' | 'headers'>;
+type CallerAnswer = Pick<IEntryResponse, 'status' | 'headers'>;
 
 /** No node is up, or the node's process ended while the request was under way. */
 const BROKEN: CallerAnswer = { status: 0, headers: [] };
