--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -1,6 +1,6 @@
 /** Routes datagrams of other nodes to the components that handle them. */
 import type { DirectoryService } from '../../directory/node/directoryService.js';
-import type { BeliefSharing } from '../../grants/common/beliefSharing.js';
+import type { HealthSharing } from '../../grants/common/healthSharing.js';
 import type { DatagramBody } from '../../grants/common/datagramChannel.js';
 import type { GrantServer } from '../../grants/common/grantServer.js';
 import type { HomeSelector } from '../../grants/common/homeSelector.js';
@@ -10,7 +10,7 @@
 
 /** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
-  readonly beliefs: BeliefSharing;
+  readonly healthSharing: HealthSharing;
   readonly quarantine: QuarantineSharing;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
@@ -30,7 +30,7 @@
   sender: string,
   body: DatagramBody,
 ): void {
-  const { beliefs, quarantine, quotas, retries, selector, server, service } = handlers;
+  const { healthSharing, quarantine, quotas, retries, selector, server, service } = handlers;
   switch (body.case) {
     case 'ask':
       server.handleAsk(sender, body.value);
@@ -57,7 +57,7 @@
       service.handleHello(sender);
       break;
     case 'beliefs':
-      beliefs.handleBeliefs(sender, body.value);
+      healthSharing.handleBeliefs(sender, body.value);
       break;
     case 'retryUse':
       retries.handleRetryUse(body.value);
--- a/packages/dispatch/src/app/node/directoryMetrics.ts
+++ b/packages/dispatch/src/app/node/directoryMetrics.ts
@@ -29,7 +29,7 @@
     help: 'Targets with an announced rate limit, of the services whose home is this node.',
     registers: [registry],
     collect() {
-      const targets = homes.listBooks().flatMap(([, book]) => book.listTargets());
+      const targets = homes.listSchedulers().flatMap(([, scheduler]) => scheduler.listTargets());
       this.set(targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined).length);
     },
   });
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -3,7 +3,7 @@
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
-import { GrantOutcome, isAnswered } from '../../grants/common/grant.js';
+import { GrantOutcome, hasCompleteResponse } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { ResponseCheck, IAttemptResult } from './attemptOutcome.js';
 import { decideResponseOutcome, decideFailureOutcome } from './attemptOutcome.js';
@@ -76,7 +76,7 @@
       );
       const result = decideResponseOutcome(response, isAuthentic);
       // Headers of a response that is not the target's own can't be relied on.
-      if (isAnswered(result.outcome)) notices.record(target, response);
+      if (hasCompleteResponse(result.outcome)) notices.record(target, response);
       return result;
     } catch (error) {
       return decideFailureOutcome(error);
--- a/packages/dispatch/src/entry/common/requestRunner.test.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.test.ts
@@ -227,12 +227,12 @@
     return makeResponse(200);
   };
   const running = run([late], true, selector, clock);
-  let isAnswered = false;
+  let hasResponded = false;
   void running.then(() => {
-    isAnswered = true;
+    hasResponded = true;
   });
   await clock.advanceBy(900);
-  assert.equal(isAnswered, true);
+  assert.equal(hasResponded, true);
   assert.equal(selector.isCancelled, true);
 });
 
--- a/packages/dispatch/src/entry/common/requestRunner.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -228,10 +228,10 @@
     const latencyMs = clock.getMonotonicTime() - startMs;
     attempt.end();
     const answerBytes = countBodyBytes(result.response);
-    const isLeaving = this.options.notices.isDraining(grant.target);
+    const isDraining = this.options.notices.isDraining(grant.target);
     const outcome = attempt.cancelOutcome ?? result.outcome;
     const { rateLimit } = result;
-    grant.report(outcome, latencyMs, { answerBytes, isLeaving, rateLimit });
+    grant.report(outcome, latencyMs, { answerBytes, isDraining, rateLimit });
     if (attempt.cancelOutcome !== undefined) return result;
     this.recordPath(grant, result);
     state.tried.push(grant.target.id);
--- a/packages/dispatch/src/home/common/serviceLog.ts
+++ b/packages/dispatch/src/home/common/serviceLog.ts
@@ -1,9 +1,9 @@
-/** The home's log lines: refusals, and changes of what it believes of a target. */
+/** Log lines of a home: rejections, and changes of a target's health status or notices. */
 import type { Clock, Logger, ResultCode } from '@parsleymux/base';
 import { getResultInfo } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import type { IQuotaFacts } from '../../quotas/common/tenantQuotas.js';
-import type { BookedTarget } from './bookedTarget.js';
+import type { TargetState } from './targetState.js';
 
 const SHARE_PLACES = 1000;
 
@@ -14,58 +14,58 @@
   readonly log: Logger;
 }
 
-/** The request that a line speaks of. */
+/** The request to which a log line refers. */
 export interface ILoggedTicket {
   readonly request: IGrantRequest;
-  /** Node that asked. */
+  /** Node that requested the grant. */
   readonly node: string;
-  readonly askedMs: number;
+  readonly requestedMs: number;
 }
 
-/** What a refusal rests on. */
+/** Facts behind a rejection. */
 export interface IRefusalFacts {
   readonly code: ResultCode;
   readonly retryAfterMs: number;
   readonly queue: number;
-  /** Share of the retry allowance that is used up. */
+  /** Used share of the retry allowance, from 0 to 1. */
   readonly retriesUsed: number;
-  /** Retries that other homes counted within the window. */
+  /** Retries of other homes within the window. */
   readonly retriesElsewhere: number;
-  /** What a refusal by quota rests on. */
+  /** The quota state, if the tenant's quota caused the rejection. */
   readonly quota?: IQuotaFacts | undefined;
 }
 
-/** What a home goes by that takes over. */
-export interface ITakeOverFacts {
-  /** Whether it knows of all retries that were sent before it. */
+/** The state of a home that takes over. */
+export interface ITakeoverFacts {
+  /** Whether it knows all retries that were sent before. */
   readonly knowsRetries: boolean;
   readonly retriesElsewhere: number;
   readonly targets: number;
 }
 
 /**
- * Writes lines that carry the request's identifier, so that they can be found from a complaint.
+ * Writes lines with the request's identifier, so that they can be found from a caller's complaint.
  *
  * @example
- * serviceLog.watchBelief(ticket, target, 'failed', () => target.belief.recordFailure(now));
+ * serviceLog.watchBelief(ticket, target, 'failed', () => target.health.recordFailure(now));
  */
 export class ServiceLog {
   constructor(private readonly options: IServiceLogOptions) {}
 
-  /** Makes a change and writes a line if the target is doubted, or trusted again, because of it. */
-  watchBelief(
+  /** Runs `change` and logs if the target becomes suspected or is cleared as a result. */
+  trackHealthChange(
     ticket: ILoggedTicket,
-    target: BookedTarget,
+    target: TargetState,
     cause: string,
     change: () => void,
   ): void {
-    const { belief } = target;
+    const { health } = target;
     const nowMs = this.options.clock.getMonotonicTime();
-    const before = belief.getSuspicion(nowMs);
-    const wasFailing = belief.isFailing(nowMs);
-    const { lastSuccessMs } = belief;
+    const before = health.getSuspicion(nowMs);
+    const wasFailing = health.isFailing(nowMs);
+    const { lastSuccessMs } = health;
     change();
-    if (belief.isFailing(nowMs) === wasFailing) return;
+    if (health.isFailing(nowMs) === wasFailing) return;
     this.options.log.info(wasFailing ? 'target trusted' : 'target doubted', {
       request: ticket.request.requestId,
       entry: ticket.node,
@@ -73,12 +73,12 @@
       target: target.record.id,
       cause,
       suspicionBefore: toPlaces(before),
-      suspicion: toPlaces(belief.getSuspicion(nowMs)),
+      suspicion: toPlaces(health.getSuspicion(nowMs)),
       lastSuccessAgeMs: lastSuccessMs === undefined ? null : Math.round(nowMs - lastSuccessMs),
     });
   }
 
-  logLeaving({ node, request }: ILoggedTicket, target: BookedTarget): void {
+  logDraining({ node, request }: ILoggedTicket, target: TargetState): void {
     this.options.log.info('target says that it leaves', {
       request: request.requestId,
       entry: node,
@@ -88,10 +88,10 @@
     });
   }
 
-  /** The target names another limit than `before`, or none any more. */
+  /** Logs that a target advertises a limit other than `before`, or none any more. */
   logLimit(
     { node, request }: ILoggedTicket,
-    target: BookedTarget,
+    target: TargetState,
     before: number | undefined,
   ): void {
     this.options.log.info('target changes its limit', {
@@ -104,19 +104,19 @@
     });
   }
 
-  /** Retries and grants of one moment that several homes gave are found by these lines. */
-  logTakeOver(facts: ITakeOverFacts): void {
+  /** Logs a takeover, which helps to find grants and retries that several homes gave concurrently. */
+  logTakeover(facts: ITakeoverFacts): void {
     this.options.log.info('home takes over', { service: this.options.service, ...facts });
   }
 
   logRefusal(
     ticket: ILoggedTicket,
-    targets: readonly BookedTarget[],
+    targets: readonly TargetState[],
     { code, queue, quota, retriesElsewhere, retriesUsed, retryAfterMs }: IRefusalFacts,
   ): void {
     const { request } = ticket;
     const nowMs = this.options.clock.getMonotonicTime();
-    const waitedMs = nowMs - ticket.askedMs;
+    const waitedMs = nowMs - ticket.requestedMs;
     const ready = targets.filter(({ isReady }) => isReady);
     this.options.log.warn('grant refused', {
       request: request.requestId,
@@ -140,7 +140,7 @@
   }
 }
 
-/** Shares in logs, to three places. */
+/** Rounds a share to three decimal places. */
 function toPlaces(share: number): number {
   return Math.round(share * SHARE_PLACES) / SHARE_PLACES;
 }
--- a/packages/dispatch/src/home/common/serviceBook.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.ts
@@ -1,106 +1,107 @@
-/** The home of one service: grants targets, queues requests while none is free, learns from reports. */
+/** Schedules the requests of one service at its home: grants slots, queues requests and applies reports. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import type { GrantDecision, IGrantRequest, IReportedAnswer } from '../../grants/common/grant.js';
-import { GrantOutcome, NO_ANSWER } from '../../grants/common/grant.js';
+import type { GrantDecision, IGrantRequest, IReportedResponse } from '../../grants/common/grant.js';
+import { GrantOutcome, NO_RESPONSE } from '../../grants/common/grant.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import type { TenantAdmission } from '../../quotas/common/tenantAdmission.js';
 import type { IQuotaFacts } from '../../quotas/common/tenantQuotas.js';
-import { AnswerSizes } from './answerSizes.js';
-import type { BookedTarget } from './bookedTarget.js';
+import { ResponseSizes } from './responseSizes.js';
+import type { TargetState } from './targetState.js';
 import { FailureModel } from './failureModel.js';
 import { ExpectedCreditPolicy } from './expectedCreditPolicy.js';
 import type { GrantPolicy, IServiceState } from './grantPolicy.js';
 import { GrantQueue } from './grantQueue.js';
-import { OutcomeIntake } from './outcomeIntake.js';
+import { OutcomeRecorder } from './outcomeRecorder.js';
 import type { IRetryWindowOptions } from './retryWindow.js';
 import { RetryWindow } from './retryWindow.js';
 import { ServiceLog } from './serviceLog.js';
 import { ServiceTargets } from './serviceTargets.js';
-import { ServedWindow } from './servedWindow.js';
-import type { ITargetEvidence } from './targetBelief.js';
-import { TargetStatements } from './targetStatements.js';
+import { OutcomeWindow } from './outcomeWindow.js';
+import type { IHealthEvidence } from './targetHealthEstimate.js';
+import { TargetNoticeRecorder } from './targetNoticeRecorder.js';
 import type { ITicket } from './ticket.js';
 import { Ticket } from './ticket.js';
-import { WorkTimes } from './workTimes.js';
-
-/** Slots whose report never came are freed this long after their request has ended, in ms. */
-const REPORT_SLACK_MS = 500;
-/** When no target is known at all: the time in which one may register, in ms. */
-const NO_TARGET_RETRY_MS = 500;
-/** Shortest and longest time that a refused caller is told to stay away, in ms. */
-const LEAST_RETRY_MS = 100;
-const MOST_RETRY_MS = 5000;
-/** A home that was asked nothing for this long is logged as taking over, in ms: a window of retries. */
-const TAKE_OVER_MS = 10_000;
-/** Above this share of the retry allowance, no request is risked on a kept connection that may be broken. */
-const MOST_USED_FOR_REUSE = 0.5;
-/** Waiting requests that a pass for one free slot looks at, at most. */
-const MOST_PASSED_OVER = 16;
-
-/** Refusals that say something of the caller, and nothing of how the service fares. */
-const REFUSALS_OF_CALLERS: ReadonlySet<ResultCode> = new Set([
+import { ProcessingTimes } from './processingTimes.js';
+
+/** A slot without a report is released this long after its request's deadline, in ms. */
+const REPORT_GRACE_MS = 500;
+/** Retry-After if no target is usable, in ms: time for a target to register. */
+const NO_TARGET_RETRY_AFTER_MS = 500;
+/** Bounds of the Retry-After of other rejections, in ms. */
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 5000;
+/** A grant request after this idle time is logged as a takeover, in ms: the length of a retry window. */
+const TAKEOVER_IDLE_MS = 10_000;
+/** Above this used share of the retry allowance, no request reuses a connection that may be broken. */
+const MAX_RETRIES_USED_FOR_REUSE = 0.5;
+/** Maximum number of queued requests that a pass for one released slot leaves waiting. */
+const MAX_SKIPPED = 16;
+
+/** Rejections that are caused by the caller and are no evidence of a failing service. */
+const CALLER_REFUSALS: ReadonlySet<ResultCode> = new Set([
   ResultCode.RequestQuarantined,
   ResultCode.UnknownKey,
   ResultCode.QuotaExceeded,
 ]);
 
-/** Bounds of every service, from the settings. */
+/** Limits that apply to every service, from the settings. */
 export interface IServiceBounds {
   readonly retries: IRetryWindowOptions;
-  /** Share of the sound targets that must get requests while many requests fail, from 0 to 1. */
+  /** Share of the healthy targets that must receive requests while many requests fail, from 0 to 1. */
   readonly floorShare: number;
 }
 
-/** Options of a {@link ServiceBook}. */
-export interface IServiceBookOptions extends IServiceBounds {
+/** Options of a {@link ServiceScheduler}. */
+export interface IServiceSchedulerOptions extends IServiceBounds {
   readonly service: string;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Shared by all services: a request may move from one to the next. */
+  /** Shared by all services, because a request may be routed to several of them. */
   readonly quarantine: RequestQuarantine;
-  /** Shared by all services; undefined where requests belong to no tenants. */
+  /** Shared by all services; undefined if requests are not assigned to tenants. */
   readonly admission?: TenantAdmission | undefined;
   /** Default: an {@link ExpectedCreditPolicy}. */
   readonly policy?: GrantPolicy;
 }
 
 /**
- * Decides for one service. All decisions of a service are made in one place while its home lives,
- * so slots are never granted twice and one node's failure warns all others at once.
+ * Grants the slots of one service's targets. While its home is running, all grants of a service are
+ * made by one scheduler, so a slot is never granted twice and a failure that one node reports
+ * immediately affects the grants of all nodes.
  *
  * @example
- * const ticket = book.requestGrant(request, node, (decision) => send(decision));
- * book.recordOutcome(ticket, GrantOutcome.Succeeded, 240);
+ * const ticket = scheduler.requestGrant(request, node, (decision) => send(decision));
+ * scheduler.recordOutcome(ticket, GrantOutcome.Succeeded, 240);
  */
-export class ServiceBook {
-  /** Retries of the whole fleet, as far as this home knows. */
+export class ServiceScheduler {
+  /** Retries of the whole fleet, as far as they have been reported to this home. */
   readonly retries: RetryWindow;
-  /** What its targets say of themselves. */
-  readonly statements: TargetStatements;
+  /** Records the drain notices and rate limits that targets send in responses. */
+  readonly notices: TargetNoticeRecorder;
   private readonly serviceLog: ServiceLog;
   private bounds: IServiceBounds;
   private readonly clock: Clock;
   private readonly model = new FailureModel();
   private readonly targets: ServiceTargets;
   private readonly queue = new GrantQueue<Ticket>();
-  private readonly open = new Set<Ticket>();
-  private readonly served = new ServedWindow();
-  private readonly intake: OutcomeIntake;
+  private readonly openGrants = new Set<Ticket>();
+  private readonly outcomeWindow = new OutcomeWindow();
+  private readonly outcomeRecorder: OutcomeRecorder;
   private readonly policy: GrantPolicy;
   private readonly quarantine: RequestQuarantine;
   private readonly admission: TenantAdmission | undefined;
-  private readonly workTimes = new WorkTimes();
-  private readonly answerSizes = new AnswerSizes();
-  private lastAskedMs = -Infinity;
+  private readonly processingTimes = new ProcessingTimes();
+  private readonly responseSizes = new ResponseSizes();
+  private lastRequestMs = -Infinity;
 
-  constructor(options: IServiceBookOptions) {
+  constructor(options: IServiceSchedulerOptions) {
     this.serviceLog = new ServiceLog(options);
     this.bounds = options;
     this.clock = options.clock;
     this.targets = new ServiceTargets({ clock: options.clock, model: this.model });
-    this.statements = new TargetStatements({
+    this.notices = new TargetNoticeRecorder({
       clock: options.clock,
       targets: this.targets,
       serviceLog: this.serviceLog,
@@ -109,30 +110,30 @@
     this.quarantine = options.quarantine;
     this.admission = options.admission;
     this.policy = options.policy ?? new ExpectedCreditPolicy();
-    const { answerSizes, clock, quarantine, served, serviceLog, workTimes } = this;
-    this.intake = new OutcomeIntake({
-      answerSizes,
+    const { responseSizes, clock, quarantine, outcomeWindow, serviceLog, processingTimes } = this;
+    this.outcomeRecorder = new OutcomeRecorder({
+      responseSizes,
       clock,
       quarantine,
-      served,
+      outcomeWindow,
       serviceLog,
-      workTimes,
+      processingTimes,
     });
   }
 
-  /** Takes the current targets. */
+  /** Replaces the list of targets. */
   setTargets(records: readonly ITargetRecord[]): void {
     this.targets.set(records);
     this.serveQueue();
   }
 
-  /** Takes changed bounds; what was counted under the former ones stays counted. */
+  /** Changes the limits. Requests and retries counted before the change remain counted. */
   setBounds(bounds: IServiceBounds): void {
     this.bounds = bounds;
     this.retries.setAllowance(bounds.retries);
   }
 
-  /** Decides at once, or puts the request in the queue and calls `respond` later, exactly once. */
+  /** Decides immediately or queues the request. Calls `respond` exactly once, possibly before returning. */
   requestGrant(
     request: IGrantRequest,
     node: string,
@@ -140,9 +141,9 @@
   ): ITicket {
     const nowMs = this.clock.getMonotonicTime();
     const ticket = new Ticket(request, node, nowMs, respond);
-    this.logTakeOver(nowMs);
-    this.lastAskedMs = nowMs;
-    this.statements.applyNamed(request.limits);
+    this.logTakeover(nowMs);
+    this.lastRequestMs = nowMs;
+    this.notices.applyAdvertisedLimits(request.limits);
     if (!request.isRetry && !request.isRepeated) this.retries.recordRequest(nowMs);
     const admitted = this.admission?.check(request, node);
     if (admitted?.kind === 'refused') {
@@ -152,74 +153,78 @@
     ticket.token = admitted?.token;
     const refusal = this.findRefusal(ticket, nowMs);
     if (refusal !== undefined) this.refuse(ticket, refusal);
-    else this.takeNew(ticket);
+    else this.handleNew(ticket);
     return ticket;
   }
 
-  /** Tells what a home goes by that was not asked for a while: it may have taken over. */
-  private logTakeOver(nowMs: number): void {
-    if (nowMs - this.lastAskedMs < TAKE_OVER_MS) return;
-    this.serviceLog.logTakeOver({
+  /** Logs the state of a home that received no grant request for a while: it may have just taken over. */
+  private logTakeover(nowMs: number): void {
+    if (nowMs - this.lastRequestMs < TAKEOVER_IDLE_MS) return;
+    this.serviceLog.logTakeover({
       knowsRetries: this.retries.isComplete(nowMs),
-      retriesElsewhere: this.retries.countElsewhere(nowMs),
+      retriesElsewhere: this.retries.countPeerRetries(nowMs),
       targets: this.targets.size,
     });
   }
 
-  private takeNew(ticket: Ticket): void {
+  private handleNew(ticket: Ticket): void {
     const state = this.getState();
     const ahead = this.queue.countAhead(ticket, this.makeRanking(state));
     if (!this.settle(ticket, ahead, state)) this.queue.push(ticket);
   }
 
-  /** Takes the outcome of a grant, or withdraws a question from the queue. */
+  /** Records the outcome of a grant, or removes a request that is still queued. */
   recordOutcome(
     ticket: ITicket,
     outcome: GrantOutcome,
     latencyMs: number,
-    answer: IReportedAnswer = NO_ANSWER,
+    response: IReportedResponse = NO_RESPONSE,
   ): void {
     if (!(ticket instanceof Ticket)) return;
     this.queue.remove(ticket);
     const { target } = ticket;
     this.releaseToken(ticket, target === undefined ? undefined : outcome);
-    if (target !== undefined) this.statements.record(ticket, target, outcome, answer);
-    if (!this.open.delete(ticket) || target === undefined) return;
+    if (target !== undefined) this.notices.record(ticket, target, outcome, response);
+    if (!this.openGrants.delete(ticket) || target === undefined) return;
     target.inUse -= 1;
-    this.intake.record(ticket, target, { outcome, latencyMs, answerBytes: answer.answerBytes });
+    this.outcomeRecorder.record(ticket, target, {
+      outcome,
+      latencyMs,
+      answerBytes: response.answerBytes,
+    });
     this.serveQueue();
   }
 
-  /** Looks after what time alone changes; to be called several times a second. */
+  /** Handles timeouts of granted and queued requests; must be called several times a second. */
   advance(): void {
     const nowMs = this.clock.getMonotonicTime();
-    for (const ticket of this.open) this.checkOpen(ticket, nowMs);
+    for (const ticket of this.openGrants) this.checkOpenGrant(ticket, nowMs);
     for (const ticket of this.queue.list(() => 0)) {
-      if (!this.isHopeless(ticket, nowMs)) continue;
+      if (!this.isTooLate(ticket, nowMs)) continue;
       this.queue.remove(ticket);
       this.refuse(ticket, ResultCode.QueueTimeout);
     }
     this.serveWaiting(Infinity);
   }
 
-  /** Takes what another home of the service believes of a target. */
-  applyEvidence(targetId: string, bornMs: number | undefined, evidence: ITargetEvidence): void {
+  /** Applies the health estimate that another home of the service has of a target. */
+  applyEvidence(targetId: string, bornMs: number | undefined, evidence: IHealthEvidence): void {
     this.targets.applyEvidence(targetId, bornMs, evidence);
   }
 
-  /** Whether this node was asked for a grant within the last `windowMs`. */
-  isAtWork(windowMs: number): boolean {
-    return this.clock.getMonotonicTime() - this.lastAskedMs < windowMs;
+  /** Whether this node received a grant request within the last `windowMs`. */
+  isActive(windowMs: number): boolean {
+    return this.clock.getMonotonicTime() - this.lastRequestMs < windowMs;
   }
 
-  /** Targets with what is believed of them, for status pages and logs. */
-  listTargets(): readonly BookedTarget[] {
+  /** All targets with their state, for status pages and logs. */
+  listTargets(): readonly TargetState[] {
     return this.targets.list();
   }
 
-  /** Whether so many requests fail that targets without requests have to be used, also doubtful ones. */
+  /** Whether so many requests fail that unused targets, including suspected ones, must be used. */
   isFailing(): boolean {
-    return this.served.isFailing(this.clock.getMonotonicTime());
+    return this.outcomeWindow.isFailing(this.clock.getMonotonicTime());
   }
 
   get queueLength(): number {
@@ -228,8 +233,8 @@
 
   private findRefusal(ticket: Ticket, nowMs: number): ResultCode | undefined {
     if (!this.targets.hasUsable(ticket.request)) return ResultCode.NoTarget;
-    // Retries that wait will be sent too: without them, all that ask while one slot is awaited would be
-    // let in by the last part of the allowance.
+    // Queued retries are going to be sent too. If they weren't counted, every retry that arrives while
+    // the slots are in use would be admitted by the same remainder of the allowance.
     const pending = this.queue.count(({ request }) => request.isRetry);
     if (ticket.request.isRetry && !this.retries.isOpen(nowMs, pending)) {
       return ResultCode.RetryBudgetSpent;
@@ -243,11 +248,11 @@
     return {
       targets,
       model: this.model,
-      workTimes: this.workTimes,
-      answerSizes: this.answerSizes,
+      processingTimes: this.processingTimes,
+      responseSizes: this.responseSizes,
       retriesUsed: this.retries.getUsedShare(nowMs),
-      isFailing: this.served.isFailing(nowMs),
-      use: this.served.getUse(targets, nowMs),
+      isFailing: this.outcomeWindow.isFailing(nowMs),
+      usage: this.outcomeWindow.getUsage(targets, nowMs),
       floorShare: this.bounds.floorShare,
       queued: this.queue.size,
       nowMs,
@@ -255,14 +260,14 @@
   }
 
   private getMeanWorkMs({ objectiveMs, route }: IGrantRequest): number {
-    return this.workTimes.getMeanMs(route, objectiveMs);
+    return this.processingTimes.getMeanMs(route, objectiveMs);
   }
 
-  private isHopeless(ticket: Ticket, nowMs: number): boolean {
+  private isTooLate(ticket: Ticket, nowMs: number): boolean {
     return ticket.endMs - nowMs < this.getMeanWorkMs(ticket.request) / 2;
   }
 
-  /** The request won't run, or hasn't. */
+  /** Settles the quota token of a request; without an outcome the request has not run. */
   private releaseToken(ticket: Ticket, outcome: GrantOutcome | undefined): void {
     if (ticket.token === undefined) return;
     this.admission?.settle(ticket.token, outcome);
@@ -276,23 +281,24 @@
     quota?: IQuotaFacts,
   ): void {
     this.releaseToken(ticket, undefined);
-    // The request of a refused hedge goes on: counted as unserved, hedges would turn spreading on.
-    const isCounted = !ticket.request.isHedge && !REFUSALS_OF_CALLERS.has(code);
-    if (isCounted) this.served.record(false, this.clock.getMonotonicTime());
+    // The original request of a refused hedge is still running. If refused hedges were counted as failed
+    // requests, they would cause requests to be spread over suspected targets.
+    const isCounted = !ticket.request.isHedge && !CALLER_REFUSALS.has(code);
+    if (isCounted) this.outcomeWindow.record(false, this.clock.getMonotonicTime());
     this.serviceLog.logRefusal(ticket, this.targets.list(), {
       code,
       retryAfterMs,
       queue: this.queue.size,
       quota,
       retriesUsed: this.retries.getUsedShare(this.clock.getMonotonicTime()),
-      retriesElsewhere: this.retries.countElsewhere(this.clock.getMonotonicTime()),
+      retriesElsewhere: this.retries.countPeerRetries(this.clock.getMonotonicTime()),
     });
     ticket.settle({ kind: 'refused', code, retryAfterMs });
   }
 
-  /** When a refused caller should come back, in ms. */
+  /** The Retry-After of a rejection, in ms. */
   private computeRetryAfterMs(ticket: Ticket, code: ResultCode): number {
-    if (code === ResultCode.NoTarget) return NO_TARGET_RETRY_MS;
+    if (code === ResultCode.NoTarget) return NO_TARGET_RETRY_AFTER_MS;
     const { request } = ticket;
     if (code === ResultCode.RequestQuarantined) {
       return Math.ceil(this.quarantine.getHoldMs(request.fingerprints));
@@ -300,25 +306,25 @@
     const state = this.getState();
     const ahead = this.queue.countAhead(ticket, this.makeRanking(state));
     const waitMs = this.policy.estimateWaitMs(request, ahead, state);
-    return Math.min(MOST_RETRY_MS, Math.max(LEAST_RETRY_MS, Math.ceil(waitMs)));
+    return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs)));
   }
 
-  /** Grants or refuses; false when the request has to wait. */
+  /** Grants or rejects the request; returns false if it has to wait. */
   private settle(ticket: Ticket, ahead: number, state: IServiceState): boolean {
-    // Also what waits already: the verdict may have come meanwhile.
+    // Checked for queued requests too: the quarantine decision may have been made while they waited.
     if (this.quarantine.getHoldMs(ticket.request.fingerprints) > 0) {
       this.refuse(ticket, ResultCode.RequestQuarantined);
       return true;
     }
     const waitedMs = ticket.getWaitedMs(state.nowMs);
     const decision = this.policy.decide({ request: ticket.request, waitedMs, ahead }, state);
-    if (decision.kind === 'grant') this.settleWith(ticket, decision.target, state.nowMs);
+    if (decision.kind === 'grant') this.settleGranted(ticket, decision.target, state.nowMs);
     if (decision.kind === 'refuse') this.refuse(ticket, decision.code);
     return decision.kind !== 'wait';
   }
 
-  private settleWith(ticket: Ticket, target: BookedTarget, nowMs: number): void {
-    const suspicion = target.belief.getSuspicion(nowMs);
+  private settleGranted(ticket: Ticket, target: TargetState, nowMs: number): void {
+    const suspicion = target.health.getSuspicion(nowMs);
     if (ticket.request.isRetry) this.retries.recordRetry(nowMs);
     this.quarantine.recordGrant(ticket.request);
     target.rateLimit.recordGrant(nowMs);
@@ -327,36 +333,36 @@
     target.lastGrantMs = nowMs;
     ticket.target = target;
     ticket.grantedMs = nowMs;
-    this.open.add(ticket);
+    this.openGrants.add(ticket);
     const needsFreshConnection = this.isReuseRisky(ticket.request, nowMs);
     ticket.settle({ kind: 'granted', target: target.record, suspicion, needsFreshConnection });
   }
 
   /**
-   * While kept connections break, only requests that would be lost with one take new ones; the others
-   * are sent once more. New connections are what a busy fleet pays most for.
+   * While kept connections break, only requests that could not be retried use new connections; the
+   * others are retried. Opening connections is the largest cost of a busy fleet.
    */
   private isReuseRisky({ mayRetry }: IGrantRequest, nowMs: number): boolean {
-    if (!this.intake.isReuseAvoided(nowMs)) return false;
-    return !mayRetry || this.retries.getUsedShare(nowMs) > MOST_USED_FOR_REUSE;
+    if (!this.outcomeRecorder.isReuseAvoided(nowMs)) return false;
+    return !mayRetry || this.retries.getUsedShare(nowMs) > MAX_RETRIES_USED_FOR_REUSE;
   }
 
-  /** Gives out slots that have got free. */
+  /** Grants slots that have become free. */
   private serveQueue(): void {
-    if (this.queue.size > 0) this.serveWaiting(MOST_PASSED_OVER);
+    if (this.queue.size > 0) this.serveWaiting(MAX_SKIPPED);
   }
 
   /**
-   * Settles what can be settled. Outcomes come hundreds of times a second, so a pass for one of them
-   * ends where no slot is free, or where `mostPassedOver` requests would rather wait: those behind
-   * them see the same targets.
+   * Decides the queued requests for which a decision is possible. Outcomes arrive hundreds of times a
+   * second, so a pass after an outcome ends when no slot is free or when `maxSkipped` requests stay
+   * queued: the requests behind them would be offered the same targets.
    */
-  private serveWaiting(mostPassedOver: number): void {
+  private serveWaiting(maxSkipped: number): void {
     let state = this.getState();
     let ahead = 0;
     for (const ticket of this.queue.list(this.makeRanking(state))) {
-      const isBounded = mostPassedOver < Infinity;
-      if (isBounded && (ahead >= mostPassedOver || !hasFreeTarget(state))) return;
+      const isBounded = maxSkipped < Infinity;
+      if (isBounded && (ahead >= maxSkipped || !hasFreeTarget(state))) return;
       if (!this.settle(ticket, ahead, state)) {
         ahead += 1;
         continue;
@@ -373,13 +379,13 @@
     };
   }
 
-  private checkOpen(ticket: Ticket, nowMs: number): void {
-    if (nowMs > ticket.endMs + REPORT_SLACK_MS) {
+  private checkOpenGrant(ticket: Ticket, nowMs: number): void {
+    if (nowMs > ticket.endMs + REPORT_GRACE_MS) {
       this.recordOutcome(ticket, GrantOutcome.Abandoned, nowMs - ticket.grantedMs);
       return;
     }
     const isOverdue = nowMs - ticket.grantedMs > ticket.request.objectiveMs;
-    if (isOverdue && !ticket.isOverdue) this.intake.recordOverdue(ticket);
+    if (isOverdue && !ticket.isOverdue) this.outcomeRecorder.recordOverdue(ticket);
   }
 }
 
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -1,6 +1,6 @@
 /** Computes this home's shares of the tenants' limits. */
 import type { Clock } from '@parsleymux/base';
-import { AT_WORK_MS } from '../../grants/common/homePace.js';
+import { ACTIVE_MS } from '../../grants/common/sharingIntervals.js';
 import { RequestRate } from './requestRate.js';
 
 /** Announcements of other homes expire after this time, in ms: four announcement intervals. */
@@ -68,7 +68,7 @@
   /** Counts a request of a tenant. */
   record(tenant: string): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    if (nowMs - this.lastMs > AT_WORK_MS) this.sinceMs = nowMs;
+    if (nowMs - this.lastMs > ACTIVE_MS) this.sinceMs = nowMs;
     this.lastMs = nowMs;
     this.total.add(nowMs);
     const rate = this.rates.get(tenant) ?? new RequestRate();
@@ -126,7 +126,7 @@
   /** Whether this home started later than another home that has reported the tenant. */
   hasTakenOver(tenant: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
-    const ownMs = this.getAtWorkMs(nowMs);
+    const ownMs = this.getActiveMs(nowMs);
     return this.listOthers(nowMs).some(({ atMs, atWorkMs, tenants }) => {
       return tenants.has(tenant) && atWorkMs + nowMs - atMs > ownMs + SIMULTANEOUS_START_MS;
     });
@@ -146,7 +146,7 @@
       if (isNearLimit || this.isReportedNearLimit(name)) tenants.set(name, { perS, isNearLimit });
     }
     this.addReportedTenants(tenants, nowMs);
-    const atWorkMs = this.getAtWorkMs(nowMs);
+    const atWorkMs = this.getActiveMs(nowMs);
     this.announced = { atWorkMs, total: this.total.getRatePerS(nowMs), tenants, atMs: nowMs };
     return this.announced;
   }
@@ -176,7 +176,7 @@
     }
   }
 
-  private getAtWorkMs(nowMs: number): number {
+  private getActiveMs(nowMs: number): number {
     return this.sinceMs === undefined ? 0 : nowMs - this.sinceMs;
   }
 
