--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -1,4 +1,4 @@
-/** Hands the messages of other nodes to the parts of this one. */
+/** Routes datagrams of other nodes to the components that handle them. */
 import type { DirectoryService } from '../../directory/node/directoryService.js';
 import type { HealthSharing } from '../../grants/common/healthSharing.js';
 import type { DatagramBody } from '../../grants/common/datagramChannel.js';
@@ -8,9 +8,9 @@
 import type { QuotaSharing } from '../../quotas/common/quotaSharing.js';
 import type { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 
-/** Parts of a node that take messages. */
+/** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
-  readonly beliefs: HealthSharing;
+  readonly healthSharing: HealthSharing;
   readonly quarantine: QuarantineSharing;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
@@ -20,7 +20,7 @@
 }
 
 /**
- * Hands a message to the part that it is for.
+ * Passes a datagram to the component that handles its kind.
  *
  * @example
  * channel.setHandler((sender, body) => handleDatagram(handlers, sender, body));
@@ -30,7 +30,7 @@
   sender: string,
   body: DatagramBody,
 ): void {
-  const { beliefs, quarantine, quotas, retries, selector, server, service } = handlers;
+  const { healthSharing, quarantine, quotas, retries, selector, server, service } = handlers;
   switch (body.case) {
     case 'ask':
       server.handleAsk(sender, body.value);
@@ -57,7 +57,7 @@
       service.handleHello(sender);
       break;
     case 'beliefs':
-      beliefs.handleBeliefs(sender, body.value);
+      healthSharing.handleBeliefs(sender, body.value);
       break;
     case 'retryUse':
       retries.handleRetryUse(body.value);
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,4 +1,4 @@
-/** Dispatching directly: homes grant targets, entries send, followers keep everybody up to date. */
+/** Direct dispatching: homes grant targets, entries send requests, followers distribute store tables. */
 export * from './app/node/directNode.js';
 export * from './app/node/directNodeSettings.js';
 export * from './catalog/common/catalog.js';
@@ -10,7 +10,7 @@
 export * from './entry/common/callerProtocol.js';
 export * from './entry/common/entryRequest.js';
 export * from './entry/common/pathHealth.js';
-export * from './entry/common/requestRun.js';
+export * from './entry/common/requestRunner.js';
 export * from './entry/common/targetNotices.js';
 export * from './grants/common/healthSharing.js';
 export * from './grants/common/datagramChannel.js';
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -1,4 +1,4 @@
-/** Nodes that follow one store on simulated time while keys end and the store turns some nodes away. */
+/** Simulates nodes that follow a store while keys are revoked and the store rejects some nodes. */
 import type { ManualClock } from '@parsleymux/base';
 import { SeededRandom, createSilentLogger } from '@parsleymux/base';
 import type { ICatalog, ITargetRecord } from '../catalog/common/catalog.js';
@@ -19,27 +19,27 @@
 import { TENANT_BOUNDS, makeKeyChecker } from './builders.js';
 import { ModelledKeyStore, ROUTE } from './modelledKeyStore.js';
 
-const STORE_MS = 4;
+const STORE_LATENCY_MS = 4;
 const LOST_SHARE = 0.02;
-/** Datagrams that are under way for seconds, as behind a full queue or a cut that heals. */
-const LATE_SHARE = 0.01;
-const LATEST_MS = 4000;
-/** Every datagram to a node behind a full queue takes this much longer, in ms. */
+/** Share of datagrams that are delayed by up to MAX_DELAY_MS, as by a full queue or a healing partition. */
+const DELAYED_SHARE = 0.01;
+const MAX_DELAY_MS = 4000;
+/** Additional delay of every datagram to a node behind a full queue, in ms, and the share of such nodes. */
 const QUEUE_MS = 6000;
 const QUEUE_SHARE = 0.1;
 const POLL_MS = 5;
-/** When the store comes back, in ms of the run, and how many changes it has lost then. */
+/** When the store is restored from an older copy, in ms of the run, and how many changes it loses. */
 const RESTORES_MS = [3500, 10_600];
 const LOST_CHANGES = 2;
-/** From then on nodes are cut off, and until then, in ms after the store came back. */
-const CUT_AFTER_MS = 1000;
-const CUT_SHARE = 0.3;
-const HEALED_AFTER_MS = 7000;
+/** Start and end of the partition of some nodes, in ms after the restore, and the share of these nodes. */
+const PARTITION_AFTER_MS = 1000;
+const PARTITION_SHARE = 0.3;
+const PARTITION_END_MS = 7000;
 
-/** Who proves that a node's keys are the newest. */
-export type ProofWay = 'followers' | 'every-node';
+/** Whether nodes prove their keys to be the newest through the store followers or by their own reads. */
+export type ProofMode = 'followers' | 'every-node';
 
-/** One node's way to the store. */
+/** One node's access to a table of the store. */
 class ModelledTable<T> extends AuthorityTable<T> {
   override readonly malformedRows = 0;
 
@@ -66,13 +66,13 @@
     for (;;) {
       const rows = this.listRows();
       if (store.version < after) {
-        throw new StoreCallError(StoreFailure.HistoryLost, 'a version that is not there');
+        throw new StoreCallError(StoreFailure.HistoryLost, 'version does not exist');
       }
       if (rows.version > after) return rows;
       const { era, version } = store;
       if (clock.getMonotonicTime() >= endMs) return { era, version, changes: [] };
       await clock.sleep(POLL_MS, signal);
-      this.node.throwIfTurnedAway();
+      this.node.throwIfRejected();
     }
   }
 }
@@ -118,38 +118,38 @@
   override send(address: string, body: DatagramBody): void {
     const { clock, nodes, random } = this.fleet;
     if (random.getFloat() < LOST_SHARE) return;
-    const isCut = [this.address, address].some((one) => nodes.get(one)?.isCutOff === true);
+    const isCut = [this.address, address].some((one) => nodes.get(one)?.isPartitioned === true);
     if (isCut) return;
-    const isLate = random.getFloat() < LATE_SHARE;
+    const isLate = random.getFloat() < DELAYED_SHARE;
     const queuedMs = nodes.get(address)?.isBehindQueue === true ? QUEUE_MS : 0;
-    const delayMs = 1 + queuedMs + random.getFloat() * (isLate ? LATEST_MS : 4);
+    const delayMs = 1 + queuedMs + random.getFloat() * (isLate ? MAX_DELAY_MS : 4);
     clock.startTimer(delayMs, () => nodes.get(address)?.receive(this.address, body));
   }
 
   override setHandler(): void {
-    // Nodes are found by their addresses.
+    // Datagrams are passed to nodes by their addresses.
   }
 
   override dispose(): void {
-    // Nothing is open.
+    // Holds no resources.
   }
 }
 
 class LeaseNode {
-  isTurnedAway = false;
+  isRejectedByStore = false;
   isBehindQueue = false;
-  /** Reaches neither the store nor other nodes. */
-  isCutOff = false;
+  /** Whether the node reaches neither the store nor other nodes. */
+  isPartitioned = false;
   readonly directory: NodeDirectory;
   readonly checker: KeyChecker;
   private readonly service: DirectoryService;
-  private readonly ownReads: StoreFollower<ICatalog>;
+  private readonly ownFollower: StoreFollower<ICatalog>;
 
   constructor(
     readonly fleet: LeaseFleet,
     readonly member: IMember,
   ) {
-    const { clock, random, way } = fleet;
+    const { clock, random, proofMode } = fleet;
     this.directory = new NodeDirectory(clock);
     this.checker = makeKeyChecker(clock, this.directory);
     const authority = new ModelledAuthority(this);
@@ -164,10 +164,10 @@
       self: member,
       isFirstStart: false,
       seeds: [],
-      keyLeaseMs: way === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
+      keyLeaseMs: proofMode === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
       isAsked: () => true,
     });
-    this.ownReads = new StoreFollower({
+    this.ownFollower = new StoreFollower({
       table: this.directory.catalog,
       source: new CatalogSource({ source: authority.catalog, directory: this.directory, clock }),
       pace: { pauseMs: 10, waitMs: 625 },
@@ -182,9 +182,9 @@
   }
 
   start(signal: AbortSignal): readonly Promise<void>[] {
-    const { way } = this.fleet;
+    const { proofMode } = this.fleet;
     const running = [this.service.run(signal)];
-    return way === 'followers' ? running : [...running, this.ownReads.run(signal)];
+    return proofMode === 'followers' ? running : [...running, this.ownFollower.run(signal)];
   }
 
   receive(sender: string, body: DatagramBody): void {
@@ -195,13 +195,13 @@
 
   async requestStore(signal: AbortSignal): Promise<void> {
     this.fleet.store.calls += 1;
-    await this.fleet.clock.sleep(STORE_MS, signal);
-    this.throwIfTurnedAway();
+    await this.fleet.clock.sleep(STORE_LATENCY_MS, signal);
+    this.throwIfRejected();
   }
 
-  throwIfTurnedAway(): void {
-    if (this.isTurnedAway || this.isCutOff)
-      throw new StoreCallError(StoreFailure.Busy, 'turned away');
+  throwIfRejected(): void {
+    if (this.isRejectedByStore || this.isPartitioned)
+      throw new StoreCallError(StoreFailure.Busy, 'rejected');
   }
 
   isServed(key: string): boolean {
@@ -209,11 +209,11 @@
   }
 }
 
-/** What came of a run. */
-export interface ILeaseFigures {
-  /** Ended keys that a node served later than the lease, in looks at a node. */
+/** The results of a run. */
+export interface ILeaseResults {
+  /** Number of checks in which a node accepted a revoked key after the lease. */
   readonly servedTooLate: number;
-  /** Time for which nodes that reach others refused a key that held, added over all nodes, in s. */
+  /** Total time for which connected nodes refused a valid key, summed over all nodes, in s. */
   readonly withoutServiceS: number;
   readonly callsPerS: number;
 }
@@ -223,29 +223,31 @@
   readonly clock: ManualClock;
   readonly seed: number;
   readonly nodes: number;
-  readonly way: ProofWay;
-  /** Whether the store comes back from older copies while keys end. Default false. */
+  readonly proofMode: ProofMode;
+  /** Whether the store is restored from older copies while keys are revoked. Default: false. */
   readonly restores?: boolean;
 }
 
 /**
+ * Runs the nodes, and checks which keys they accept.
+ *
  * @example
- * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, way: 'followers' }).run();
+ * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, proofMode: 'followers' }).run();
  */
 export class LeaseFleet {
   readonly clock: ManualClock;
   readonly random: SeededRandom;
   readonly store: ModelledKeyStore;
-  readonly way: ProofWay;
+  readonly proofMode: ProofMode;
   readonly members: { readonly key: string; readonly value: IMember }[];
   readonly nodes = new Map<string, LeaseNode>();
 
   private readonly restores: boolean;
 
-  constructor({ clock, nodes, restores = false, seed, way }: ILeaseFleetOptions) {
+  constructor({ clock, nodes, restores = false, seed, proofMode }: ILeaseFleetOptions) {
     this.clock = clock;
     this.restores = restores;
-    this.way = way;
+    this.proofMode = proofMode;
     this.random = new SeededRandom(seed);
     this.store = new ModelledKeyStore(clock);
     this.members = Array.from({ length: nodes }, (_, index) => makeMember(index));
@@ -255,10 +257,10 @@
   }
 
   /**
-   * From 4 s to 13 s a third of the nodes is turned away, the first followers among them, some receive datagrams
-   * seconds late, and keys end.
+   * From 4 s to 13 s, the store rejects a third of the nodes, including the first followers, some nodes
+   * receive datagrams seconds late, and keys are revoked.
    */
-  async run(): Promise<ILeaseFigures> {
+  async run(): Promise<ILeaseResults> {
     const end = new AbortController();
     const running = [...this.nodes.values()].flatMap((node) => node.start(end.signal));
     const figures = { servedTooLate: 0, withoutServiceS: 0, callsPerS: 0 };
@@ -266,11 +268,11 @@
     const callsBefore = this.store.calls;
     for (let ms = 3000; ms < 18_000; ms += 50) {
       if (ms === 4000) this.startOutage();
-      if (ms === 13_000) for (const node of this.nodes.values()) node.isTurnedAway = false;
-      if (ms >= 4000 && ms % 1250 === 0) this.store.endKey();
+      if (ms === 13_000) for (const node of this.nodes.values()) node.isRejectedByStore = false;
+      if (ms >= 4000 && ms % 1250 === 0) this.store.revokeKey();
       if (this.restores) this.updateStore(ms);
       await this.clock.advanceBy(50);
-      for (const node of this.nodes.values()) this.look(node, figures);
+      for (const node of this.nodes.values()) this.checkNode(node, figures);
     }
     end.abort();
     await Promise.allSettled(running);
@@ -278,27 +280,33 @@
   }
 
   /**
-   * A key ends that no node hears of before the store has lost it; then some nodes are cut off with what
-   * they have read of the older copy.
+   * Restores the store, which loses the revocation of a key before any node reads it. Then some nodes are
+   * partitioned with the state that they have read from the older copy.
    */
   private updateStore(ms: number): void {
     if (RESTORES_MS.includes(ms)) {
-      this.store.endKey();
+      this.store.revokeKey();
       this.store.restore(LOST_CHANGES);
     }
     for (const node of this.nodes.values()) {
-      if (RESTORES_MS.includes(ms - CUT_AFTER_MS) && this.random.getFloat() < CUT_SHARE) {
-        node.isCutOff = true;
+      if (
+        RESTORES_MS.includes(ms - PARTITION_AFTER_MS) &&
+        this.random.getFloat() < PARTITION_SHARE
+      ) {
+        node.isPartitioned = true;
       }
-      if (RESTORES_MS.includes(ms - HEALED_AFTER_MS)) node.isCutOff = false;
+      if (RESTORES_MS.includes(ms - PARTITION_END_MS)) node.isPartitioned = false;
     }
   }
 
-  private look(node: LeaseNode, figures: { servedTooLate: number; withoutServiceS: number }): void {
+  private checkNode(
+    node: LeaseNode,
+    figures: { servedTooLate: number; withoutServiceS: number },
+  ): void {
     const nowMs = this.clock.getMonotonicTime();
     const leaseMs = TENANT_BOUNDS.keyLeaseMs ?? 0;
-    for (const [key, endedMs] of this.store.endedMs) {
-      if (nowMs - endedMs > leaseMs && node.isServed(key)) figures.servedTooLate += 1;
+    for (const [key, revokedMs] of this.store.revokedMs) {
+      if (nowMs - revokedMs > leaseMs && node.isServed(key)) figures.servedTooLate += 1;
     }
     if (!node.isBehindQueue && !node.isServed(this.store.lastKey)) figures.withoutServiceS += 0.05;
   }
@@ -312,7 +320,7 @@
     for (const node of nodes) {
       const isFirst = first.has(node.member.address);
       node.isBehindQueue = !isFirst && this.random.getFloat() < QUEUE_SHARE;
-      node.isTurnedAway = isFirst || node.isBehindQueue || this.random.getFloat() < 0.33;
+      node.isRejectedByStore = isFirst || node.isBehindQueue || this.random.getFloat() < 0.33;
     }
   }
 }
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -93,7 +93,7 @@
     return undefined;
   }
 
-  override listAnswerHeaders(): readonly [] {
+  override listLocalResponseHeaders(): readonly [] {
     return [];
   }
 
@@ -142,7 +142,7 @@
   const node = new DirectNode({
     settings,
     authority: new EmptyAuthority(),
-    cases: new EmptyCaseStore(),
+    quarantineStore: new EmptyCaseStore(),
     protocol: {
       callers: new SilentCallers(),
       targets: new MuxTargetProtocol(),
