--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -6,12 +6,12 @@
 import type { HomeSelector } from '../../grants/common/homeSelector.js';
 import type { RetrySharing } from '../../grants/common/retrySharing.js';
 import type { QuotaSharing } from '../../quotas/common/quotaSharing.js';
-import type { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
+import type { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
 
 /** Parts of a node that take messages. */
 export interface IDatagramHandlers {
   readonly beliefs: BeliefSharing;
-  readonly quarantine: QuarantineSharing;
+  readonly quarantine: QuarantineGossip;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
   readonly selector: HomeSelector;
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -24,9 +24,9 @@
 import { BeliefSharing } from '../../grants/common/beliefSharing.js';
 import { RetrySharing } from '../../grants/common/retrySharing.js';
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
-import { CaseKeeper } from '../../quarantine/common/caseKeeper.js';
-import type { CaseStore } from '../../quarantine/common/caseStore.js';
-import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
+import { QuarantinePersister } from '../../quarantine/common/quarantinePersister.js';
+import type { QuarantineStore } from '../../quarantine/common/quarantineStore.js';
+import { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
 import type { IServiceBounds } from '../../home/common/serviceBook.js';
@@ -69,7 +69,7 @@
 export interface IDirectNodeOptions {
   readonly settings: IDirectNodeSettings;
   readonly authority: Authority;
-  readonly cases: CaseStore;
+  readonly cases: QuarantineStore;
   readonly protocol: IDeploymentProtocol;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -154,7 +154,7 @@
     );
     this.retrySharing = retries;
     const quarantine = this.store.add(
-      new QuarantineSharing({
+      new QuarantineGossip({
         channel,
         clock,
         random,
@@ -177,7 +177,8 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () => this.front?.connections.hasOpened === true || homes.listBooks().length > 0,
+      hasReceivedRequests: () =>
+        this.front?.connections.hasOpened === true || homes.listBooks().length > 0,
     });
     this.directoryService = this.store.add(service);
     channel.setHandler((sender, body) => {
@@ -243,12 +244,12 @@
     return homes;
   }
 
-  private createKeeper(sharing: QuarantineSharing, service: DirectoryService): CaseKeeper {
+  private createKeeper(sharing: QuarantineGossip, service: DirectoryService): QuarantinePersister {
     const { cases, clock, log, settings } = this.options;
-    return new CaseKeeper({
+    return new QuarantinePersister({
       clock,
       log,
-      sharing,
+      gossip: sharing,
       quarantine: this.quarantine,
       store: cases,
       isReader: () => service.isFollower,
--- a/packages/dispatch/src/app/node/heldRequests.ts
+++ b/packages/dispatch/src/app/node/heldRequests.ts
@@ -13,7 +13,7 @@
     help: 'Requests that are held back, or may only be tried, for targets crashed under them.',
     registers: [registry],
     collect() {
-      this.set(quarantine.listConvicted().length);
+      this.set(quarantine.listQuarantined().length);
     },
   });
 }
--- a/packages/dispatch/src/catalog/common/catalog.ts
+++ b/packages/dispatch/src/catalog/common/catalog.ts
@@ -85,7 +85,7 @@
  * @example
  * if (!isSameLife(known, record)) forget(known);
  */
-export function isSameLife(left: ITargetRecord, right: ITargetRecord): boolean {
+export function isSameIncarnation(left: ITargetRecord, right: ITargetRecord): boolean {
   return left.id === right.id && left.bornMs === right.bornMs;
 }
 
@@ -95,7 +95,7 @@
  * @example
  * formatLife(target); // 'i-7f3a/1780000000000'
  */
-export function formatLife({ bornMs, id }: ITargetRecord): string {
+export function formatIncarnation({ bornMs, id }: ITargetRecord): string {
   return bornMs === undefined ? id : `${id}/${bornMs}`;
 }
 
@@ -107,7 +107,7 @@
  * @example
  * if (isEarlierLife(known, next)) return known;
  */
-export function isEarlierLife(known: ITargetRecord, next: ITargetRecord): boolean {
+export function isEarlierIncarnation(known: ITargetRecord, next: ITargetRecord): boolean {
   const { bornMs } = known;
   return bornMs !== undefined && (next.bornMs ?? -Infinity) < bornMs;
 }
--- a/packages/dispatch/src/catalog/common/destinationPicker.ts
+++ b/packages/dispatch/src/catalog/common/destinationPicker.ts
@@ -17,11 +17,11 @@
     const { destinations } = route;
     if (destinations.length <= 1) return destinations[0]?.service;
     const total = destinations.reduce((sum, { weight }) => sum + weight, 0);
-    return findAt(destinations, this.random.getFloat() * total);
+    return findServiceAt(destinations, this.random.getFloat() * total);
   }
 }
 
-function findAt(destinations: readonly IDestination[], point: number): string | undefined {
+function findServiceAt(destinations: readonly IDestination[], point: number): string | undefined {
   let left = point;
   for (const { service, weight } of destinations) {
     left -= weight;
--- a/packages/dispatch/src/catalog/common/routeTable.ts
+++ b/packages/dispatch/src/catalog/common/routeTable.ts
@@ -29,7 +29,7 @@
   match(hostHeader: string, path: string): RouteMatch {
     const prefixes = this.hosts.get(parseHost(hostHeader));
     if (prefixes === undefined) return { kind: 'unknown-host' };
-    const route = findLongest(prefixes, removeQuery(path));
+    const route = findLongestPrefix(prefixes, removeQuery(path));
     return route === undefined ? { kind: 'unknown-path' } : { kind: 'found', route };
   }
 }
@@ -43,7 +43,7 @@
   return mark === -1 ? path : path.slice(0, mark);
 }
 
-function findLongest(
+function findLongestPrefix(
   prefixes: ReadonlyMap<string, IRouteRule>,
   path: string,
 ): IRouteRule | undefined {
--- a/packages/dispatch/src/directory/common/catalogSource.ts
+++ b/packages/dispatch/src/directory/common/catalogSource.ts
@@ -7,7 +7,7 @@
 import type { NodeDirectory } from './nodeDirectory.js';
 
 /** What the operator wrote is written again within this time after the store came back, in ms. */
-const REWRITTEN_MS = 2500;
+const REWRITE_GRACE_MS = 2500;
 
 /** Options of a {@link CatalogSource}. */
 export interface ICatalogSourceOptions {
@@ -40,7 +40,7 @@
     const sentAt = readInstant(this.options.clock);
     const content = await this.options.source.readAll(signal);
     if (content.changes.length === 0) this.advanceTenants(content);
-    return this.take(content, sentAt);
+    return this.applyRead(content, sentAt);
   }
 
   override async readChanges(
@@ -50,7 +50,7 @@
   ): Promise<ITableChanges<ICatalog>> {
     if (this.isBehind(after)) return this.readAll(signal);
     const sentAt = readInstant(this.options.clock);
-    return this.take(await this.options.source.readChanges(after, waitMs, signal), sentAt);
+    return this.applyRead(await this.options.source.readChanges(after, waitMs, signal), sentAt);
   }
 
   /** A peer may have passed the configuration on, and its tenants not yet. */
@@ -61,10 +61,10 @@
     return tenants.era < catalog.era || (tenants.version ?? -Infinity) < version;
   }
 
-  private take(content: ITableChanges<ICatalog>, sentAt: IInstant): ITableChanges<ICatalog> {
+  private applyRead(content: ITableChanges<ICatalog>, sentAt: IInstant): ITableChanges<ICatalog> {
     if (content.isPartial === true) return content;
     const { tenants } = this.options.directory;
-    const changes = content.changes.map((change) => this.takeEntry(change, content));
+    const changes = content.changes.map((change) => this.applyEntry(change, content));
     const readMs = sentAt.monotonicMs;
     // Nothing changed up to this version.
     if (tenants.version !== undefined && tenants.version < content.version) {
@@ -84,7 +84,7 @@
       this.newestEra = era;
     }
     if (this.restoredAt === undefined) return true;
-    return measureElapsedMs(this.options.clock, this.restoredAt) >= REWRITTEN_MS;
+    return measureElapsedMs(this.options.clock, this.restoredAt) >= REWRITE_GRACE_MS;
   }
 
   /** What is kept of a newer state is newer than what the read has shown. */
@@ -92,7 +92,7 @@
     return { era, version, isRetained: this.options.directory.tenants.isRetaining };
   }
 
-  private takeEntry(change: ITableChange<ICatalog>, state: ITableState): ITableChange<ICatalog> {
+  private applyEntry(change: ITableChange<ICatalog>, state: ITableState): ITableChange<ICatalog> {
     if (change.value === undefined) return change;
     const { tenants, ...catalog } = change.value;
     const { clock, directory } = this.options;
--- a/packages/dispatch/src/directory/common/echoTokens.ts
+++ b/packages/dispatch/src/directory/common/echoTokens.ts
@@ -24,7 +24,7 @@
  * const sentAfter = tokens.find(message.echo);
  */
 export class EchoTokens {
-  private readonly moments = new Map<bigint, IInstant>();
+  private readonly createdAt = new Map<bigint, IInstant>();
   private last: bigint;
 
   constructor(private readonly options: IEchoTokensOptions) {
@@ -34,14 +34,14 @@
   /** A new token; made now. */
   create(): bigint {
     this.last += 1n;
-    this.moments.set(this.last, readInstant(this.options.clock));
-    const [oldest] = this.moments.keys();
-    if (this.moments.size > MAX_TOKENS && oldest !== undefined) this.moments.delete(oldest);
+    this.createdAt.set(this.last, readInstant(this.options.clock));
+    const [oldest] = this.createdAt.keys();
+    if (this.createdAt.size > MAX_TOKENS && oldest !== undefined) this.createdAt.delete(oldest);
     return this.last;
   }
 
   /** When a token was made; undefined for one that is unknown or too old. */
   find(token: bigint): IInstant | undefined {
-    return this.moments.get(token);
+    return this.createdAt.get(token);
   }
 }
--- a/packages/dispatch/src/directory/common/followedTable.test.ts
+++ b/packages/dispatch/src/directory/common/followedTable.test.ts
@@ -146,7 +146,7 @@
   assert.equal(targets.get('t1'), undefined);
 });
 
-const GRACE = { missingMs: 2000, droppedMs: 6000 };
+const GRACE = { missingMs: 2000, removedMs: 6000 };
 
 function makeRestorable(clock: ManualClock): FollowedTable<string> {
   return new FollowedTable<string>({
@@ -213,7 +213,7 @@
   assert.deepEqual(table.listWithheld(), ['b']);
   assert.ok(table.isRetaining, 'also after the authority was read again');
   // What lives is written about, or the store itself removes it in that time.
-  await clock.advanceBy(GRACE.droppedMs);
+  await clock.advanceBy(GRACE.removedMs);
   table.apply(80, { era: 2, version: 81, changes: [] }, 0);
   assert.equal(table.get('b'), 'ready');
 });
--- a/packages/dispatch/src/directory/common/followedTable.ts
+++ b/packages/dispatch/src/directory/common/followedTable.ts
@@ -5,12 +5,12 @@
 import { RestoredEntries } from './restoredEntries.js';
 
 /** Changes are kept this long for peers that missed an update, in ms: several updates. */
-const KEPT_MS = 5000;
+const RECENT_CHANGES_MS = 5000;
 /** By then all that the authority has lost was written again, or is gone, in ms. */
-const RETAINED_MS = 15_000;
-const NO_GRACE: IRestoreGrace = { missingMs: 0, droppedMs: 0 };
+const RETENTION_MS = 15_000;
+const NO_GRACE: IRestoreGrace = { missingMs: 0, removedMs: 0 };
 
-interface IKeptChange<T> extends ITableChange<T> {
+interface IRecentChange<T> extends ITableChange<T> {
   readonly version: number;
   readonly atMs: number;
 }
@@ -20,7 +20,7 @@
   /** Entries that the older state lacks stay so long: whoever wrote them writes them again. */
   readonly missingMs: number;
   /** Entries that were dropped stay away so long, though the older state has them. */
-  readonly droppedMs: number;
+  readonly removedMs: number;
 }
 
 /** Options of a {@link FollowedTable}. */
@@ -46,9 +46,9 @@
  */
 export class FollowedTable<T> {
   private readonly entries = new Map<string, T>();
-  private readonly kept: IKeptChange<T>[] = [];
+  private readonly recentChanges: IRecentChange<T>[] = [];
   /** Changes after this version are all in `kept`. */
-  private keptAfter = 0;
+  private recentAfter = 0;
   private currentVersion: number | undefined;
   private currentEra = 0;
   private restoredMs = -Infinity;
@@ -146,8 +146,8 @@
     this.currentEra = era;
     const all = [...content.changes, ...dropped];
     const changes = this.listAccepted(all, isRestored);
-    if (isRestored) this.takeRestored(changes, changes.length < all.length, version, readMs);
-    else this.takeChanges(changes, version, readMs);
+    if (isRestored) this.applyRestored(changes, changes.length < all.length, version, readMs);
+    else this.applyChanges(changes, version, readMs);
     if (isRetained === true) this.retainedUntilMs = this.getRetainEndMs();
     // The authority itself doesn't say; what it lacks is still kept here then.
     if (isRetained === false && !isRestored) this.endRetaining();
@@ -161,7 +161,7 @@
   advanceEra(era: number, version: number, readMs: number): void {
     if (this.currentVersion === undefined || era <= this.currentEra) return;
     this.currentEra = era;
-    this.takeRestored([], true, version, readMs);
+    this.applyRestored([], true, version, readMs);
     this.restoredEmitter.fire(era);
   }
 
@@ -174,7 +174,7 @@
     if (era < this.currentEra) return true;
     const current = this.currentVersion;
     if (era > this.currentEra || current === undefined || current < after) return false;
-    if (version >= current) this.takeChanges(content.changes, version, readMs);
+    if (version >= current) this.applyChanges(content.changes, version, readMs);
     return true;
   }
 
@@ -185,19 +185,22 @@
    * const { after, content } = table.listRecent(peerVersion);
    */
   listRecent(known = 0): { readonly after: number; readonly content: ITableChanges<T> } {
-    const oldestMs = this.options.clock.getMonotonicTime() - KEPT_MS;
-    const firstKept = this.kept.findIndex(({ atMs }) => atMs >= oldestMs);
-    const removed = this.kept.splice(0, firstKept === -1 ? this.kept.length : firstKept);
+    const oldestMs = this.options.clock.getMonotonicTime() - RECENT_CHANGES_MS;
+    const firstKept = this.recentChanges.findIndex(({ atMs }) => atMs >= oldestMs);
+    const removed = this.recentChanges.splice(
+      0,
+      firstKept === -1 ? this.recentChanges.length : firstKept,
+    );
     const newestRemoved = removed[removed.length - 1];
-    if (newestRemoved !== undefined) this.keptAfter = newestRemoved.version;
-    const after = Math.max(known, this.keptAfter);
-    const changes = listNewest(this.kept.filter(({ version }) => version > after));
+    if (newestRemoved !== undefined) this.recentAfter = newestRemoved.version;
+    const after = Math.max(known, this.recentAfter);
+    const changes = listNewest(this.recentChanges.filter(({ version }) => version > after));
     const { currentEra: era, isRetaining: isRetained } = this;
     return { after, content: { era, isRetained, version: this.currentVersion ?? 0, changes } };
   }
 
   /** Changes to an older state; `isCut` if some of them are not believed yet. */
-  private takeRestored(
+  private applyRestored(
     changes: readonly ITableChange<T>[],
     isCut: boolean,
     version: number,
@@ -206,24 +209,24 @@
     const isRetained = isCut || changes.some((change) => this.isRegression(change));
     this.restoredMs = this.options.clock.getMonotonicTime();
     if (isRetained) this.retainedUntilMs = this.getRetainEndMs();
-    this.takeChanges(changes, version, readMs);
-    this.clearKept(version);
+    this.applyChanges(changes, version, readMs);
+    this.clearRecentChanges(version);
   }
 
   /** Who has not fetched the table by now lacks what is not kept for it. */
-  private clearKept(version: number): void {
-    this.kept.length = 0;
-    this.keptAfter = version;
+  private clearRecentChanges(version: number): void {
+    this.recentChanges.length = 0;
+    this.recentAfter = version;
   }
 
   private getRetainEndMs(): number {
-    return this.options.clock.getMonotonicTime() + RETAINED_MS;
+    return this.options.clock.getMonotonicTime() + RETENTION_MS;
   }
 
   private endRetaining(): void {
     if (this.retainedUntilMs === -Infinity) return;
     this.retainedUntilMs = -Infinity;
-    this.clearKept(this.currentVersion ?? 0);
+    this.clearRecentChanges(this.currentVersion ?? 0);
   }
 
   private isRegression({ key, value }: ITableChange<T>): boolean {
@@ -240,16 +243,16 @@
     const { restored } = this;
     return changes.filter((change) => {
       const { key, value } = change;
-      if (!isRestored) return !restored.isAwaited(key);
+      if (!isRestored) return !restored.isPending(key);
       if (value === undefined) return !restored.tryRetain(key);
       return this.entries.has(key) || !restored.tryWithhold(change);
     });
   }
 
-  private takeChanges(changes: readonly ITableChange<T>[], version: number, readMs: number): void {
+  private applyChanges(changes: readonly ITableChange<T>[], version: number, readMs: number): void {
     const atMs = this.options.clock.getMonotonicTime();
     if (atMs >= this.retainedUntilMs) this.endRetaining();
-    if (this.currentVersion === undefined) this.keptAfter = version;
+    if (this.currentVersion === undefined) this.recentAfter = version;
     this.currentVersion = version;
     this.freshMs = Math.max(this.freshMs, readMs);
     for (const { key } of changes) this.restored.clear(key);
@@ -258,13 +261,13 @@
       .filter(({ key }) => !changes.some((one) => one.key === key));
     const real = listNewest([...due, ...changes]).filter((change) => this.isChange(change));
     for (const change of real) {
-      if (change.value === undefined) this.restored.recordDropped(change.key);
+      if (change.value === undefined) this.restored.recordRemoved(change.key);
       this.setEntry(change);
     }
     // What is no news here may be to a peer that has read the older state by itself.
-    const isForAll = atMs - this.restoredMs < RETAINED_MS;
+    const isForAll = atMs - this.restoredMs < RETENTION_MS;
     const passedOn = isForAll ? listNewest([...due, ...changes]) : real;
-    for (const change of passedOn) this.kept.push({ ...change, version, atMs });
+    for (const change of passedOn) this.recentChanges.push({ ...change, version, atMs });
     if (real.length > 0) this.changed.fire(real);
   }
 
--- a/packages/dispatch/src/directory/common/followerRole.ts
+++ b/packages/dispatch/src/directory/common/followerRole.ts
@@ -6,7 +6,7 @@
 /** Each further node waits this much longer, in ms, so that one alone takes over. */
 const TAKE_OVER_STEP_MS = 150;
 /** No node's copy gets older than this without a read of its own, in ms. */
-const OLDEST_MS = 1600;
+const MAX_AGE_MS = 1600;
 
 /** Options of a {@link FollowerRole}. */
 export interface IFollowerRoleOptions {
@@ -25,13 +25,13 @@
  * if (role.hasToRead(table.getAgeMs())) await read();
  */
 export class FollowerRole {
-  private isActing = false;
+  private hasTakenOver = false;
 
   constructor(private readonly options: IFollowerRoleOptions) {}
 
   /** Whether this node reads the store for its failure domain now. */
   isFollower(): boolean {
-    return this.isActing || this.getRank() === 0;
+    return this.hasTakenOver || this.getRank() === 0;
   }
 
   /** Whether this node is the first in order. */
@@ -42,23 +42,23 @@
   /** Whether a copy of this age has to be read by this node. */
   hasToRead(ageMs: number): boolean {
     if (this.isFollower()) return true;
-    if (ageMs <= this.getMostAgeMs()) return false;
-    this.isActing = true;
+    if (ageMs <= this.getMaxAgeMs()) return false;
+    this.hasTakenOver = true;
     return true;
   }
 
   /** Age up to which a copy of this node needs no read of its own, in ms. */
-  getMostAgeMs(): number {
+  getMaxAgeMs(): number {
     if (this.isFollower()) return 0;
     const waitMs = TAKE_OVER_MS + TAKE_OVER_STEP_MS * Math.max(0, this.getRank() - 1);
-    return Math.min(OLDEST_MS, waitMs);
+    return Math.min(MAX_AGE_MS, waitMs);
   }
 
   /** A peer sent an update. */
   recordUpdate(sender: string): void {
     const ranking = this.options.rankFollowers();
     const rank = ranking.indexOf(sender);
-    if (rank !== -1 && rank < this.getRank()) this.isActing = false;
+    if (rank !== -1 && rank < this.getRank()) this.hasTakenOver = false;
   }
 
   private getRank(): number {
--- a/packages/dispatch/src/directory/common/strongMembers.test.ts
+++ b/packages/dispatch/src/directory/common/highCapacityMembers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { IMember } from './authority.js';
-import { listStrong } from './strongMembers.js';
+import { listHighCapacityMembers } from './highCapacityMembers.js';
 
 function makeMembers(...groups: readonly (readonly [count: number, capacity: number])[]) {
   return groups.flatMap(([count, capacity]): IMember[] => {
@@ -21,23 +21,23 @@
   // them tells sixty others the news, and one decides for 508 requests a second. Cause: nodes of at
   // least the median capacity were taken, and the median was the weakest kind.
   const members = makeMembers([15, 1.35], [278, 0.2]);
-  assert.deepEqual(listStrong(members), members.slice(0, 15));
+  assert.deepEqual(listHighCapacityMembers(members), members.slice(0, 15));
 });
 
 test('VMs that are alike all work for others', () => {
-  assert.equal(listStrong(makeMembers([40, 0.54], [8, 0.5])).length, 48);
+  assert.equal(listHighCapacityMembers(makeMembers([40, 0.54], [8, 0.5])).length, 48);
 });
 
 test('strong VMs that could not bear the work of all share it with those of usual capacity', () => {
-  assert.equal(listStrong(makeMembers([2, 1.35], [30, 0.5], [10, 0.1]), 3).length, 32);
-  assert.equal(listStrong(makeMembers([15, 1.35], [2085, 0.2])).length, 2100);
-  assert.deepEqual(listStrong([]), []);
+  assert.equal(listHighCapacityMembers(makeMembers([2, 1.35], [30, 0.5], [10, 0.1]), 3).length, 32);
+  assert.equal(listHighCapacityMembers(makeMembers([15, 1.35], [2085, 0.2])).length, 2100);
+  assert.deepEqual(listHighCapacityMembers([]), []);
 });
 
 test('the last strong VM of a failure domain goes on telling the others the news', () => {
   // Symptom: as above, in the middle of a day. Sequence: of three strong VMs of a failure domain two
   // restart. Cause: the third alone was too few, so a weak one was as good as it.
   const members = makeMembers([1, 1.35], [57, 0.2]);
-  assert.deepEqual(listStrong(members), members.slice(0, 1));
-  assert.equal(listStrong(members, 3).length, 58);
+  assert.deepEqual(listHighCapacityMembers(members), members.slice(0, 1));
+  assert.equal(listHighCapacityMembers(members, 3).length, 58);
 });
--- a/packages/dispatch/src/directory/common/strongMembers.ts
+++ b/packages/dispatch/src/directory/common/highCapacityMembers.ts
@@ -5,12 +5,12 @@
  * Nodes of at least this share of the strongest one's capacity count as strong: several times the
  * others where VMs differ much, all of them where they are alike.
  */
-const STRONG_SHARE = 0.5;
+const HIGH_CAPACITY_SHARE = 0.5;
 /**
  * Share of the whole capacity that the strong ones must hold to do all of that work alone. Deciding for
  * others and telling them the news takes about a twentieth of the processor time of a fleet.
  */
-const ENOUGH_SHARE = 0.1;
+const MIN_TOTAL_SHARE = 0.1;
 /**
  * The strongest members where they can bear it and are `fewest` at least; else those of at least the
  * median capacity, never less than half. Most VMs of a large fleet are weak: as a home, one with a
@@ -20,11 +20,14 @@
  * @example
  * const homes = listStrong(directory.members.listValues(), 3);
  */
-export function listStrong(members: readonly IMember[], fewest = 1): readonly IMember[] {
+export function listHighCapacityMembers(
+  members: readonly IMember[],
+  minCount = 1,
+): readonly IMember[] {
   const most = Math.max(0, ...members.map(({ capacity }) => capacity));
-  const strongest = members.filter(({ capacity }) => capacity >= most * STRONG_SHARE);
-  const isEnough = computeCapacity(strongest) >= ENOUGH_SHARE * computeCapacity(members);
-  if (isEnough && strongest.length >= fewest) return strongest;
+  const strongest = members.filter(({ capacity }) => capacity >= most * HIGH_CAPACITY_SHARE);
+  const isEnough = computeCapacity(strongest) >= MIN_TOTAL_SHARE * computeCapacity(members);
+  if (isEnough && strongest.length >= minCount) return strongest;
   const capacities = members.map(({ capacity }) => capacity).sort((left, right) => left - right);
   const median = capacities[Math.floor(capacities.length / 2)] ?? 0;
   return members.filter(({ capacity }) => capacity >= median);
--- a/packages/dispatch/src/directory/common/memberRegistration.ts
+++ b/packages/dispatch/src/directory/common/memberRegistration.ts
@@ -11,9 +11,9 @@
  * Nodes of a new fleet register within this time, in ms: no caller waits, and a store takes some 200
  * writes a second to one table. Of 293 nodes that registered at once 171 were refused or not heard.
  */
-const FIRST_REGISTER_MS = 1500;
+const FIRST_REGISTRATION_SPREAD_MS = 1500;
 /** How often the node looks whether it is still registered, in ms. */
-const REGISTERED_CHECK_MS = 1000;
+const REGISTRATION_CHECK_INTERVAL_MS = 1000;
 
 /** Options of a {@link MemberRegistration}. */
 export interface IMemberRegistrationOptions {
@@ -48,12 +48,14 @@
     let isDue = true;
     // Callers of a node that starts again may wait: it writes its row before it reads the list.
     if (isFirstStart) {
-      await clock.sleep(random.getFloat() * FIRST_REGISTER_MS, signal).catch(() => undefined);
+      await clock
+        .sleep(random.getFloat() * FIRST_REGISTRATION_SPREAD_MS, signal)
+        .catch(() => undefined);
     }
     while (!signal.aborted && !this.isRetired) {
       const isRegistered: boolean = !isDue || (await this.register(signal));
       const retryMs = random.getJittered(RETRY_MS, RETRY_JITTER);
-      const delayMs = isRegistered ? REGISTERED_CHECK_MS : retryMs;
+      const delayMs = isRegistered ? REGISTRATION_CHECK_INTERVAL_MS : retryMs;
       await clock.sleep(delayMs, signal).catch(() => undefined);
       isDue = !isRegistered || this.isUnlisted();
     }
@@ -73,9 +75,9 @@
    * Whether the list may be read for the first time. A node of a new fleet registers before: read too
    * early, the list names nobody who could tell it the news, and it would read all tables itself.
    */
-  isListDue(): boolean {
+  isFirstListReadDue(): boolean {
     const { clock, isFirstStart } = this.options;
-    const isLate = clock.getMonotonicTime() - this.startMs > FIRST_REGISTER_MS;
+    const isLate = clock.getMonotonicTime() - this.startMs > FIRST_REGISTRATION_SPREAD_MS;
     return !isFirstStart || this.registeredMs !== undefined || isLate;
   }
 
--- a/packages/dispatch/src/directory/common/nodeDirectory.ts
+++ b/packages/dispatch/src/directory/common/nodeDirectory.ts
@@ -4,7 +4,7 @@
 import type { INode } from '@parsleymux/fleet';
 import { RendezvousPlacement } from '@parsleymux/fleet';
 import type { ICatalog, ITargetRecord } from '../../catalog/common/catalog.js';
-import { isEarlierLife, isSameLife } from '../../catalog/common/catalog.js';
+import { isEarlierIncarnation, isSameIncarnation } from '../../catalog/common/catalog.js';
 import { RouteTable } from '../../catalog/common/routeTable.js';
 import type { IMember } from './authority.js';
 import type { IRestoreGrace } from './followedTable.js';
@@ -12,7 +12,7 @@
 import type { ITenantRule } from '../../tenants/common/tenant.js';
 import { isSameTenant } from '../../tenants/common/tenant.js';
 import { TenantIndex } from '../../tenants/common/tenantIndex.js';
-import { listStrong } from './strongMembers.js';
+import { listHighCapacityMembers } from './highCapacityMembers.js';
 
 /** Homes of a service that are ranked: the home, and those that take over one after the other. */
 const RANKED_HOMES = 3;
@@ -21,9 +21,9 @@
  * Targets that live write their entries again within about 2 s; the store itself removes those of silent ones
  * after three times their usual pause.
  */
-const TARGETS_GRACE: IRestoreGrace = { missingMs: 2000, droppedMs: 6000 };
+const TARGETS_GRACE: IRestoreGrace = { missingMs: 2000, removedMs: 6000 };
 /** Nodes miss themselves on the list within a second, and may have to try again. */
-const MEMBERS_GRACE: IRestoreGrace = { missingMs: 4000, droppedMs: 6000 };
+const MEMBERS_GRACE: IRestoreGrace = { missingMs: 4000, removedMs: 6000 };
 
 /**
  * Derives look-up tables once for each change.
@@ -54,7 +54,7 @@
       clock,
       isSame: (left, right) => left.version === right.version,
       isOutdated: (known, next) => next.version < known.version,
-      restoreGrace: { missingMs: Infinity, droppedMs: 0 },
+      restoreGrace: { missingMs: Infinity, removedMs: 0 },
     });
     this.targets = new FollowedTable({
       name: 'targets',
@@ -74,10 +74,10 @@
       this.tenantIndex.apply(changes);
     });
     this.catalog.onDidChange(() => {
-      this.takeCatalog();
+      this.applyCatalog();
     });
     this.members.onDidChange(() => {
-      this.homes = makePlacement(listStrong(this.members.listValues(), RANKED_HOMES));
+      this.homes = makePlacement(listHighCapacityMembers(this.members.listValues(), RANKED_HOMES));
       this.followers.clear();
     });
   }
@@ -122,9 +122,9 @@
     const inDomain = this.members.listValues().filter((member) => {
       return member.failureDomain === failureDomain;
     });
-    const strong = new Set(listStrong(inDomain));
+    const strong = new Set(listHighCapacityMembers(inDomain));
     const weak = inDomain.filter((member) => !strong.has(member));
-    const ranking = [...rankAll([...strong]), ...rankAll(weak)];
+    const ranking = [...rankMembers([...strong]), ...rankMembers(weak)];
     this.followers.set(failureDomain, ranking);
     return ranking;
   }
@@ -133,7 +133,7 @@
    * A configuration in force is never replaced by an older one, whatever a store or peer says:
    * requests would be routed by rules that were already withdrawn.
    */
-  private takeCatalog(): void {
+  private applyCatalog(): void {
     for (const catalog of this.catalog.listValues()) {
       if (catalog.version <= (this.currentCatalog?.version ?? -Infinity)) continue;
       this.currentCatalog = catalog;
@@ -149,7 +149,7 @@
   return placement;
 }
 
-function rankAll(members: readonly IMember[]): readonly string[] {
+function rankMembers(members: readonly IMember[]): readonly string[] {
   return makePlacement(members)
     .rank({ id: 'followers', failureDomains: [] }, members.length)
     .map(({ address }) => address);
@@ -162,7 +162,7 @@
 /** What is left of a cold start shrinks all the time; that alone is no change. */
 function isSameTarget(left: ITargetRecord, right: ITargetRecord): boolean {
   return (
-    isSameLife(left, right) &&
+    isSameIncarnation(left, right) &&
     left.isDraining === right.isDraining &&
     left.address === right.address &&
     left.service === right.service &&
@@ -173,8 +173,8 @@
 
 /** A target never takes back in the same life that it leaves. */
 function isEarlierState(known: ITargetRecord, next: ITargetRecord): boolean {
-  const isTakenBack = known.isDraining && !next.isDraining && isSameLife(known, next);
-  return isTakenBack || isEarlierLife(known, next);
+  const isTakenBack = known.isDraining && !next.isDraining && isSameIncarnation(known, next);
+  return isTakenBack || isEarlierIncarnation(known, next);
 }
 
 function isSameMember(left: IMember, right: IMember): boolean {
--- a/packages/dispatch/src/directory/common/restoredEntries.ts
+++ b/packages/dispatch/src/directory/common/restoredEntries.ts
@@ -4,9 +4,9 @@
 import type { IRestoreGrace } from './followedTable.js';
 
 /** Dropped entries are remembered this long, in ms: longer than a copy is old. */
-const REMEMBER_DROPPED_MS = 120_000;
+const REMOVED_RETENTION_MS = 120_000;
 /** Dropped entries that are remembered at most, the oldest going first. */
-const MAX_DROPPED = 4096;
+const MAX_REMOVED = 4096;
 
 /**
  * What was written since the copy was made is written again, but not at once. Until then a target that was
@@ -20,7 +20,7 @@
   private readonly missing = new Map<string, number>();
   /** Entries of the older state that are not believed yet, and since when. */
   private readonly withheld = new Map<string, { readonly value: T; readonly sinceMs: number }>();
-  private readonly dropped = new Map<string, number>();
+  private readonly removed = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
@@ -32,7 +32,7 @@
   }
 
   /** Whether something is to be written about the entry, or its time is to pass, before it changes. */
-  isAwaited(key: string): boolean {
+  isPending(key: string): boolean {
     return this.missing.has(key) || this.withheld.has(key);
   }
 
@@ -40,11 +40,11 @@
     return [...this.withheld.keys()];
   }
 
-  recordDropped(key: string): void {
-    this.dropped.delete(key);
-    this.dropped.set(key, this.clock.getMonotonicTime());
-    const [oldest] = this.dropped.keys();
-    if (this.dropped.size > MAX_DROPPED && oldest !== undefined) this.dropped.delete(oldest);
+  recordRemoved(key: string): void {
+    this.removed.delete(key);
+    this.removed.set(key, this.clock.getMonotonicTime());
+    const [oldest] = this.removed.keys();
+    if (this.removed.size > MAX_REMOVED && oldest !== undefined) this.removed.delete(oldest);
   }
 
   /** Whether an entry that the older state lacks stays for now. */
@@ -57,9 +57,9 @@
   /** Whether an entry of the older state stays away for now: it was dropped not long ago. */
   tryWithhold({ key, value }: ITableChange<T>): boolean {
     const nowMs = this.clock.getMonotonicTime();
-    const droppedMs = this.dropped.get(key) ?? -Infinity;
-    const isRecent = nowMs - droppedMs < REMEMBER_DROPPED_MS;
-    if (value === undefined || this.grace.droppedMs === 0 || !isRecent) return false;
+    const droppedMs = this.removed.get(key) ?? -Infinity;
+    const isRecent = nowMs - droppedMs < REMOVED_RETENTION_MS;
+    if (value === undefined || this.grace.removedMs === 0 || !isRecent) return false;
     this.withheld.set(key, { value, sinceMs: nowMs });
     return true;
   }
@@ -80,7 +80,7 @@
       due.push({ key, value: undefined });
     }
     for (const [key, { sinceMs, value }] of this.withheld) {
-      if (nowMs - sinceMs < this.grace.droppedMs) continue;
+      if (nowMs - sinceMs < this.grace.removedMs) continue;
       this.withheld.delete(key);
       due.push({ key, value });
     }
--- a/packages/dispatch/src/directory/common/storeFollower.test.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.test.ts
@@ -58,11 +58,11 @@
     table,
     source,
     clock,
-    pace: { pauseMs: 10, waitMs: 1500 },
+    pollTiming: { pauseMs: 10, waitMs: 1500 },
     log: createSilentLogger(),
     jitter: (delayMs) => delayMs,
     hasToRead: () => true,
-    getMostAgeMs: () => 0,
+    getMaxAgeMs: () => 0,
     isFirst: () => true,
     onDidRead: () => undefined,
   });
@@ -82,14 +82,14 @@
     table,
     source,
     clock,
-    pace: { pauseMs: 850, waitMs: 0 },
+    pollTiming: { pauseMs: 850, waitMs: 0 },
     log: createSilentLogger(),
     jitter: (delayMs) => delayMs,
     hasToRead: () => {
       looksMs.push(clock.getMonotonicTime());
       return table.getAgeMs() > 1150;
     },
-    getMostAgeMs: () => 1150,
+    getMaxAgeMs: () => 1150,
     isFirst: () => false,
     onDidRead: () => undefined,
   });
@@ -127,7 +127,7 @@
   const stop = new AbortController();
   const { clock, follower, source, table } = startBench([FIRST, 'none', SECOND], stop.signal);
   await clock.advanceBy(100);
-  assert.equal(follower.isWaitingQuietly(), true);
+  assert.equal(follower.isLongPollPending(), true);
   follower.cancelRead();
   await clock.advanceBy(20);
   assert.equal(table.get('config'), 'new');
--- a/packages/dispatch/src/directory/common/storeFollower.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.ts
@@ -8,14 +8,14 @@
 /** When this node looks again whether it has to read, in ms, once its copy is old enough for that. */
 const IDLE_CHECK_MS = 150;
 /** The same while the table was never read, in ms: the node can't serve before. */
-const FIRST_CHECK_MS = 20;
+const FIRST_READ_CHECK_MS = 20;
 /** Wait after a failed read by the first followers, in ms: short, for all nodes wait for them. */
 const FOLLOWER_RETRY_MS = 400;
 /** Wait after a failed read by any other node, in ms; spread, so that a store is not stormed. */
 const OTHER_RETRY_MS = 1500;
 
 /** How a table is read. */
-export interface IFollowPace {
+export interface IPollTiming {
   /** Pause between two reads, in ms. */
   readonly pauseMs: number;
   /** How long the store may hold a read until something changes, in ms. */
@@ -28,14 +28,14 @@
 export interface IStoreFollowerOptions<T> {
   readonly table: FollowedTable<T>;
   readonly source: AuthorityTable<T>;
-  readonly pace: IFollowPace;
+  readonly pollTiming: IPollTiming;
   readonly clock: Clock;
   readonly log: Logger;
   readonly jitter: (delayMs: number) => number;
   /** Whether the table has to be read by this node now. */
   readonly hasToRead: () => boolean;
   /** Age of the copy up to which the table needn't be read by this node, in ms. */
-  readonly getMostAgeMs: () => number;
+  readonly getMaxAgeMs: () => number;
   /** Whether this node is among the first to read. */
   readonly isFirst: () => boolean;
   /** Called after every successful read; `hasNews` if it brought a change. */
@@ -48,13 +48,13 @@
  * One loop for one table.
  *
  * @example
- * await new StoreFollower({ table, source, pace, ... }).run(signal);
+ * await new StoreFollower({ table, source, pollTiming, ... }).run(signal);
  */
 export class StoreFollower<T> {
   private isStoreLost = false;
   private readStartMs: number | undefined;
   /** How long the store may hold the read that is under way, in ms. */
-  private heldMs = 0;
+  private longPollMs = 0;
   private cancelled = new AbortController();
   /** Reads that failed, by kind, and that went well. */
   readonly counts = { succeeded: 0, failed: new Map<StoreFailure, number>() };
@@ -63,22 +63,22 @@
 
   /** Ends when `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, hasToRead, pace } = this.options;
+    const { clock, hasToRead, pollTiming } = this.options;
     while (!signal.aborted) {
       if (!hasToRead()) {
         await clock.sleep(this.getIdleMs(), signal).catch(() => undefined);
         continue;
       }
       const isRead = await this.read(signal);
-      const delayMs = isRead ? pace.pauseMs : this.getRetryMs();
+      const delayMs = isRead ? pollTiming.pauseMs : this.getRetryMs();
       await clock.sleep(delayMs, signal).catch(() => undefined);
     }
   }
 
   /** A read that the store holds has shown no change since it began. */
-  isWaitingQuietly(): boolean {
+  isLongPollPending(): boolean {
     if (this.readStartMs === undefined) return false;
-    return this.options.clock.getMonotonicTime() - this.readStartMs <= this.heldMs;
+    return this.options.clock.getMonotonicTime() - this.readStartMs <= this.longPollMs;
   }
 
   /**
@@ -116,14 +116,14 @@
   }
 
   private async readOnce(startMs: number, signal: AbortSignal): Promise<ITableChanges<T>> {
-    const { clock, pace, source, table } = this.options;
+    const { clock, pollTiming, source, table } = this.options;
     const after = table.version;
-    if (after === undefined) return this.takeAll(await source.readAll(signal), startMs);
+    if (after === undefined) return this.applyAll(await source.readAll(signal), startMs);
     try {
-      this.heldMs = pace.getWaitMs?.() ?? pace.waitMs;
-      const content = await source.readChanges(after, this.heldMs, signal);
+      this.longPollMs = pollTiming.getWaitMs?.() ?? pollTiming.waitMs;
+      const content = await source.readChanges(after, this.longPollMs, signal);
       // A held read is answered at the change or when the wait is over: it is as of its end.
-      const readMs = this.heldMs > 0 ? clock.getMonotonicTime() : startMs;
+      const readMs = this.longPollMs > 0 ? clock.getMonotonicTime() : startMs;
       // Versions of another era were given out again: what is new after them is not known.
       if ((content.era ?? 0) > table.era) return await this.readRestored(content, signal);
       // Rows that can't be understood are read again: the version behind them would hide them.
@@ -140,7 +140,7 @@
         readEra: content.era ?? 0,
         readVersion: content.version,
       });
-      return this.takeAll(content, clock.getMonotonicTime());
+      return this.applyAll(content, clock.getMonotonicTime());
     }
   }
 
@@ -158,10 +158,10 @@
       versionBefore,
     });
     const startMs = clock.getMonotonicTime();
-    return this.takeAll(await source.readAll(signal), startMs);
+    return this.applyAll(await source.readAll(signal), startMs);
   }
 
-  private takeAll(content: ITableChanges<T>, readMs: number): ITableChanges<T> {
+  private applyAll(content: ITableChanges<T>, readMs: number): ITableChanges<T> {
     if (content.isPartial !== true) this.options.table.setAll(content, readMs);
     return content;
   }
@@ -171,8 +171,8 @@
    * 150 ms for each of three tables, it woke 20 times a second where 4 do.
    */
   private getIdleMs(): number {
-    const { getMostAgeMs, table } = this.options;
-    if (table.version === undefined) return FIRST_CHECK_MS;
+    const { getMaxAgeMs: getMostAgeMs, table } = this.options;
+    if (table.version === undefined) return FIRST_READ_CHECK_MS;
     return Math.max(IDLE_CHECK_MS, getMostAgeMs() - table.getAgeMs() + 1);
   }
 
--- a/packages/dispatch/src/directory/common/updateRelay.test.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.test.ts
@@ -152,7 +152,7 @@
       name: 't',
       clock,
       isSame,
-      restoreGrace: { missingMs: 2000, droppedMs: 6000 },
+      restoreGrace: { missingMs: 2000, removedMs: 6000 },
     });
   });
   const [follower, peer] = tables as [FollowedTable<unknown>, FollowedTable<unknown>];
--- a/packages/dispatch/src/directory/common/updateRelay.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.ts
@@ -15,7 +15,7 @@
  */
 const MAX_ROW_BYTES = 8000;
 /** Updates whose confirmation may still come: those of some ten seconds. */
-const MAX_REMEMBERED = 256;
+const MAX_TRACKED_UPDATES = 256;
 
 /**
  * A peer that has not confirmed an update after this gets it again, in ms: a few round trips of a
@@ -24,7 +24,7 @@
 const REPEAT_MS = 200;
 
 /** A peer counts as silent after so many updates in a row without confirmation, repeats included. */
-const MIN_UNANSWERED = 4;
+const MIN_UNCONFIRMED = 4;
 /** Updates that are further apart are not in a row, in ms: this node was not the follower between. */
 const MAX_GAP_MS = 2500;
 
@@ -32,16 +32,16 @@
 const MAX_SILENT_SHARE = 0.5;
 
 /** A state of a table. */
-interface ITableState {
+interface ISentState {
   readonly era: number;
   readonly version: number;
 }
 
 /** States of tables, by name. */
-type TableVersions = ReadonlyMap<string, ITableState>;
+type TableVersions = ReadonlyMap<string, ISentState>;
 
 /** Updates in a row that a peer has not confirmed. */
-interface IUnanswered {
+interface IUnconfirmed {
   readonly sinceMs: number;
   readonly lastMs: number;
   readonly count: number;
@@ -74,11 +74,11 @@
  */
 export class UpdateRelay {
   private sequence = 0n;
-  private readonly heardMs = new Map<string, number>();
-  private readonly unanswered = new Map<string, IUnanswered>();
+  private readonly confirmedAtMs = new Map<string, number>();
+  private readonly unconfirmed = new Map<string, IUnconfirmed>();
   private readonly fetching = new Set<string>();
   /** What each update told, by its sequence. */
-  private readonly told = new Map<bigint, TableVersions>();
+  private readonly sentVersions = new Map<bigint, TableVersions>();
   /** What each peer has confirmed. */
   private readonly confirmed = new Map<string, TableVersions>();
   private readonly tokens: EchoTokens;
@@ -97,7 +97,7 @@
     this.sendUpdates(listPeers());
     void this.repeatTimer?.dispose();
     this.repeatTimer = clock.startTimer(REPEAT_MS, () => {
-      this.sendAgain(nowMs);
+      this.sendRepeats(nowMs);
     });
   }
 
@@ -111,15 +111,15 @@
     const host = sender.slice(0, sender.lastIndexOf(':'));
     const sentAfter = this.tokens.find(update.echo);
     for (const changes of update.changes) {
-      this.take(changes, `${host}:${update.statePort}`, sentAfter);
+      this.applyChanges(changes, `${host}:${update.statePort}`, sentAfter);
     }
     this.confirm(sender, update);
   }
 
   handleUpdateReceived(sender: string, { echo, sequence, urgent }: UpdateReceived): void {
-    this.heardMs.set(sender, this.options.clock.getMonotonicTime());
-    this.unanswered.delete(sender);
-    const versions = this.told.get(sequence);
+    this.confirmedAtMs.set(sender, this.options.clock.getMonotonicTime());
+    this.unconfirmed.delete(sender);
+    const versions = this.sentVersions.get(sequence);
     if (versions !== undefined) this.confirmed.set(sender, versions);
     if (echo > 0n) this.echoes.set(sender, echo);
     if (urgent) this.sendUpdates([sender]);
@@ -146,8 +146,8 @@
     const nowMs = this.options.clock.getMonotonicTime();
     const peers = this.options.listPeers();
     const silent = peers.filter((peer) => {
-      const { count, sinceMs } = this.unanswered.get(peer) ?? { count: 0, sinceMs: nowMs };
-      return count >= MIN_UNANSWERED && nowMs - sinceMs > limitMs;
+      const { count, sinceMs } = this.unconfirmed.get(peer) ?? { count: 0, sinceMs: nowMs };
+      return count >= MIN_UNCONFIRMED && nowMs - sinceMs > limitMs;
     });
     return silent.length > peers.length * MAX_SILENT_SHARE ? [] : silent;
   }
@@ -155,19 +155,19 @@
   /** Forgets what was heard, when this node stops being a follower. */
   clear(): void {
     void this.repeatTimer?.dispose();
-    this.heardMs.clear();
+    this.confirmedAtMs.clear();
     this.confirmed.clear();
     this.echoes.clear();
-    this.unanswered.clear();
+    this.unconfirmed.clear();
   }
 
   /**
    * One lost datagram would make the copy of a peer so old that it reads the store itself: with a
    * hundred nodes, more calls came from lost updates than from the followers.
    */
-  private sendAgain(announcedMs: number): void {
+  private sendRepeats(announcedMs: number): void {
     const missing = this.options.listPeers().filter((peer) => {
-      return (this.heardMs.get(peer) ?? -Infinity) < announcedMs;
+      return (this.confirmedAtMs.get(peer) ?? -Infinity) < announcedMs;
     });
     this.sendUpdates(missing);
   }
@@ -176,7 +176,7 @@
   private sendUpdates(peers: readonly string[]): void {
     const updates = new Map<string, Update>();
     for (const peer of peers) {
-      const known = this.confirmed.get(peer) ?? new Map<string, ITableState>();
+      const known = this.confirmed.get(peer) ?? new Map<string, ISentState>();
       const key = [...known.values()].map(({ era, version }) => `${era}/${version}`).join(' ');
       const shared = updates.get(key) ?? this.makeUpdate(known);
       updates.set(key, shared);
@@ -189,32 +189,33 @@
 
   private recordSent(peer: string): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    const row = this.unanswered.get(peer);
+    const row = this.unconfirmed.get(peer);
     const isInRow = row !== undefined && nowMs - row.lastMs <= MAX_GAP_MS;
     const before = isInRow ? row : { sinceMs: nowMs, count: 0 };
-    this.unanswered.set(peer, { sinceMs: before.sinceMs, lastMs: nowMs, count: before.count + 1 });
+    this.unconfirmed.set(peer, { sinceMs: before.sinceMs, lastMs: nowMs, count: before.count + 1 });
   }
 
   private makeUpdate(known: TableVersions): Update {
     const { statePort } = this.options;
     const tables = this.options.tables.filter(({ version }) => version !== undefined);
     this.sequence += 1n;
-    this.recordTold(
+    this.recordSentVersions(
       new Map(tables.map(({ era, name, version }) => [name, { era, version: version ?? 0 }])),
     );
     const changes = tables.map((table) => this.encodeTable(table, known.get(table.name)));
     return create(UpdateSchema, { sequence: this.sequence, changes, statePort });
   }
 
-  private recordTold(versions: TableVersions): void {
-    this.told.set(this.sequence, versions);
-    const [oldest] = this.told.keys();
-    if (this.told.size > MAX_REMEMBERED && oldest !== undefined) this.told.delete(oldest);
+  private recordSentVersions(versions: TableVersions): void {
+    this.sentVersions.set(this.sequence, versions);
+    const [oldest] = this.sentVersions.keys();
+    if (this.sentVersions.size > MAX_TRACKED_UPDATES && oldest !== undefined)
+      this.sentVersions.delete(oldest);
   }
 
   private encodeTable(
     table: FollowedTable<unknown>,
-    known: ITableState | undefined,
+    known: ISentState | undefined,
   ): FollowedChanges {
     // A version of another era says nothing of what the peer knows.
     const { after, content } = table.listRecent(
@@ -236,7 +237,7 @@
     });
   }
 
-  private take(
+  private applyChanges(
     changes: FollowedChanges,
     stateAddress: string,
     sentAfter: IInstant | undefined,
--- a/packages/dispatch/src/directory/node/directoryService.test.ts
+++ b/packages/dispatch/src/directory/node/directoryService.test.ts
@@ -88,7 +88,7 @@
   }
 }
 
-function startService(isFirstStart: boolean, isAsked = false) {
+function startService(isFirstStart: boolean, hasReceivedRequests = false) {
   const clock = new ManualClock();
   const authority = new CountingAuthority();
   const channel = new RecordingChannel();
@@ -104,7 +104,7 @@
     self: SELF,
     isFirstStart,
     seeds: [],
-    isAsked: () => isAsked,
+    hasReceivedRequests: () => hasReceivedRequests,
   });
   return { authority, channel, clock, directory, service, stop };
 }
@@ -159,8 +159,11 @@
   // Symptom: a third of the calls of the first 20 s come from 150 nodes that read three tables once
   // each. Sequence: the node that would tell them is another one with every node that registers; their
   // copies get older than they bear. Cause: the limit was that of a fleet whose callers wait.
-  const countReads = async (isFirstStart: boolean, isAsked = false) => {
-    const { authority, clock, directory, service, stop } = startService(isFirstStart, isAsked);
+  const countReads = async (isFirstStart: boolean, hasReceivedRequests = false) => {
+    const { authority, clock, directory, service, stop } = startService(
+      isFirstStart,
+      hasReceivedRequests,
+    );
     directory.members.setAll(makeMembers(), 0);
     for (const table of [directory.catalog, directory.targets]) {
       table.setAll({ version: 1, changes: [] }, 0);
--- a/packages/dispatch/src/directory/node/directoryService.ts
+++ b/packages/dispatch/src/directory/node/directoryService.ts
@@ -10,7 +10,7 @@
 import { FollowerRole } from '../common/followerRole.js';
 import { MemberRegistration } from '../common/memberRegistration.js';
 import type { NodeDirectory } from '../common/nodeDirectory.js';
-import type { IFollowPace } from '../common/storeFollower.js';
+import type { IPollTiming } from '../common/storeFollower.js';
 import { StoreFollower } from '../common/storeFollower.js';
 import { UpdateRelay } from '../common/updateRelay.js';
 import { fetchTable } from './stateServer.js';
@@ -19,10 +19,10 @@
  * Pause between reads of the targets, in ms. Each read is paid for; a target that drains has to be
  * known everywhere within 2 s, of which the take-over from a dead follower needs 1.3 s.
  */
-const TARGETS_PACE: IFollowPace = { pauseMs: 850, waitMs: 0 };
+const TARGETS_POLLING: IPollTiming = { pauseMs: 850, waitMs: 0 };
 /** The store holds these reads until there is news; the wait bounds how long a dead connection hides it. */
-const CATALOG_PACE: IFollowPace = { pauseMs: 10, waitMs: 1500 };
-const MEMBERS_PACE: IFollowPace = { pauseMs: 300, waitMs: 10_000 };
+const CATALOG_POLLING: IPollTiming = { pauseMs: 10, waitMs: 1500 };
+const MEMBERS_POLLING: IPollTiming = { pauseMs: 300, waitMs: 10_000 };
 /** A peer that confirmed no update for this long is taken for gone, in ms: five updates. */
 const SILENT_PEER_MS = 4500;
 /**
@@ -31,16 +31,16 @@
  * a large fleet would read all tables for itself in that time.
  */
 const NEW_FLEET_MS = 5000;
-const NEW_FLEET_PATIENCE_MS = 2500;
+const NEW_FLEET_EXTRA_AGE_MS = 2500;
 
 /** Followers that a starting node asks: the first, and the one that would take over from it. */
-const HELLOS = 2;
+const MAX_HELLOS = 2;
 /** A starting node reads for itself after this wait, in ms: two announcements of a follower. */
 const HELLO_WAIT_MS = 1500;
 /** Pause between questions to the seeds of a node that knows nothing, in ms: the store goes first. */
 const SEED_PAUSE_MS = 400;
 /** Part of the lease on keys for which a read of the configuration may be held. */
-const HELD_SHARE = 0.125;
+const LONG_POLL_LEASE_SHARE = 0.125;
 /** Once this part of the lease has passed since the last proof, another one is due at once. */
 const URGENT_PROOF_SHARE = 0.5;
 const LEAVING = create(LeavingSchema);
@@ -62,7 +62,7 @@
   /** For how long keys hold without a proof that they are the newest, in ms; undefined: for ever. */
   readonly keyLeaseMs?: number | undefined;
   /** Whether a caller, or another node for one, has asked this node for anything. */
-  readonly isAsked: () => boolean;
+  readonly hasReceivedRequests: () => boolean;
 }
 
 /**
@@ -103,20 +103,20 @@
       listPeers: () => this.listPeers(),
       fetchTable: (table, address) => fetchTable(table, address, clock),
     });
-    this.targetsFollower = this.createFollower('targets', TARGETS_PACE, () => {
+    this.targetsFollower = this.createFollower('targets', TARGETS_POLLING, () => {
       if (targets.version === undefined) return this.isFirstReadDue();
       return this.hasToRead(targets.getAgeMs());
     });
     // While the targets can't be read, asking for more would only add to the calls.
     const isOpen = () =>
-      targets.version === undefined || targets.getAgeMs() < TARGETS_PACE.pauseMs * 2;
-    const catalogPace = { ...CATALOG_PACE, getWaitMs: () => this.getCatalogWaitMs() };
-    this.catalogFollower = this.createFollower('catalog', catalogPace, () => {
+      targets.version === undefined || targets.getAgeMs() < TARGETS_POLLING.pauseMs * 2;
+    const catalogPolling = { ...CATALOG_POLLING, getWaitMs: () => this.getCatalogWaitMs() };
+    this.catalogFollower = this.createFollower('catalog', catalogPolling, () => {
       if (catalog.version === undefined) return this.isFirstReadDue();
       return isOpen() && this.hasToRead(catalog.getAgeMs());
     });
-    this.membersFollower = this.createFollower('members', MEMBERS_PACE, () => {
-      if (members.version === undefined) return this.registration.isListDue();
+    this.membersFollower = this.createFollower('members', MEMBERS_POLLING, () => {
+      if (members.version === undefined) return this.registration.isFirstListReadDue();
       return isOpen() && this.hasToRead(members.getAgeMs());
     });
   }
@@ -175,10 +175,10 @@
   private getCatalogWaitMs(): number {
     const { directory, keyLeaseMs } = this.options;
     if (keyLeaseMs === undefined || directory.getCatalog()?.requiresKeys !== true) {
-      return CATALOG_PACE.waitMs;
+      return CATALOG_POLLING.waitMs;
     }
     if (directory.tenants.getProofAgeMs() > keyLeaseMs * URGENT_PROOF_SHARE) return 0;
-    return Math.min(CATALOG_PACE.waitMs, keyLeaseMs * HELD_SHARE);
+    return Math.min(CATALOG_POLLING.waitMs, keyLeaseMs * LONG_POLL_LEASE_SHARE);
   }
 
   private isProofDue(): boolean {
@@ -189,7 +189,7 @@
 
   private createFollower(
     name: 'catalog' | 'targets' | 'members',
-    pace: IFollowPace,
+    pollTiming: IPollTiming,
     hasToRead: () => boolean,
   ): StoreFollower<unknown> {
     const { authority, clock, directory, log, random } = this.options;
@@ -200,11 +200,11 @@
     return new StoreFollower<unknown>({
       table: directory[name] as FollowedTable<unknown>,
       source,
-      pace,
+      pollTiming,
       clock,
       log,
       hasToRead,
-      getMostAgeMs: () => this.role.getMostAgeMs(),
+      getMaxAgeMs: () => this.role.getMaxAgeMs(),
       jitter: (delayMs) => random.getJittered(delayMs, 0.4),
       isFirst: () => this.role.isFirst(),
       onDidRead: (hasNews) => {
@@ -232,7 +232,7 @@
     const nowMs = clock.getMonotonicTime();
     if (this.helloMs === undefined) {
       this.helloMs = nowMs;
-      const followers = directory.rankFollowers(self.failureDomain).slice(0, HELLOS);
+      const followers = directory.rankFollowers(self.failureDomain).slice(0, MAX_HELLOS);
       for (const follower of followers) {
         if (follower !== self.address) channel.send(follower, { case: 'hello', value: HELLO });
       }
@@ -241,17 +241,17 @@
   }
 
   private hasToRead(ageMs: number): boolean {
-    return this.role.hasToRead(ageMs - this.getPatienceMs());
+    return this.role.hasToRead(ageMs - this.getExtraAgeMs());
   }
 
   /**
    * How much older than usual a copy may get before this node reads for itself, in ms. None once it is
    * asked for anything: a target that leaves would be given requests until the news of it comes.
    */
-  private getPatienceMs(): number {
-    const { clock, isAsked, isFirstStart } = this.options;
+  private getExtraAgeMs(): number {
+    const { clock, hasReceivedRequests, isFirstStart } = this.options;
     const isNewFleet = isFirstStart && clock.getMonotonicTime() - this.startMs < NEW_FLEET_MS;
-    return isNewFleet && !isAsked() ? NEW_FLEET_PATIENCE_MS : 0;
+    return isNewFleet && !hasReceivedRequests() ? NEW_FLEET_EXTRA_AGE_MS : 0;
   }
 
   private announce(): void {
@@ -259,8 +259,8 @@
     const { clock, directory } = this.options;
     const nowMs = clock.getMonotonicTime();
     // The store holds these reads until something changes; while it answers others, silence is news.
-    if (this.catalogFollower.isWaitingQuietly()) directory.catalog.freshMs = nowMs;
-    if (this.membersFollower.isWaitingQuietly()) directory.members.freshMs = nowMs;
+    if (this.catalogFollower.isLongPollPending()) directory.catalog.freshMs = nowMs;
+    if (this.membersFollower.isLongPollPending()) directory.members.freshMs = nowMs;
     this.relay.announce();
     this.removeSilentPeers();
   }
--- a/packages/dispatch/src/directory/node/stateServer.ts
+++ b/packages/dispatch/src/directory/node/stateServer.ts
@@ -27,7 +27,7 @@
 }
 
 /** Answers requests for other things than tables; false if it knows nothing of the path. */
-export type OtherHandler = (incoming: IncomingMessage, response: ServerResponse) => boolean;
+export type FallbackHandler = (incoming: IncomingMessage, response: ServerResponse) => boolean;
 
 /**
  * A server for this node's tables.
@@ -37,11 +37,11 @@
  */
 export function createStateServer(
   tables: readonly FollowedTable<unknown>[],
-  handleOther: OtherHandler = () => false,
+  handleFallback: FallbackHandler = () => false,
 ): Server {
   const encoded = new Map<string, IEncodedTable>();
   return createServer((incoming, response) => {
-    if (handleOther(incoming, response)) return;
+    if (handleFallback(incoming, response)) return;
     const name = incoming.url?.slice(TABLE_PREFIX.length);
     const table = tables.find((candidate) => candidate.name === name);
     if (table?.version === undefined) {
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@parsleymux/base';
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import { GrantOutcome, isAnswered } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { AnswerCheck, IAttemptResult } from './attemptOutcome.js';
@@ -62,7 +62,7 @@
         {
           target: target.address,
           // Connections to a former life lead nowhere, or hang: each life has its own.
-          member: formatLife(target),
+          member: formatIncarnation(target),
           method: request.method,
           path: request.path,
           headers: [...request.headers, ...listTargetHeaders(target.id)],
--- a/packages/dispatch/src/entry/common/pathHealth.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.ts
@@ -1,7 +1,7 @@
 /** Targets that this node alone can't reach at present. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { isSameLife } from '../../catalog/common/catalog.js';
+import { isSameIncarnation } from '../../catalog/common/catalog.js';
 
 /** A target is left out this long after a failed connection, in ms, doubling up to the longest. */
 const FIRST_PAUSE_MS = 1500;
@@ -46,7 +46,7 @@
     const oldestMs = nowMs - LONGEST_PAUSE_MS;
     for (const [id, { target, untilMs }] of this.broken) {
       const current = this.findTarget(id);
-      const hasRestarted = current !== undefined && !isSameLife(target, current);
+      const hasRestarted = current !== undefined && !isSameIncarnation(target, current);
       if (untilMs < oldestMs || hasRestarted) this.broken.delete(id);
     }
     return [...this.broken].filter(([, { untilMs }]) => nowMs < untilMs).map(([id]) => id);
--- a/packages/dispatch/src/entry/common/requestRun.ts
+++ b/packages/dispatch/src/entry/common/requestRun.ts
@@ -3,7 +3,7 @@
 import { ResultCode, RunState } from '@parsleymux/base';
 import type { ITargetAnswer } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import { GrantOutcome } from '../../grants/common/grant.js';
 import type { IGrant, Selection, TargetSelector } from '../../grants/common/targetSelector.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
@@ -208,7 +208,7 @@
   private listConnected(service: string): readonly string[] {
     const { listTargets, transport } = this.options;
     return listTargets(service)
-      .filter((target) => transport.hasIdleConnection(formatLife(target), target.address))
+      .filter((target) => transport.hasIdleConnection(formatIncarnation(target), target.address))
       .map(({ id }) => id);
   }
 
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -3,7 +3,7 @@
 import type { ITargetAnswer } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import type { INamedLimit } from '../../grants/common/grant.js';
 import { parseRetryAfterMs } from './retryAfter.js';
 
@@ -39,10 +39,10 @@
   record(target: ITargetRecord, answer: ITargetAnswer): void {
     const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
     const { draining, rateLimit: ratePerS } = answer;
-    const known = this.notices.get(formatLife(target));
+    const known = this.notices.get(formatIncarnation(target));
     if (ratePerS === undefined && known !== undefined) known.limit = undefined;
     if (!draining && waitMs === undefined && ratePerS === undefined) return;
-    const notice = known ?? this.open(formatLife(target));
+    const notice = known ?? this.open(formatIncarnation(target));
     notice.isLeaving ||= draining;
     if (ratePerS !== undefined) {
       notice.limit = { ratePerS, atMs: this.clock.getMonotonicTime() };
@@ -51,7 +51,7 @@
   }
 
   isLeaving(target: ITargetRecord): boolean {
-    return this.notices.get(formatLife(target))?.isLeaving === true;
+    return this.notices.get(formatIncarnation(target))?.isLeaving === true;
   }
 
   /** Limits that some of the targets have named, the latest first. */
@@ -59,7 +59,7 @@
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
     const limits = targets.flatMap((target) => {
-      const limit = this.notices.get(formatLife(target))?.limit;
+      const limit = this.notices.get(formatIncarnation(target))?.limit;
       if (limit === undefined) return [];
       const { bornMs, id: targetId } = target;
       return { targetId, bornMs, ratePerS: limit.ratePerS, ageMs: nowMs - limit.atMs };
@@ -70,7 +70,7 @@
   /** Whether nothing is to be sent to the target now. */
   isExcluded(target: ITargetRecord): boolean {
     if (this.notices.size === 0) return false;
-    const notice = this.notices.get(formatLife(target));
+    const notice = this.notices.get(formatIncarnation(target));
     if (notice === undefined) return false;
     return notice.isLeaving || this.clock.getMonotonicTime() < notice.waitUntilMs;
   }
--- a/packages/dispatch/src/home/common/outcomeIntake.ts
+++ b/packages/dispatch/src/home/common/outcomeIntake.ts
@@ -1,7 +1,7 @@
 /** What the outcomes of one service's grants tell of its targets, its requests and its connections. */
 import type { Clock } from '@parsleymux/base';
 import { GrantOutcome } from '../../grants/common/grant.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import type { AnswerSizes } from './answerSizes.js';
 import type { BookedTarget } from './bookedTarget.js';
@@ -110,19 +110,19 @@
   private recordForRequest(ticket: Ticket, target: BookedTarget, outcome: GrantOutcome): void {
     const { quarantine } = this.options;
     const { fingerprints, requestId } = ticket.request;
-    const life = formatLife(target.record);
+    const life = formatIncarnation(target.record);
     switch (outcome) {
       case GrantOutcome.Succeeded:
-        quarantine.recordAnswer(life, ticket.grantedMs);
+        quarantine.recordResponse(life, ticket.grantedMs);
         quarantine.recordSuccess(fingerprints);
         break;
       case GrantOutcome.Failed:
       case GrantOutcome.Shed:
-        quarantine.recordAnswer(life, ticket.grantedMs);
+        quarantine.recordResponse(life, ticket.grantedMs);
         break;
       case GrantOutcome.Broken:
       case GrantOutcome.Stale:
-        quarantine.recordLoss({
+        quarantine.recordConnectionLoss({
           fingerprints,
           requestId,
           target: life,
--- a/packages/dispatch/src/home/common/serviceTargets.ts
+++ b/packages/dispatch/src/home/common/serviceTargets.ts
@@ -1,7 +1,7 @@
 /** The targets of one service at its home, with what is known of each. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { isSameLife } from '../../catalog/common/catalog.js';
+import { isSameIncarnation } from '../../catalog/common/catalog.js';
 import type { IGrantRequest } from '../../grants/common/grant.js';
 import { BookedTarget } from './bookedTarget.js';
 import type { FailureModel } from './failureModel.js';
@@ -56,7 +56,7 @@
     const nowMs = this.options.clock.getMonotonicTime();
     for (const record of records) {
       const known = this.targets.get(record.id);
-      if (known !== undefined && isSameLife(known.record, record)) known.record = record;
+      if (known !== undefined && isSameIncarnation(known.record, record)) known.record = record;
       else this.targets.set(record.id, this.createTarget(record, nowMs));
     }
   }
--- a/packages/dispatch/src/quarantine/common/crashCase.ts
+++ b/packages/dispatch/src/quarantine/common/crashHistory.ts
@@ -1,18 +1,18 @@
 /** What speaks against one request: the targets that were lost while they ran it. */
 
 /** Targets that a request has to crash before it is held back. */
-export const CRASHES_TO_HOLD = 3;
+export const CRASHES_TO_QUARANTINE = 3;
 /** Crashes that are kept of one case: more say no more, and records stay small. */
-const KEPT_CRASHES = 8;
+const MAX_CRASHES = 8;
 /**
  * Attempts that ran side by side and were lost within this time of each other, in ms, were lost for
  * one reason: a rack that loses power takes every copy of a request with it that runs there.
  */
-const COMMON_CAUSE_MS = 50;
+const COMMON_CAUSE_WINDOW_MS = 50;
 /** How long a request is held back before it may be tried once more, in ms; then ten times as long. */
 const FIRST_HOLD_MS = 60_000;
 const HOLD_FACTOR = 10;
-const LONGEST_HOLD_MS = 6_000_000;
+const MAX_HOLD_MS = 6_000_000;
 
 /** One target that was lost while it ran the request. */
 export interface ICrash {
@@ -28,7 +28,7 @@
 }
 
 /** A case as other nodes and the store know it; times are ages, for nodes have clocks of their own. */
-export interface ICaseRecord {
+export interface ICrashHistoryRecord {
   readonly fingerprint: string;
   readonly crashes: readonly { readonly target: string; readonly ageMs: number }[];
   /** Times that it was tried again after a hold. */
@@ -46,7 +46,7 @@
  * crashCase.recordLoss({ target: 'i-7', grantedMs, atMs });
  * if (crashCase.isHeld(nowMs)) refuse();
  */
-export class CrashCase {
+export class CrashHistory {
   private readonly crashes = new Map<string, number>();
   private trials = 0;
   private heldUntilMs = -Infinity;
@@ -69,13 +69,13 @@
   }
 
   /** When the last target was lost under it, in ms of the monotonic clock. */
-  get lastMs(): number {
+  get lastChangeMs(): number {
     return Math.max(this.lastLossMs, this.clearedMs);
   }
 
   /** Whether it has crashed so many targets that it isn't simply sent any more. */
-  get isConvicted(): boolean {
-    return this.crashes.size >= CRASHES_TO_HOLD;
+  get isQuarantined(): boolean {
+    return this.crashes.size >= CRASHES_TO_QUARANTINE;
   }
 
   /** When it was found harmless last, in ms of the monotonic clock. */
@@ -84,16 +84,17 @@
   }
 
   isHeld(nowMs: number): boolean {
-    return this.isConvicted && nowMs < this.heldUntilMs;
+    return this.isQuarantined && nowMs < this.heldUntilMs;
   }
 
   getHoldMs(nowMs: number): number {
-    return this.isConvicted ? Math.max(0, this.heldUntilMs - nowMs) : 0;
+    return this.isQuarantined ? Math.max(0, this.heldUntilMs - nowMs) : 0;
   }
 
   /** True if it counts: it is neither known nor explained by what took another copy at that moment. */
-  recordLoss({ atMs, grantedMs, target }: ILostAttempt): boolean {
-    const isSideBySide = grantedMs <= this.lastLossMs && atMs - this.lastLossMs < COMMON_CAUSE_MS;
+  recordConnectionLoss({ atMs, grantedMs, target }: ILostAttempt): boolean {
+    const isSideBySide =
+      grantedMs <= this.lastLossMs && atMs - this.lastLossMs < COMMON_CAUSE_WINDOW_MS;
     if (this.crashes.has(target) || isSideBySide) return false;
     this.addCrash(target, atMs);
     this.startHold(atMs);
@@ -101,7 +102,7 @@
   }
 
   /** Leaves out crashes that turned out to have another cause. */
-  removeExplained(isExplained: (atMs: number) => boolean): void {
+  removeUnrelatedCrashes(isExplained: (atMs: number) => boolean): void {
     for (const [target, atMs] of this.crashes) if (isExplained(atMs)) this.crashes.delete(target);
   }
 
@@ -127,25 +128,25 @@
   }
 
   /** Takes what another node knows. True if anything is new. */
-  merge(record: ICaseRecord, nowMs: number): boolean {
-    const before = this.describe();
-    const wasConvicted = this.isConvicted;
+  merge(record: ICrashHistoryRecord, nowMs: number): boolean {
+    const before = this.formatSharedState();
+    const wasConvicted = this.isQuarantined;
     const { clearedAgeMs, crashes, holdMs, trials } = record;
     if (clearedAgeMs !== undefined) this.applyClear(nowMs - clearedAgeMs);
     for (const { ageMs, target } of crashes) {
       const atMs = nowMs - ageMs;
       if (atMs > this.clearedMs && !this.crashes.has(target)) this.addCrash(target, atMs);
     }
-    if (this.isConvicted) {
+    if (this.isQuarantined) {
       this.trials = Math.max(this.trials, trials);
       this.heldUntilMs = Math.max(this.heldUntilMs, nowMs + holdMs);
     }
     // Crashes that two nodes saw may convict it together, though neither has held it back.
     if (!wasConvicted) this.startHold(nowMs);
-    return this.describe() !== before;
+    return this.formatSharedState() !== before;
   }
 
-  toRecord(nowMs: number): ICaseRecord {
+  toRecord(nowMs: number): ICrashHistoryRecord {
     const crashes = [...this.crashes].map(([target, atMs]) => ({ target, ageMs: nowMs - atMs }));
     const isCleared = this.clearedMs > -Infinity;
     return {
@@ -164,20 +165,20 @@
 
   private addCrash(target: string, atMs: number): void {
     this.lastLossMs = Math.max(this.lastLossMs, atMs);
-    if (this.crashes.size < KEPT_CRASHES) this.crashes.set(target, atMs);
+    if (this.crashes.size < MAX_CRASHES) this.crashes.set(target, atMs);
   }
 
   private startHold(nowMs: number): void {
-    if (!this.isConvicted) return;
+    if (!this.isQuarantined) return;
     this.heldUntilMs = Math.max(this.heldUntilMs, nowMs + getHoldLengthMs(this.trials));
   }
 
   /** What other nodes have to know of it. */
-  private describe(): string {
+  private formatSharedState(): string {
     return `${[...this.crashes.keys()].join(' ')}/${this.trials}/${this.clearedMs}`;
   }
 }
 
 function getHoldLengthMs(trials: number): number {
-  return Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS * HOLD_FACTOR ** trials);
+  return Math.min(MAX_HOLD_MS, FIRST_HOLD_MS * HOLD_FACTOR ** trials);
 }
--- a/packages/dispatch/src/quarantine/common/quarantineSharing.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineGossip.ts
@@ -4,19 +4,19 @@
 import type { Quarantine } from '@parsleymux/schema';
 import { QuarantineSchema } from '@parsleymux/schema';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
-import type { ICaseRecord } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
 import { decodeRecord, encodeRecord } from './quarantineMessages.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
 /** How often a node that knows of held requests tells some others, in ms. */
-const TELL_EVERY_MS = 1000;
+const GOSSIP_INTERVAL_MS = 1000;
 /** Others that it tells each time: a node hears twice a second on average, however large the fleet is. */
-const TOLD_EACH_TIME = 2;
+const GOSSIP_FANOUT = 2;
 /** Records in one datagram: some 250 bytes each at most. */
 const MAX_RECORDS = 4;
 
-/** Options of a {@link QuarantineSharing}. */
-export interface IQuarantineSharingOptions {
+/** Options of a {@link QuarantineGossip}. */
+export interface IQuarantineGossipOptions {
   readonly channel: DatagramChannel;
   readonly quarantine: RequestQuarantine;
   readonly clock: Clock;
@@ -33,14 +33,14 @@
  * @example
  * sharing.handleQuarantine(message);
  */
-export class QuarantineSharing implements IDisposable {
-  private readonly changed: IDisposable;
+export class QuarantineGossip implements IDisposable {
+  private readonly changeListener: IDisposable;
   private timer: IDisposable | undefined;
-  private turn = 0;
+  private nextIndex = 0;
   private isDisposed = false;
 
-  constructor(private readonly options: IQuarantineSharingOptions) {
-    this.changed = options.quarantine.onDidChange((record) => {
+  constructor(private readonly options: IQuarantineGossipOptions) {
+    this.changeListener = options.quarantine.onDidChange((record) => {
       this.announce([record], this.listOthers());
       this.startTimer();
     });
@@ -53,7 +53,7 @@
   }
 
   /** Takes what the store knows, and tells all others: they have started anew too. */
-  handleStored(records: readonly ICaseRecord[]): void {
+  handleStoredRecords(records: readonly ICrashHistoryRecord[]): void {
     for (const record of records) this.options.quarantine.applyRecord(record);
     for (let first = 0; first < records.length; first += MAX_RECORDS) {
       this.announce(records.slice(first, first + MAX_RECORDS), this.listOthers());
@@ -62,7 +62,7 @@
   }
 
   dispose(): void {
-    void this.changed.dispose();
+    void this.changeListener.dispose();
     void this.timer?.dispose();
     this.isDisposed = true;
   }
@@ -70,32 +70,32 @@
   /** A node that has nothing to tell is not woken. */
   private startTimer(): void {
     if (this.timer !== undefined || this.isDisposed) return;
-    this.timer = this.options.clock.startTimer(TELL_EVERY_MS, () => {
+    this.timer = this.options.clock.startTimer(GOSSIP_INTERVAL_MS, () => {
       this.timer = undefined;
-      this.announceToSome();
+      this.announceToRandomPeers();
     });
   }
 
-  private announceToSome(): void {
+  private announceToRandomPeers(): void {
     const known = this.options.quarantine.listShared();
     if (known.length === 0) return;
     // What doesn't fit has its turn the next times.
-    const first = this.turn % known.length;
-    this.turn = first + MAX_RECORDS;
+    const first = this.nextIndex % known.length;
+    this.nextIndex = first + MAX_RECORDS;
     const records = [...known.slice(first), ...known.slice(0, first)].slice(0, MAX_RECORDS);
-    this.announce(records, this.chooseSome());
+    this.announce(records, this.chooseRandomPeers());
     this.startTimer();
   }
 
-  private chooseSome(): readonly string[] {
+  private chooseRandomPeers(): readonly string[] {
     const others = this.listOthers();
     if (others.length === 0) return [];
-    return Array.from({ length: TOLD_EACH_TIME }, () => {
+    return Array.from({ length: GOSSIP_FANOUT }, () => {
       return others[this.options.random.getInteger(others.length)];
     }).flatMap((address) => address ?? []);
   }
 
-  private announce(records: readonly ICaseRecord[], addresses: readonly string[]): void {
+  private announce(records: readonly ICrashHistoryRecord[], addresses: readonly string[]): void {
     const value = create(QuarantineSchema, { records: records.map(encodeRecord) });
     for (const address of addresses) {
       this.options.channel.send(address, { case: 'quarantine', value });
--- a/packages/dispatch/src/quarantine/common/quarantineMessages.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineMessages.ts
@@ -2,9 +2,9 @@
 import { create } from '@bufbuild/protobuf';
 import type { CrashRecord } from '@parsleymux/schema';
 import { CrashRecordSchema } from '@parsleymux/schema';
-import type { ICaseRecord } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
 
-const MOST_MS = 0xffff_ffff;
+const MAX_UINT32 = 0xffff_ffff;
 
 /**
  * @example
@@ -20,19 +20,19 @@
 }
 
 /** The message of one case. */
-export function encodeRecord(record: ICaseRecord): CrashRecord {
+export function encodeRecord(record: ICrashHistoryRecord): CrashRecord {
   const { clearedAgeMs, crashes, fingerprint, holdMs, trials } = record;
   return create(CrashRecordSchema, {
     fingerprint: encodeFingerprint(fingerprint),
-    crashes: crashes.map(({ ageMs, target }) => ({ target, ageMs: toMs(ageMs) })),
+    crashes: crashes.map(({ ageMs, target }) => ({ target, ageMs: toUint32Ms(ageMs) })),
     trials,
-    holdMs: toMs(holdMs),
-    ...(clearedAgeMs === undefined ? {} : { clearedAgeMs: toMs(clearedAgeMs) }),
+    holdMs: toUint32Ms(holdMs),
+    ...(clearedAgeMs === undefined ? {} : { clearedAgeMs: toUint32Ms(clearedAgeMs) }),
   });
 }
 
 /** What a message says of one case. */
-export function decodeRecord(message: CrashRecord): ICaseRecord {
+export function decodeRecord(message: CrashRecord): ICrashHistoryRecord {
   const { clearedAgeMs, crashes, fingerprint, holdMs, trials } = message;
   return {
     fingerprint: decodeFingerprint(fingerprint),
@@ -43,6 +43,6 @@
   };
 }
 
-function toMs(ms: number): number {
-  return Math.min(MOST_MS, Math.max(0, Math.round(ms)));
+function toUint32Ms(ms: number): number {
+  return Math.min(MAX_UINT32, Math.max(0, Math.round(ms)));
 }
--- a/packages/dispatch/src/quarantine/common/caseKeeper.test.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
@@ -3,26 +3,26 @@
 import { Emitter, ManualClock, SeededRandom, createSilentLogger } from '@parsleymux/base';
 import { StoreCallError, StoreFailure } from '../../directory/common/authority.js';
 import { MemoryNetwork } from '../../test/memoryNetwork.js';
-import { CaseKeeper } from './caseKeeper.js';
-import { CaseStore } from './caseStore.js';
-import type { ICaseRecord } from './crashCase.js';
-import { QuarantineSharing } from './quarantineSharing.js';
+import { QuarantinePersister } from './quarantinePersister.js';
+import { QuarantineStore } from './quarantineStore.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
+import { QuarantineGossip } from './quarantineGossip.js';
 import { RequestQuarantine } from './requestQuarantine.js';
 
 const REQUEST = 'aa01';
 
 /** Keeps rows; may be out. */
-class MemoryCaseStore extends CaseStore {
-  readonly rows = new Map<string, ICaseRecord>();
+class MemoryQuarantineStore extends QuarantineStore {
+  readonly rows = new Map<string, ICrashHistoryRecord>();
   isOut = false;
   reads = 0;
 
-  override readAll(): Promise<readonly ICaseRecord[]> {
+  override readAll(): Promise<readonly ICrashHistoryRecord[]> {
     this.reads += 1;
     return this.call(() => [...this.rows.values()]);
   }
 
-  override put(record: ICaseRecord): Promise<void> {
+  override put(record: ICrashHistoryRecord): Promise<void> {
     return this.call(() => void this.rows.set(record.fingerprint, record));
   }
 
@@ -41,7 +41,7 @@
 
   readonly restored = new Emitter<number>();
 
-  constructor(network: MemoryNetwork, address: string, store: CaseStore, isReader: boolean) {
+  constructor(network: MemoryNetwork, address: string, store: QuarantineStore, isReader: boolean) {
     const { clock } = network;
     const log = createSilentLogger();
     const quarantine = new RequestQuarantine({ clock, log });
@@ -49,13 +49,13 @@
     const channel = network.open(address);
     const random = new SeededRandom(1);
     const listMembers = () => ['a', 'b', 'c'];
-    const sharing = new QuarantineSharing({ channel, quarantine, clock, random, listMembers });
+    const gossip = new QuarantineGossip({ channel, quarantine, clock, random, listMembers });
     channel.setHandler((_sender, body) => {
-      if (body.case === 'quarantine') sharing.handleQuarantine(body.value);
+      if (body.case === 'quarantine') gossip.handleQuarantine(body.value);
     });
-    new CaseKeeper({
+    new QuarantinePersister({
       quarantine,
-      sharing,
+      gossip,
       store,
       clock,
       log,
@@ -68,14 +68,14 @@
   loseThree(): void {
     for (const target of ['i-1', 'i-2', 'i-3']) {
       const attempt = { fingerprints: [REQUEST], requestId: 'q', target, grantedMs: Infinity };
-      this.quarantine.recordLoss(attempt);
+      this.quarantine.recordConnectionLoss(attempt);
     }
   }
 }
 
 test('a verdict reaches all nodes at once, and the store', async () => {
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b', 'c'].map((name) => new Node(network, name, store, false));
   nodes[0]?.loseThree();
   await network.clock.advanceBy(50);
@@ -85,7 +85,7 @@
 
 test('a verdict that came while the store was out is written when it is back', async () => {
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   store.isOut = true;
   const node = new Node(network, 'a', store, false);
   node.loseThree();
@@ -99,7 +99,7 @@
 test('after a loss of power of all nodes, one reads what is held back and tells the others', async () => {
   // Symptom: a request crashes as many targets again as it took to convict it. Sequence: all nodes lose power;
   // the request comes again. Cause: the verdict was in the nodes' memories alone.
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   const before = new MemoryNetwork(new ManualClock());
   new Node(before, 'a', store, true).loseThree();
   await before.clock.advanceBy(50);
@@ -113,7 +113,7 @@
 
 test('a node that starts later hears of held requests from others', async () => {
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   new Node(network, 'a', store, false).loseThree();
   await network.clock.advanceBy(1000);
   const late = new Node(network, 'b', store, false);
@@ -123,19 +123,19 @@
 
 test('a held request that comes no more is forgotten after a day, by the store as well', async () => {
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b'].map((name) => new Node(network, name, store, name === 'b'));
   nodes[0]?.loseThree();
   await network.clock.advanceBy(86_390_000);
   assert.equal(store.rows.size, 1);
   await network.clock.advanceBy(30_000);
-  for (const { quarantine } of nodes) assert.deepEqual(quarantine.listConvicted(), []);
+  for (const { quarantine } of nodes) assert.deepEqual(quarantine.listQuarantined(), []);
   assert.equal(store.rows.size, 0);
 });
 
 test('a request that an operator lets go is forgotten by the store as well', async () => {
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   const node = new Node(network, 'a', store, false);
   node.loseThree();
   await network.clock.advanceBy(50);
@@ -147,7 +147,7 @@
 test('a verdict that the store has lost with an older copy is written again, by one node', async () => {
   // Guards against a held request that is forgotten when all nodes lose power after the store went back.
   const network = new MemoryNetwork(new ManualClock());
-  const store = new MemoryCaseStore();
+  const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b', 'c'].map((name) => new Node(network, name, store, name === 'b'));
   nodes[0]?.loseThree();
   await network.clock.advanceBy(50);
--- a/packages/dispatch/src/quarantine/common/caseKeeper.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -1,26 +1,26 @@
 /** Writes verdicts on requests to the store, and reads them when the fleet starts anew. */
 import type { Clock, Event, IDisposable, Logger } from '@parsleymux/base';
 import { StoreCallError } from '../../directory/common/authority.js';
-import type { CaseStore } from './caseStore.js';
-import type { ICaseRecord } from './crashCase.js';
-import type { QuarantineSharing } from './quarantineSharing.js';
+import type { QuarantineStore } from './quarantineStore.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
+import type { QuarantineGossip } from './quarantineGossip.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
 /** How often a node that has just started looks whether it reads for others, in ms. */
-const CHECK_MS = 250;
+const READER_CHECK_INTERVAL_MS = 250;
 /** Until then, in ms after its start; later it has heard from others what they read. */
-const READ_WITHIN_MS = 20_000;
+const READ_WINDOW_MS = 20_000;
 /** Wait after a call that failed, in ms: callers don't wait for it. */
-const RETRY_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 /** Verdicts that wait to be written at most; the oldest goes first. */
-const MAX_WAITING = 256;
+const MAX_PENDING_WRITES = 256;
 
-/** Options of a {@link CaseKeeper}. */
-export interface ICaseKeeperOptions {
+/** Options of a {@link QuarantinePersister}. */
+export interface IQuarantinePersisterOptions {
   readonly quarantine: RequestQuarantine;
   /** Told what was read, so that the others hear of it. */
-  readonly sharing: QuarantineSharing;
-  readonly store: CaseStore;
+  readonly gossip: QuarantineGossip;
+  readonly store: QuarantineStore;
   readonly clock: Clock;
   readonly log: Logger;
   /** Whether this node reads for others: one of a failure domain does, and tells the rest. */
@@ -39,27 +39,27 @@
  * @example
  * keeper.start();
  */
-export class CaseKeeper implements IDisposable {
-  private readonly decided: IDisposable;
-  private readonly expired: IDisposable;
-  private readonly restored: IDisposable | undefined;
-  private readonly waiting = new Map<string, ICaseRecord>();
+export class QuarantinePersister implements IDisposable {
+  private readonly decisionListener: IDisposable;
+  private readonly expiryListener: IDisposable;
+  private readonly restoreListener: IDisposable | undefined;
+  private readonly waiting = new Map<string, ICrashHistoryRecord>();
   private readonly background = new AbortController();
   private timer: IDisposable | undefined;
   private isCalling = false;
   private hasRead: boolean;
   private startMs = 0;
 
-  constructor(private readonly options: ICaseKeeperOptions) {
+  constructor(private readonly options: IQuarantinePersisterOptions) {
     this.hasRead = options.isFirstStart;
-    this.decided = options.quarantine.onDidDecide((record) => {
-      this.add(record);
+    this.decisionListener = options.quarantine.onDidChangeDecision((record) => {
+      this.addPendingWrite(record);
       this.startTimer(0);
     });
-    this.expired = options.quarantine.onDidExpire((fingerprint) => {
+    this.expiryListener = options.quarantine.onDidExpire((fingerprint) => {
       this.removeExpired(fingerprint);
     });
-    this.restored = options.onDidRestore?.(() => {
+    this.restoreListener = options.onDidRestore?.(() => {
       this.writeAgain();
     });
   }
@@ -70,9 +70,9 @@
   }
 
   dispose(): void {
-    void this.decided.dispose();
-    void this.expired.dispose();
-    void this.restored?.dispose();
+    void this.decisionListener.dispose();
+    void this.expiryListener.dispose();
+    void this.restoreListener?.dispose();
     void this.timer?.dispose();
     this.background.abort(new Error('the node stops'));
   }
@@ -92,48 +92,48 @@
     const isDone = (await this.read(signal)) && (await this.writeNext(signal));
     this.isCalling = false;
     if (signal.aborted) return;
-    if (!isDone) this.startTimer(RETRY_MS);
+    if (!isDone) this.startTimer(RETRY_DELAY_MS);
     else if (this.waiting.size > 0) this.startTimer(0);
-    else if (this.isReadDue()) this.startTimer(CHECK_MS);
+    else if (this.isReadDue()) this.startTimer(READER_CHECK_INTERVAL_MS);
   }
 
   private isReadDue(): boolean {
     const sinceStartMs = this.options.clock.getMonotonicTime() - this.startMs;
-    return !this.hasRead && sinceStartMs < READ_WITHIN_MS;
+    return !this.hasRead && sinceStartMs < READ_WINDOW_MS;
   }
 
   /** All nodes forget it at about the same time; one call is enough for a failure domain. */
   private removeExpired(fingerprint: string): void {
     if (!this.options.isReader()) return;
-    this.add({ fingerprint, crashes: [], trials: 0, holdMs: 0 });
+    this.addPendingWrite({ fingerprint, crashes: [], trials: 0, holdMs: 0 });
     this.startTimer(0);
   }
 
   /** What was written since the copy was made is gone; one node of a failure domain writes it again. */
   private writeAgain(): void {
     if (!this.options.isReader()) return;
-    const convicted = this.options.quarantine.listConvicted();
-    for (const record of convicted) this.add(record);
+    const convicted = this.options.quarantine.listQuarantined();
+    for (const record of convicted) this.addPendingWrite(record);
     if (convicted.length > 0) this.startTimer(0);
   }
 
-  private add(record: ICaseRecord): void {
+  private addPendingWrite(record: ICrashHistoryRecord): void {
     this.waiting.delete(record.fingerprint);
     this.waiting.set(record.fingerprint, record);
     const [oldest] = this.waiting.keys();
-    if (this.waiting.size <= MAX_WAITING || oldest === undefined) return;
+    if (this.waiting.size <= MAX_PENDING_WRITES || oldest === undefined) return;
     this.waiting.delete(oldest);
     this.options.log.warn('verdict is not kept: too many wait', { fingerprint: oldest });
   }
 
   /** False if the store did not answer. */
   private async read(signal: AbortSignal): Promise<boolean> {
-    const { isReader, log, sharing, store } = this.options;
+    const { isReader, log, gossip, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
     return this.tryCall('held requests not read', signal, async () => {
       const records = await store.readAll(signal);
       this.hasRead = true;
-      sharing.handleStored(records);
+      gossip.handleStoredRecords(records);
       log.info('held requests read', { count: records.length });
     });
   }
--- a/packages/dispatch/src/quarantine/common/caseStore.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineStore.ts
@@ -1,13 +1,13 @@
 /** Where verdicts on requests outlive the fleet: varies with the deployment. */
-import type { ICaseRecord } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
 
 /** Every call rejects with a StoreCallError without an answer. */
-export abstract class CaseStore {
+export abstract class QuarantineStore {
   /** All requests that were held back when somebody wrote last. */
-  abstract readAll(signal: AbortSignal): Promise<readonly ICaseRecord[]>;
+  abstract readAll(signal: AbortSignal): Promise<readonly ICrashHistoryRecord[]>;
 
   /** Keeps a case, or its newer state. */
-  abstract put(record: ICaseRecord, signal: AbortSignal): Promise<void>;
+  abstract put(record: ICrashHistoryRecord, signal: AbortSignal): Promise<void>;
 
   /** Forgets a case; harmless when there is none. */
   abstract remove(fingerprint: string, signal: AbortSignal): Promise<void>;
--- a/packages/dispatch/src/quarantine/common/requestQuarantine.test.ts
+++ b/packages/dispatch/src/quarantine/common/requestQuarantine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock, createSilentLogger } from '@parsleymux/base';
-import type { ICaseRecord } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
 import { RequestQuarantine } from './requestQuarantine.js';
 
 const REQUEST = 'aa01';
@@ -10,17 +10,17 @@
 class Bench {
   readonly clock = new ManualClock();
   readonly quarantine: RequestQuarantine;
-  readonly told: ICaseRecord[] = [];
-  readonly decided: ICaseRecord[] = [];
+  readonly told: ICrashHistoryRecord[] = [];
+  readonly decided: ICrashHistoryRecord[] = [];
 
-  constructor(maxCases = 16) {
+  constructor(maxHistories = 16) {
     this.quarantine = new RequestQuarantine({
       clock: this.clock,
       log: createSilentLogger(),
-      maxCases,
+      maxHistories,
     });
     this.quarantine.onDidChange((record) => this.told.push(record));
-    this.quarantine.onDidDecide((record) => this.decided.push(record));
+    this.quarantine.onDidChangeDecision((record) => this.decided.push(record));
   }
 
   /** Grants a target and loses it after 100 ms. */
@@ -28,7 +28,12 @@
     const grantedMs = this.clock.getMonotonicTime();
     this.quarantine.recordGrant({ fingerprints: [fingerprint], requestId: 'q' });
     await this.clock.advanceBy(100);
-    this.quarantine.recordLoss({ fingerprints: [fingerprint], requestId: 'q', target, grantedMs });
+    this.quarantine.recordConnectionLoss({
+      fingerprints: [fingerprint],
+      requestId: 'q',
+      target,
+      grantedMs,
+    });
   }
 
   async loseThree(): Promise<void> {
@@ -74,7 +79,7 @@
   const bench = new Bench();
   await bench.lose('i-1');
   await bench.lose('i-2');
-  bench.quarantine.recordAnswer('i-2', bench.clock.getMonotonicTime() + 1);
+  bench.quarantine.recordResponse('i-2', bench.clock.getMonotonicTime() + 1);
   await bench.lose('i-3');
   assert.equal(bench.getHoldMs(), 0);
 });
@@ -82,7 +87,7 @@
 test('a verdict that a later answer refutes is withdrawn everywhere', async () => {
   const bench = new Bench();
   await bench.loseThree();
-  bench.quarantine.recordAnswer('i-3', bench.clock.getMonotonicTime() + 1);
+  bench.quarantine.recordResponse('i-3', bench.clock.getMonotonicTime() + 1);
   assert.equal(bench.getHoldMs(), 0);
   const other = new Bench();
   for (const record of bench.told) other.quarantine.applyRecord(record);
@@ -97,7 +102,7 @@
   const grantedMs = clock.getMonotonicTime();
   await clock.advanceBy(200);
   for (const target of ['i-1', 'i-2', 'i-3', 'i-4']) {
-    quarantine.recordLoss({ fingerprints: [REQUEST], requestId: 'q', target, grantedMs });
+    quarantine.recordConnectionLoss({ fingerprints: [REQUEST], requestId: 'q', target, grantedMs });
     await clock.advanceBy(10);
   }
   assert.equal(bench.getHoldMs(), 0);
@@ -116,7 +121,7 @@
       fingerprints: [`b${index}`],
     }));
     for (const loss of [{ target: `${rack}-0`, fingerprints: [REQUEST] }, ...others]) {
-      quarantine.recordLoss({ ...loss, requestId: 'q', grantedMs });
+      quarantine.recordConnectionLoss({ ...loss, requestId: 'q', grantedMs });
       await clock.advanceBy(2);
     }
   }
@@ -130,10 +135,15 @@
     const grantedMs = clock.getMonotonicTime();
     await clock.advanceBy(100);
     for (const fingerprint of [REQUEST, `b${target.slice(-1)}`, `c${target.slice(-1)}`]) {
-      quarantine.recordLoss({ fingerprints: [fingerprint], requestId: 'q', target, grantedMs });
+      quarantine.recordConnectionLoss({
+        fingerprints: [fingerprint],
+        requestId: 'q',
+        target,
+        grantedMs,
+      });
     }
   }
-  const held = quarantine.listConvicted().map(({ fingerprint }) => fingerprint);
+  const held = quarantine.listQuarantined().map(({ fingerprint }) => fingerprint);
   assert.deepEqual(held, [REQUEST]);
 });
 
@@ -154,7 +164,7 @@
   bench.quarantine.recordGrant({ fingerprints: [REQUEST], requestId: 'q' });
   bench.quarantine.recordSuccess([REQUEST]);
   assert.equal(bench.getHoldMs(), 0);
-  assert.deepEqual(bench.quarantine.listConvicted(), []);
+  assert.deepEqual(bench.quarantine.listQuarantined(), []);
 });
 
 test('losses that different nodes saw add up', async () => {
@@ -190,7 +200,7 @@
   for (let index = 0; index < 1000; index += 1) {
     await bench.lose('rack-1', (0x1000 + index).toString(16));
   }
-  const held = bench.quarantine.listConvicted().map(({ fingerprint }) => fingerprint);
+  const held = bench.quarantine.listQuarantined().map(({ fingerprint }) => fingerprint);
   assert.deepEqual(held, [REQUEST]);
 });
 
@@ -201,7 +211,7 @@
     await bench.lose(`i-${index}`, fingerprint);
     if (index % 2 === 0) bench.quarantine.recordSuccess([fingerprint]);
   }
-  assert.ok(bench.quarantine.countKept() <= 2 * 16);
+  assert.ok(bench.quarantine.countEntries() <= 2 * 16);
 });
 
 test('a request is known by its path too, where copies differ in the query', async () => {
@@ -214,7 +224,7 @@
     const grantedMs = bench.clock.getMonotonicTime();
     await bench.clock.advanceBy(100);
     const fingerprints = [query, REQUEST];
-    bench.quarantine.recordLoss({ fingerprints, requestId: 'q', target, grantedMs });
+    bench.quarantine.recordConnectionLoss({ fingerprints, requestId: 'q', target, grantedMs });
   }
   assert.ok(bench.quarantine.getHoldMs(['c4', REQUEST]) > 0);
 });
--- a/packages/dispatch/src/quarantine/common/requestQuarantine.ts
+++ b/packages/dispatch/src/quarantine/common/requestQuarantine.ts
@@ -1,18 +1,18 @@
 /** Holds requests back under which one target after the other crashes. */
 import type { Clock, Event, Logger } from '@parsleymux/base';
 import { Emitter } from '@parsleymux/base';
-import type { ICaseRecord } from './crashCase.js';
-import { LossLog } from './lossLog.js';
-import { CRASHES_TO_HOLD, CrashCase } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
+import { ConnectionLossLog } from './connectionLossLog.js';
+import { CRASHES_TO_QUARANTINE, CrashHistory } from './crashHistory.js';
 
 /** Requests that a node keeps in mind at most: some 500 bytes each. */
-const MAX_CASES = 1024;
+const MAX_HISTORIES = 1024;
 /** Without another crash, a request that is not held back is forgotten after this time, in ms. */
-const FORGET_MS = 600_000;
+const RETENTION_MS = 600_000;
 /** One that is held back and comes no more is forgotten after this time, in ms. */
-const FORGET_CONVICTED_MS = 86_400_000;
+const QUARANTINED_RETENTION_MS = 86_400_000;
 /** Others are told of a request from this many crashes on: most crashes are no request's fault. */
-const CRASHES_TO_TELL = 2;
+const CRASHES_TO_SHARE = 2;
 
 /** One attempt of a request at one target. */
 export interface IAttempt {
@@ -29,7 +29,7 @@
   readonly clock: Clock;
   readonly log: Logger;
   /** Default: 1,024. */
-  readonly maxCases?: number;
+  readonly maxHistories?: number;
 }
 
 /**
@@ -44,18 +44,18 @@
  * const holdMs = quarantine.getHoldMs(fingerprints);
  */
 export class RequestQuarantine {
-  private readonly cases = new Map<string, CrashCase>();
+  private readonly histories = new Map<string, CrashHistory>();
   /** Fingerprints of the requests under which a target was lost, by the target's life. */
   private readonly accusers = new Map<string, Set<string>>();
-  private readonly losses = new LossLog();
-  private readonly changed = new Emitter<ICaseRecord>();
-  private readonly held = new Emitter<ICaseRecord>();
+  private readonly losses = new ConnectionLossLog();
+  private readonly changed = new Emitter<ICrashHistoryRecord>();
+  private readonly decisionChanged = new Emitter<ICrashHistoryRecord>();
   private readonly expired = new Emitter<string>();
 
   /** Fires with a case that other nodes have to know of, changed by what was seen here. */
-  readonly onDidChange: Event<ICaseRecord> = this.changed.onDidFire;
+  readonly onDidChange: Event<ICrashHistoryRecord> = this.changed.onDidFire;
   /** Fires when the verdict on a request changes by what was seen here; it has to outlive the fleet. */
-  readonly onDidDecide: Event<ICaseRecord> = this.held.onDidFire;
+  readonly onDidChangeDecision: Event<ICrashHistoryRecord> = this.decisionChanged.onDidFire;
   /** Fires with the fingerprint of a held request that is forgotten, since it came no more. */
   readonly onDidExpire: Event<string> = this.expired.onDidFire;
 
@@ -65,7 +65,7 @@
   getHoldMs(fingerprints: readonly string[]): number {
     const nowMs = this.now;
     return fingerprints.reduce((longest, fingerprint) => {
-      return Math.max(longest, this.cases.get(fingerprint)?.getHoldMs(nowMs) ?? 0);
+      return Math.max(longest, this.histories.get(fingerprint)?.getHoldMs(nowMs) ?? 0);
     }, 0);
   }
 
@@ -75,8 +75,9 @@
   }
 
   /** The connection of an attempt was lost before its answer was whole. */
-  recordLoss(attempt: IAttempt): void {
-    for (const fingerprint of attempt.fingerprints) this.recordLossOf(fingerprint, attempt);
+  recordConnectionLoss(attempt: IAttempt): void {
+    for (const fingerprint of attempt.fingerprints)
+      this.recordConnectionLossOf(fingerprint, attempt);
   }
 
   /** A target ran the request to a good end, so the request crashes nothing. */
@@ -85,30 +86,30 @@
   }
 
   /** A target answered an attempt that it was granted after it had seemed to be lost. */
-  recordAnswer(target: string, grantedMs: number): void {
+  recordResponse(target: string, grantedMs: number): void {
     for (const fingerprint of [...(this.accusers.get(target) ?? [])]) {
-      const found = this.cases.get(fingerprint);
+      const found = this.histories.get(fingerprint);
       if (found === undefined) continue;
       const crashesBefore = found.crashCount;
-      if (!this.updateCase(found, () => found.removeCrash(target, grantedMs))) continue;
+      if (!this.updateHistory(found, () => found.removeCrash(target, grantedMs))) continue;
       // Whoever was told of the verdict has to hear that it does not stand.
-      const isRefuted = crashesBefore === CRASHES_TO_HOLD;
+      const isRefuted = crashesBefore === CRASHES_TO_QUARANTINE;
       if (isRefuted) this.release(fingerprint, 'a target was not lost');
-      else if (found.crashCount === 0) this.cases.delete(fingerprint);
+      else if (found.crashCount === 0) this.histories.delete(fingerprint);
     }
   }
 
   /** Lets a request go. False if nothing is known of it. */
   release(fingerprint: string, reason: string): boolean {
-    const found = this.cases.get(fingerprint);
+    const found = this.histories.get(fingerprint);
     if (found === undefined || found.crashCount === 0) return false;
-    const wasTold = found.crashCount >= CRASHES_TO_TELL;
-    const wasConvicted = found.isConvicted;
-    this.updateCase(found, () => {
+    const wasTold = found.crashCount >= CRASHES_TO_SHARE;
+    const wasConvicted = found.isQuarantined;
+    this.updateHistory(found, () => {
       found.clear(this.now);
     });
     if (!wasTold) {
-      this.cases.delete(fingerprint);
+      this.histories.delete(fingerprint);
       return true;
     }
     this.options.log.info('request is no longer suspected', { fingerprint, reason });
@@ -117,18 +118,18 @@
   }
 
   /** Takes what another node, or the store, knows of a request. */
-  applyRecord(record: ICaseRecord): void {
-    const known = this.cases.get(record.fingerprint);
+  applyRecord(record: ICrashHistoryRecord): void {
+    const known = this.histories.get(record.fingerprint);
     // That nothing speaks against a request is no news where nothing is known of it.
     if (known === undefined && record.crashes.length === 0) return;
-    const found = known ?? this.open(record.fingerprint);
+    const found = known ?? this.addHistory(record.fingerprint);
     const wasHeld = found.isHeld(this.now);
     const crashesBefore = found.crashCount;
-    if (!this.updateCase(found, () => found.merge(record, this.now))) return;
+    if (!this.updateHistory(found, () => found.merge(record, this.now))) return;
     const isHeld = found.isHeld(this.now);
     // The sender did not know enough for the verdict: then it comes from here.
-    const isDecidedHere = Math.max(crashesBefore, record.crashes.length) < CRASHES_TO_HOLD;
-    if (isDecidedHere && found.isConvicted) this.announce(found, true);
+    const isDecidedHere = Math.max(crashesBefore, record.crashes.length) < CRASHES_TO_QUARANTINE;
+    if (isDecidedHere && found.isQuarantined) this.announce(found, true);
     if (isHeld === wasHeld) return;
     const { fingerprint } = record;
     this.options.log.warn(isHeld ? 'request is held back' : 'request is let go', {
@@ -140,34 +141,34 @@
   }
 
   /** Requests that are held back, or may be tried once. */
-  listConvicted(): readonly ICaseRecord[] {
-    return this.listRecords(({ isConvicted }) => isConvicted);
+  listQuarantined(): readonly ICrashHistoryRecord[] {
+    return this.listRecords(({ isQuarantined: isConvicted }) => isConvicted);
   }
 
   /** What all nodes have to know, also which requests were found harmless lately. */
-  listShared(): readonly ICaseRecord[] {
+  listShared(): readonly ICrashHistoryRecord[] {
     this.removeExpired();
-    const oldestMs = this.now - FORGET_MS;
-    return this.listRecords((found) => found.isConvicted || found.lastClearedMs > oldestMs);
+    const oldestMs = this.now - RETENTION_MS;
+    return this.listRecords((found) => found.isQuarantined || found.lastClearedMs > oldestMs);
   }
 
   /** Cases, and targets by which they are looked up; both are bounded. */
-  countKept(): number {
-    return this.cases.size + this.accusers.size;
+  countEntries(): number {
+    return this.histories.size + this.accusers.size;
   }
 
   private get now(): number {
     return this.options.clock.getMonotonicTime();
   }
 
-  private listRecords(isListed: (found: CrashCase) => boolean): readonly ICaseRecord[] {
+  private listRecords(isListed: (found: CrashHistory) => boolean): readonly ICrashHistoryRecord[] {
     const nowMs = this.now;
-    return [...this.cases.values()].filter(isListed).map((found) => found.toRecord(nowMs));
+    return [...this.histories.values()].filter(isListed).map((found) => found.toRecord(nowMs));
   }
 
   private startTrial(fingerprint: string, requestId: string): void {
-    const found = this.cases.get(fingerprint);
-    if (found?.isConvicted !== true) return;
+    const found = this.histories.get(fingerprint);
+    if (found?.isQuarantined !== true) return;
     found.startTrial(this.now);
     this.options.log.warn('held request is tried once more', {
       request: requestId,
@@ -178,21 +179,21 @@
     this.announce(found, true);
   }
 
-  private recordLossOf(fingerprint: string, attempt: IAttempt): void {
+  private recordConnectionLossOf(fingerprint: string, attempt: IAttempt): void {
     const { grantedMs, requestId, target } = attempt;
-    const found = this.cases.get(fingerprint) ?? this.open(fingerprint);
-    const wasConvicted = found.isConvicted;
+    const found = this.histories.get(fingerprint) ?? this.addHistory(fingerprint);
+    const wasConvicted = found.isQuarantined;
     const nowMs = this.now;
     this.losses.record(target, fingerprint, nowMs);
-    const isCounted = this.updateCase(found, () => {
+    const isCounted = this.updateHistory(found, () => {
       // By now it is known what else was lost at the moments of the earlier ones.
       if (!wasConvicted) {
-        found.removeExplained((atMs) => this.losses.isCommonCause(fingerprint, atMs));
+        found.removeUnrelatedCrashes((atMs) => this.losses.isCommonCause(fingerprint, atMs));
       }
-      return found.recordLoss({ target, grantedMs, atMs: nowMs });
+      return found.recordConnectionLoss({ target, grantedMs, atMs: nowMs });
     });
     if (!isCounted) return;
-    if (found.crashCount < CRASHES_TO_TELL) return;
+    if (found.crashCount < CRASHES_TO_SHARE) return;
     this.options.log.warn('targets are lost under one request', {
       request: requestId,
       fingerprint,
@@ -201,21 +202,21 @@
       isHeld: found.isHeld(nowMs),
       holdMs: Math.round(found.getHoldMs(nowMs)),
     });
-    this.announce(found, found.isConvicted && !wasConvicted);
+    this.announce(found, found.isQuarantined && !wasConvicted);
   }
 
-  private announce(found: CrashCase, isDecision: boolean): void {
+  private announce(found: CrashHistory, isDecision: boolean): void {
     const record = found.toRecord(this.now);
     this.changed.fire(record);
-    if (isDecision) this.held.fire(record);
+    if (isDecision) this.decisionChanged.fire(record);
   }
 
   /** Changes a case, and keeps the look-up by target in step with it. */
-  private updateCase<T>(found: CrashCase, apply: () => T): T {
+  private updateHistory<T>(found: CrashHistory, apply: () => T): T {
     const before = found.listTargets();
     const result = apply();
     const after = found.listTargets();
-    for (const target of before) if (!after.includes(target)) this.removeAccuser(target, found);
+    for (const target of before) if (!after.includes(target)) this.removeFingerprint(target, found);
     for (const target of after) {
       const accusers = this.accusers.get(target) ?? new Set();
       this.accusers.set(target, accusers.add(found.fingerprint));
@@ -223,16 +224,16 @@
     return result;
   }
 
-  private removeAccuser(target: string, { fingerprint }: CrashCase): void {
+  private removeFingerprint(target: string, { fingerprint }: CrashHistory): void {
     const accusers = this.accusers.get(target);
     accusers?.delete(fingerprint);
     if (accusers?.size === 0) this.accusers.delete(target);
   }
 
-  private open(fingerprint: string): CrashCase {
-    this.removeOld();
-    const found = new CrashCase(fingerprint);
-    this.cases.set(fingerprint, found);
+  private addHistory(fingerprint: string): CrashHistory {
+    this.ensureCapacity();
+    const found = new CrashHistory(fingerprint);
+    this.histories.set(fingerprint, found);
     return found;
   }
 
@@ -240,33 +241,33 @@
    * Makes room. When hundreds of requests are lost with a rack, each has one crash against it; those that
    * have crashed most stay, and of the others the newest.
    */
-  private removeOld(): void {
-    const { maxCases = MAX_CASES } = this.options;
-    if (this.cases.size < maxCases) return;
-    const oldestMs = this.now - FORGET_MS;
-    for (const found of this.cases.values()) {
-      if (!found.isConvicted && found.lastMs < oldestMs) this.remove(found);
+  private ensureCapacity(): void {
+    const { maxHistories = MAX_HISTORIES } = this.options;
+    if (this.histories.size < maxHistories) return;
+    const oldestMs = this.now - RETENTION_MS;
+    for (const found of this.histories.values()) {
+      if (!found.isQuarantined && found.lastChangeMs < oldestMs) this.remove(found);
     }
-    if (this.cases.size < maxCases) return;
-    const [weakest] = [...this.cases.values()].sort((left, right) => {
-      return left.crashCount - right.crashCount || left.lastMs - right.lastMs;
+    if (this.histories.size < maxHistories) return;
+    const [weakest] = [...this.histories.values()].sort((left, right) => {
+      return left.crashCount - right.crashCount || left.lastChangeMs - right.lastChangeMs;
     });
     if (weakest !== undefined) this.remove(weakest);
   }
 
   /** Without it, nodes would tell each other for ever of requests that were mended long ago. */
   private removeExpired(): void {
-    const oldestMs = this.now - FORGET_CONVICTED_MS;
-    for (const found of this.cases.values()) {
-      if (!found.isConvicted || found.lastMs > oldestMs) continue;
+    const oldestMs = this.now - QUARANTINED_RETENTION_MS;
+    for (const found of this.histories.values()) {
+      if (!found.isQuarantined || found.lastChangeMs > oldestMs) continue;
       this.remove(found);
       this.options.log.info('held request is forgotten', { fingerprint: found.fingerprint });
       this.expired.fire(found.fingerprint);
     }
   }
 
-  private remove(found: CrashCase): void {
-    this.cases.delete(found.fingerprint);
-    for (const target of found.listTargets()) this.removeAccuser(target, found);
+  private remove(found: CrashHistory): void {
+    this.histories.delete(found.fingerprint);
+    for (const target of found.listTargets()) this.removeFingerprint(target, found);
   }
 }
--- a/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
+++ b/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
@@ -25,7 +25,7 @@
   switch (incoming.method) {
     case 'GET':
       response.writeHead(OK, { 'content-type': 'application/json' });
-      response.end(JSON.stringify(quarantine.listConvicted()));
+      response.end(JSON.stringify(quarantine.listQuarantined()));
       break;
     case 'DELETE': {
       const isKnown = quarantine.release(path.slice(PATH.length + 1), 'an operator let it go');
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -165,17 +165,17 @@
       isFirstStart: false,
       seeds: [],
       keyLeaseMs: way === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
-      isAsked: () => true,
+      hasReceivedRequests: () => true,
     });
     this.ownReads = new StoreFollower({
       table: this.directory.catalog,
       source: new CatalogSource({ source: authority.catalog, directory: this.directory, clock }),
-      pace: { pauseMs: 10, waitMs: 625 },
+      pollTiming: { pauseMs: 10, waitMs: 625 },
       clock,
       log,
       jitter: (delayMs) => random.getJittered(delayMs, 0.4),
       hasToRead: () => true,
-      getMostAgeMs: () => 0,
+      getMaxAgeMs: () => 0,
       isFirst: () => false,
       onDidRead: () => undefined,
     });
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -9,7 +9,7 @@
   Authority,
   AuthorityTable,
   CallerProtocol,
-  CaseStore,
+  QuarantineStore,
   DEFAULT_TENANT_BOUNDS,
   DirectNode,
   StoreCallError,
@@ -51,7 +51,7 @@
   }
 }
 
-class EmptyCaseStore extends CaseStore {
+class EmptyCaseStore extends QuarantineStore {
   override readAll(): Promise<never[]> {
     return Promise.resolve([]);
   }
--- a/packages/lab/src/experiment/common/modelledCaseStore.ts
+++ b/packages/lab/src/experiment/common/modelledCaseStore.ts
@@ -1,25 +1,25 @@
 /** The store of an experiment: keeps verdicts on requests when all nodes lose power. */
 import type { Clock } from '@parsleymux/base';
-import type { ICaseRecord } from '@parsleymux/dispatch';
-import { CaseStore } from '@parsleymux/dispatch';
+import type { ICrashHistoryRecord } from '@parsleymux/dispatch';
+import { QuarantineStore } from '@parsleymux/dispatch';
 
 /** From a call to its answer, in ms. */
 const CALL_MS = 5;
 
 /** Answers every call. */
-export class ModelledCaseStore extends CaseStore {
-  private readonly rows = new Map<string, ICaseRecord>();
+export class ModelledCaseStore extends QuarantineStore {
+  private readonly rows = new Map<string, ICrashHistoryRecord>();
 
   constructor(private readonly clock: Clock) {
     super();
   }
 
-  override async readAll(): Promise<readonly ICaseRecord[]> {
+  override async readAll(): Promise<readonly ICrashHistoryRecord[]> {
     await this.clock.sleep(CALL_MS);
     return [...this.rows.values()];
   }
 
-  override async put(record: ICaseRecord): Promise<void> {
+  override async put(record: ICrashHistoryRecord): Promise<void> {
     await this.clock.sleep(CALL_MS);
     this.rows.set(record.fingerprint, record);
   }
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -1,10 +1,15 @@
 /** One node of an experiment: the real entry, home and questions on simulated time. */
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
 import { create } from '@bufbuild/protobuf';
-import type { CaseStore, DatagramChannel, GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
+import type {
+  QuarantineStore,
+  DatagramChannel,
+  GrantPolicy,
+  ITargetRecord,
+} from '@parsleymux/dispatch';
 import {
   BeliefSharing,
-  CaseKeeper,
+  QuarantinePersister,
   DEFAULT_TENANT_BOUNDS,
   GrantServer,
   HomeSelector,
@@ -12,7 +17,7 @@
   KeyChecker,
   NodeDirectory,
   PathHealth,
-  QuarantineSharing,
+  QuarantineGossip,
   RequestQuarantine,
   RequestRunner,
   RetrySharing,
@@ -39,7 +44,7 @@
   readonly observer: FleetObserver;
   readonly rankHomes: (service: string) => readonly string[];
   readonly listMembers: () => readonly string[];
-  readonly cases: CaseStore;
+  readonly cases: QuarantineStore;
 }
 
 /** What a node does with callers' requests. */
@@ -49,8 +54,8 @@
   private readonly homes: HomeService;
   private readonly beliefs: BeliefSharing;
   private readonly retries: RetrySharing;
-  private readonly quarantine: QuarantineSharing;
-  private readonly keeper: CaseKeeper;
+  private readonly quarantine: QuarantineGossip;
+  private readonly keeper: QuarantinePersister;
   private readonly end = new AbortController();
   private known = new Map<string, ITargetRecord>();
 
@@ -93,7 +98,7 @@
     const server = new GrantServer({ channel, homes, clock });
     const beliefs = new BeliefSharing({ channel, homes, clock, rankHomes });
     const retries = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
-    const sharing = new QuarantineSharing({
+    const sharing = new QuarantineGossip({
       channel,
       quarantine,
       clock,
@@ -133,9 +138,9 @@
     homes.start();
     beliefs.start();
     retries.start();
-    const keeper = new CaseKeeper({
+    const keeper = new QuarantinePersister({
       quarantine,
-      sharing,
+      gossip: sharing,
       clock,
       log,
       store: options.cases,
