--- a/packages/dispatch/src/catalog/common/catalog.ts
+++ b/packages/dispatch/src/catalog/common/catalog.ts
@@ -1,43 +1,43 @@
-/** What is to be served: routes, services, targets and limits, in the product's own words. */
+/** Types of the configuration and of registered targets: routes, services, limits, target records. */
 import type { ITenantRule } from '../../tenants/common/tenant.js';
 
-/** One service among those that share a route's requests. */
+/** One of the services among which a route divides its requests. */
 export interface IDestination {
   readonly service: string;
   /** Share of the requests, relative to the weights of the other destinations. */
   readonly weight: number;
 }
 
-/** One route: requests for a host below a path prefix. */
+/** One route: matches the requests for a host whose path begins with a prefix. */
 export interface IRouteRule {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly prefix: string;
-  /** Whether a request may run more than once. */
+  /** Whether a request may be executed more than once. */
   readonly isIdempotent: boolean;
-  /** Longest time that a request may be kept waiting, in ms. */
+  /** Longest time that a request may take, in ms. */
   readonly timeoutMs: number;
-  /** Time within which an answer is worth most, in ms. */
+  /** Target latency, in ms: a later response is worth less. */
   readonly objectiveMs: number;
-  /** 0 is the most urgent. */
+  /** Priority class; 0 is the highest. */
   readonly priority: number;
-  /** Whether requests need no key where others do. Default: false. */
+  /** Whether requests are accepted without a key even if the configuration requires keys. Default: false. */
   readonly isPublic?: boolean | undefined;
-  /** Targets that one request may be sent to, at most. */
+  /** Most targets that one request may be sent to. */
   readonly maxAttempts: number;
   readonly destinations: readonly IDestination[];
 }
 
-/** One service as configured. */
+/** The configuration of one service. */
 export interface IServiceRule {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one target accepts from all nodes together. */
+  /** Most connections that one target accepts from all nodes together. */
   readonly maxConnections: number;
 }
 
-/** What callers may send, and how long they may take or stay idle. */
+/** Limits on the size and timing of callers' requests and on idle connections. */
 export interface ICallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -47,65 +47,65 @@
 
 /** One version of the whole configuration. */
 export interface ICatalog {
-  /** Newer configurations have higher versions. */
+  /** Increases with each change of the configuration. */
   readonly version: number;
   readonly routes: readonly IRouteRule[];
   readonly services: readonly IServiceRule[];
   readonly limits: ICallerLimits;
-  /** Whether requests need the key of a tenant. Default: false. */
+  /** Whether requests must carry the key of a tenant. Default: false. */
   readonly requiresKeys?: boolean | undefined;
-  /** Undefined where requests need no keys; in a copy of a node, tenants have a table of their own. */
+  /** Undefined if requests need no keys, and in nodes' copies, which hold tenants in a separate table. */
   readonly tenants?: readonly ITenantRule[] | undefined;
 }
 
-/** One incarnation of a target, as it registered itself. */
+/** One incarnation (start of the process) of a target, as it registered itself. */
 export interface ITargetRecord {
-  /** Identifies the target; it may start anew under the same one, see {@link bornMs}. */
+  /** Identifies the target; may be reused after a restart, see {@link bornMs}. */
   readonly id: string;
   /**
-   * When the target started, in ms of Unix time: tells one life from the next. Undefined for
-   * targets that don't say it; these have a new identifier at each start.
+   * When the target started, in ms of Unix time; distinguishes its incarnations. Undefined for targets that
+   * don't report it; these use a new identifier at each start.
    */
   readonly bornMs?: number | undefined;
   readonly service: string;
-  /** IP number and port; may belong to another target later. */
+  /** IP address and port; may belong to another target later. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Requests that it works on at the same time. */
+  /** Number of requests that the target processes concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How much longer it stays slow after its start, in ms, when it registered. */
+  /** How much longer the target stays slow after its start, in ms, as of its registration. */
   readonly coldMs: number;
 }
 
 /**
- * Whether both are the same start of the same target. What is known of one life says nothing of
- * the next: slots, connections, failures and a drain all ended with the process.
+ * Whether both records describe the same incarnation of the same target. State of one incarnation doesn't
+ * apply to the next: slots, connections, failures and draining end with the process.
  *
  * @example
- * if (!isSameLife(known, record)) forget(known);
+ * if (!isSameIncarnation(known, record)) discard(known);
  */
 export function isSameIncarnation(left: ITargetRecord, right: ITargetRecord): boolean {
   return left.id === right.id && left.bornMs === right.bornMs;
 }
 
 /**
- * Names one life of a target, for what holds for that life alone.
+ * Formats a key that identifies one incarnation of a target.
  *
  * @example
- * formatLife(target); // 'i-7f3a/1780000000000'
+ * formatIncarnation(target); // 'i-7f3a/1780000000000'
  */
 export function formatIncarnation({ bornMs, id }: ITargetRecord): string {
   return bornMs === undefined ? id : `${id}/${bornMs}`;
 }
 
 /**
- * Whether `next` is what an earlier life of the target said of itself. A call to a store that lost
- * its answer may take effect seconds late; a drain of the former life would then be taken for one
- * of the life that has just begun.
+ * Whether `next` was registered by an earlier incarnation of the target than `known`. A store call whose
+ * response was lost may take effect seconds late; without this check, the drain of the former incarnation
+ * would be applied to the new one.
  *
  * @example
- * if (isEarlierLife(known, next)) return known;
+ * if (isEarlierIncarnation(known, next)) return known;
  */
 export function isEarlierIncarnation(known: ITargetRecord, next: ITargetRecord): boolean {
   const { bornMs } = known;
--- a/packages/dispatch/src/catalog/common/destinationPicker.ts
+++ b/packages/dispatch/src/catalog/common/destinationPicker.ts
@@ -1,10 +1,10 @@
-/** Divides the requests of a route among its destinations by weight. */
+/** Distributes the requests of a route among its destinations by weight. */
 import type { RandomSource } from '@parsleymux/base';
 import type { IDestination, IRouteRule } from './catalog.js';
 
 /**
- * Chooses independently for each request. Nodes see few requests each, so rotating in turn would
- * make all of them begin with the same destination; independent draws add up to the weights.
+ * Picks a destination at random for each request. With weighted round robin, all nodes would begin with
+ * the same destination, and each receives few requests; independent picks add up to the weights.
  *
  * @example
  * const service = new DestinationPicker(random).pick(route);
@@ -12,7 +12,7 @@
 export class DestinationPicker {
   constructor(private readonly random: RandomSource) {}
 
-  /** The service of one destination; undefined when the route has none. */
+  /** Picks the service of one destination; returns undefined if the route has none. */
   pick(route: IRouteRule): string | undefined {
     const { destinations } = route;
     if (destinations.length <= 1) return destinations[0]?.service;
@@ -22,10 +22,10 @@
 }
 
 function findServiceAt(destinations: readonly IDestination[], point: number): string | undefined {
-  let left = point;
+  let remaining = point;
   for (const { service, weight } of destinations) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return destinations[destinations.length - 1]?.service;
 }
--- a/packages/dispatch/src/catalog/common/routeTable.ts
+++ b/packages/dispatch/src/catalog/common/routeTable.ts
@@ -1,15 +1,15 @@
-/** Finds the route of a request: by host, then by the longest prefix of its path. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 import type { IRouteRule } from './catalog.js';
 
-/** Outcome of a look-up. */
+/** Result of a route lookup. */
 export type RouteMatch =
   | { readonly kind: 'found'; readonly route: IRouteRule }
   | { readonly kind: 'unknown-host' }
   | { readonly kind: 'unknown-path' };
 
 /**
- * An index over the routes of one configuration. A path of n segments takes at most n + 1 look-ups,
- * however many routes its host has.
+ * Indexes the routes of one configuration. Matching a path of n segments takes at most n + 1 lookups,
+ * regardless of the number of routes of its host.
  *
  * @example
  * const match = new RouteTable(catalog.routes).match('booking.example', '/orders/7');
@@ -25,7 +25,7 @@
     }
   }
 
-  /** `hostHeader` may carry a port; `path` may carry a query. */
+  /** Finds the route of a request; `hostHeader` may include a port, `path` a query. */
   match(hostHeader: string, path: string): RouteMatch {
     const prefixes = this.hosts.get(parseHost(hostHeader));
     if (prefixes === undefined) return { kind: 'unknown-host' };
@@ -39,8 +39,8 @@
 }
 
 function removeQuery(path: string): string {
-  const mark = path.indexOf('?');
-  return mark === -1 ? path : path.slice(0, mark);
+  const queryStart = path.indexOf('?');
+  return queryStart === -1 ? path : path.slice(0, queryStart);
 }
 
 function findLongestPrefix(
--- a/packages/dispatch/src/quarantine/common/connectionLossLog.ts
+++ b/packages/dispatch/src/quarantine/common/connectionLossLog.ts
@@ -1,22 +1,23 @@
-/** Which targets were lost when, to tell a common cause from one request's doing. */
+/** Recent connection losses, to distinguish a common cause from a crash caused by one request. */
 
-/** Losses within this time of each other, in ms, may have one cause: reports differ by some ms. */
+/** Losses within this time of each other, in ms, may have one cause; their reports arrive some ms apart. */
 const COMMON_CAUSE_WINDOW_MS = 50;
-/** Other targets that are lost at the same moment when a rack loses power, at least. */
+/** Number of other targets lost at the same time that indicates a common cause, as a rack without power. */
 const MIN_OTHER_TARGETS = 2;
-/** How long losses are kept, in ms: a caller repeats a request within this time. */
+/** How long losses are kept, in ms: callers repeat a failed request within this time. */
 const RETENTION_MS = 60_000;
 const MAX_LOSSES = 512;
 
 interface IConnectionLoss {
   readonly target: string;
   readonly atMs: number;
-  /** Requests that were lost with it. */
+  /** Requests whose connections to the target were lost. */
   readonly fingerprints: Set<string>;
 }
 
 /**
- * A target that crashes under a request goes down alone; power or a network takes several at one moment.
+ * Records which targets lost connections, and when. A target that is crashed by a request fails alone; a
+ * power or network failure affects several targets at the same time.
  *
  * @example
  * lossLog.record('i-7', fingerprint, nowMs);
@@ -35,13 +36,13 @@
     this.removeOld(atMs - RETENTION_MS);
   }
 
-  /** Whether others were lost at that moment, without this request running there. */
+  /** Whether several targets that weren't running this request were lost at about the same time. */
   isCommonCause(fingerprint: string, atMs: number): boolean {
-    const others = this.losses.filter((loss) => {
-      const isThen = Math.abs(loss.atMs - atMs) <= COMMON_CAUSE_WINDOW_MS;
-      return isThen && !loss.fingerprints.has(fingerprint);
+    const otherLosses = this.losses.filter((loss) => {
+      const isSimultaneous = Math.abs(loss.atMs - atMs) <= COMMON_CAUSE_WINDOW_MS;
+      return isSimultaneous && !loss.fingerprints.has(fingerprint);
     });
-    return others.length >= MIN_OTHER_TARGETS;
+    return otherLosses.length >= MIN_OTHER_TARGETS;
   }
 
   private removeOld(oldestMs: number): void {
--- a/packages/dispatch/src/quarantine/common/crashHistory.ts
+++ b/packages/dispatch/src/quarantine/common/crashHistory.ts
@@ -1,50 +1,53 @@
-/** What speaks against one request: the targets that were lost while they ran it. */
+/** Evidence that a request crashes targets: which targets were lost while they were running it. */
 
-/** Targets that a request has to crash before it is held back. */
+/** Number of targets that a request has to crash before it is quarantined. */
 export const CRASHES_TO_QUARANTINE = 3;
-/** Crashes that are kept of one case: more say no more, and records stay small. */
+/** Most crashes kept per request: more add no evidence, and the limit keeps records small. */
 const MAX_CRASHES = 8;
 /**
- * Attempts that ran side by side and were lost within this time of each other, in ms, were lost for
- * one reason: a rack that loses power takes every copy of a request with it that runs there.
+ * Concurrent attempts that are lost within this time of each other, in ms, are attributed to one cause: a
+ * rack that loses power ends every copy of a request that runs there.
  */
 const COMMON_CAUSE_WINDOW_MS = 50;
-/** How long a request is held back before it may be tried once more, in ms; then ten times as long. */
+/** How long a request is held before the first trial, in ms; each trial multiplies it by HOLD_FACTOR. */
 const FIRST_HOLD_MS = 60_000;
 const HOLD_FACTOR = 10;
 const MAX_HOLD_MS = 6_000_000;
 
-/** One target that was lost while it ran the request. */
+/** The loss of one target while it was running the request. */
 export interface ICrash {
-  /** The target, and the life of it that ended. */
+  /** The target and its incarnation, see `formatIncarnation`. */
   readonly target: string;
   /** In ms of the monotonic clock. */
   readonly atMs: number;
 }
 
-/** An attempt whose connection was lost before an answer was whole. */
+/** An attempt whose connection was lost before the response was complete. */
 export interface ILostAttempt extends ICrash {
   readonly grantedMs: number;
 }
 
-/** A case as other nodes and the store know it; times are ages, for nodes have clocks of their own. */
+/**
+ * A crash history as sent to other nodes and written to the store. Times are ages, because the clocks of
+ * nodes are not synchronized.
+ */
 export interface ICrashHistoryRecord {
   readonly fingerprint: string;
   readonly crashes: readonly { readonly target: string; readonly ageMs: number }[];
-  /** Times that it was tried again after a hold. */
+  /** How many times the request was tried again after a hold. */
   readonly trials: number;
-  /** For how long it is held back yet, in ms; 0 when it may be tried. */
+  /** How much longer the request is held, in ms; 0 when it may be tried. */
   readonly holdMs: number;
-  /** Since it was cleared, in ms; undefined if it never was. */
+  /** Time since the history was cleared, in ms; undefined if it never was. */
   readonly clearedAgeMs?: number | undefined;
 }
 
 /**
- * One request's case.
+ * Tracks the targets that one request crashed, and for how long the request is held because of them.
  *
  * @example
- * crashCase.recordLoss({ target: 'i-7', grantedMs, atMs });
- * if (crashCase.isHeld(nowMs)) refuse();
+ * history.recordConnectionLoss({ target: 'i-7', grantedMs, atMs });
+ * if (history.isHeld(nowMs)) refuse();
  */
 export class CrashHistory {
   private readonly crashes = new Map<string, number>();
@@ -59,7 +62,7 @@
     return this.crashes.size;
   }
 
-  /** Targets that were lost under it, each with the life that ended. */
+  /** Targets that were lost while they were running the request, with their incarnations. */
   listTargets(): readonly string[] {
     return [...this.crashes.keys()];
   }
@@ -68,17 +71,17 @@
     return this.trials;
   }
 
-  /** When the last target was lost under it, in ms of the monotonic clock. */
+  /** When a target was last lost or the history was last cleared, in ms of the monotonic clock. */
   get lastChangeMs(): number {
     return Math.max(this.lastLossMs, this.clearedMs);
   }
 
-  /** Whether it has crashed so many targets that it isn't simply sent any more. */
+  /** Whether the request crashed enough targets to be sent only as a trial. */
   get isQuarantined(): boolean {
     return this.crashes.size >= CRASHES_TO_QUARANTINE;
   }
 
-  /** When it was found harmless last, in ms of the monotonic clock. */
+  /** When the history was last cleared, in ms of the monotonic clock; -Infinity if it never was. */
   get lastClearedMs(): number {
     return this.clearedMs;
   }
@@ -91,29 +94,35 @@
     return this.isQuarantined ? Math.max(0, this.heldUntilMs - nowMs) : 0;
   }
 
-  /** True if it counts: it is neither known nor explained by what took another copy at that moment. */
+  /**
+   * Records the loss as a crash and returns true, unless the target is already recorded or another
+   * concurrent attempt was lost at about the same time.
+   */
   recordConnectionLoss({ atMs, grantedMs, target }: ILostAttempt): boolean {
-    const isSideBySide =
+    const isConcurrent =
       grantedMs <= this.lastLossMs && atMs - this.lastLossMs < COMMON_CAUSE_WINDOW_MS;
-    if (this.crashes.has(target) || isSideBySide) return false;
+    if (this.crashes.has(target) || isConcurrent) return false;
     this.addCrash(target, atMs);
     this.startHold(atMs);
     return true;
   }
 
-  /** Leaves out crashes that turned out to have another cause. */
-  removeUnrelatedCrashes(isExplained: (atMs: number) => boolean): void {
-    for (const [target, atMs] of this.crashes) if (isExplained(atMs)) this.crashes.delete(target);
+  /** Removes crashes that turned out to have another cause. */
+  removeUnrelatedCrashes(isUnrelated: (atMs: number) => boolean): void {
+    for (const [target, atMs] of this.crashes) if (isUnrelated(atMs)) this.crashes.delete(target);
   }
 
-  /** The target answered after it had been taken for crashed: only the connection was lost. */
-  removeCrash(target: string, answeredMs: number): boolean {
+  /**
+   * Removes the crash of a target that responded to an attempt granted after the crash, at `grantedMs`: only
+   * the connection had been lost.
+   */
+  removeCrash(target: string, grantedMs: number): boolean {
     const atMs = this.crashes.get(target);
-    if (atMs === undefined || atMs >= answeredMs) return false;
+    if (atMs === undefined || atMs >= grantedMs) return false;
     return this.crashes.delete(target);
   }
 
-  /** A target has run it to a good end, or an operator lets it go. What came before counts no more. */
+  /** Discards all evidence: a target completed the request, or an operator released it. */
   clear(nowMs: number): void {
     this.crashes.clear();
     this.trials = 0;
@@ -121,16 +130,16 @@
     this.clearedMs = nowMs;
   }
 
-  /** It is sent once more after its hold; until its outcome is known nobody sends it again. */
+  /** Starts a trial, with a longer hold: no other copy is sent until the outcome is known. */
   startTrial(nowMs: number): void {
     this.trials += 1;
     this.heldUntilMs = nowMs + getHoldLengthMs(this.trials);
   }
 
-  /** Takes what another node knows. True if anything is new. */
+  /** Merges the record of another node. Returns whether that changed anything. */
   merge(record: ICrashHistoryRecord, nowMs: number): boolean {
     const before = this.formatSharedState();
-    const wasConvicted = this.isQuarantined;
+    const wasQuarantined = this.isQuarantined;
     const { clearedAgeMs, crashes, holdMs, trials } = record;
     if (clearedAgeMs !== undefined) this.applyClear(nowMs - clearedAgeMs);
     for (const { ageMs, target } of crashes) {
@@ -141,8 +150,8 @@
       this.trials = Math.max(this.trials, trials);
       this.heldUntilMs = Math.max(this.heldUntilMs, nowMs + holdMs);
     }
-    // Crashes that two nodes saw may convict it together, though neither has held it back.
-    if (!wasConvicted) this.startHold(nowMs);
+    // Crashes seen by two nodes may reach the threshold together, when neither node held the request.
+    if (!wasQuarantined) this.startHold(nowMs);
     return this.formatSharedState() !== before;
   }
 
@@ -173,7 +182,7 @@
     this.heldUntilMs = Math.max(this.heldUntilMs, nowMs + getHoldLengthMs(this.trials));
   }
 
-  /** What other nodes have to know of it. */
+  /** The state that other nodes need, as text, to detect changes. */
   private formatSharedState(): string {
     return `${[...this.crashes.keys()].join(' ')}/${this.trials}/${this.clearedMs}`;
   }
--- a/packages/dispatch/src/quarantine/common/quarantineGossip.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineGossip.ts
@@ -1,4 +1,4 @@
-/** Nodes tell each other of requests under which targets crash. */
+/** Shares the crash histories of requests between the nodes of the fleet. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { Quarantine } from '@parsleymux/schema';
@@ -8,11 +8,11 @@
 import { decodeRecord, encodeRecord } from './quarantineMessages.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
-/** How often a node that knows of held requests tells some others, in ms. */
+/** How often a node that knows of quarantined requests sends them to some peers, in ms. */
 const GOSSIP_INTERVAL_MS = 1000;
-/** Others that it tells each time: a node hears twice a second on average, however large the fleet is. */
+/** Number of peers per round: each node receives two messages a second on average, at any fleet size. */
 const GOSSIP_FANOUT = 2;
-/** Records in one datagram: some 250 bytes each at most. */
+/** Most records in one datagram, at up to about 250 bytes each. */
 const MAX_RECORDS = 4;
 
 /** Options of a {@link QuarantineGossip}. */
@@ -26,12 +26,12 @@
 }
 
 /**
- * A request that crashes targets comes again at any node, for any home. So the node that sees a change
- * tells all others at once; and since datagrams are lost and nodes start later, each node that knows of
- * held requests goes on telling some others that it picks by chance.
+ * A request that crashes targets may be repeated at any node and scheduled by any home. So the node that
+ * observes a change immediately sends it to all others. Because datagrams get lost and nodes start later,
+ * each node that knows of quarantined requests also keeps sending them to randomly chosen peers.
  *
  * @example
- * sharing.handleQuarantine(message);
+ * gossip.handleQuarantine(message);
  */
 export class QuarantineGossip implements IDisposable {
   private readonly changeListener: IDisposable;
@@ -46,13 +46,13 @@
     });
   }
 
-  /** Takes what another node knows. */
+  /** Applies the records received from another node. */
   handleQuarantine({ records }: Quarantine): void {
     for (const record of records) this.options.quarantine.applyRecord(decodeRecord(record));
     this.startTimer();
   }
 
-  /** Takes what the store knows, and tells all others: they have started anew too. */
+  /** Applies the records read from the store, and sends them to all others, which have just started too. */
   handleStoredRecords(records: readonly ICrashHistoryRecord[]): void {
     for (const record of records) this.options.quarantine.applyRecord(record);
     for (let first = 0; first < records.length; first += MAX_RECORDS) {
@@ -67,7 +67,7 @@
     this.isDisposed = true;
   }
 
-  /** A node that has nothing to tell is not woken. */
+  /** Schedules the next round. The timer stops when there is nothing to send, so an idle node isn't woken. */
   private startTimer(): void {
     if (this.timer !== undefined || this.isDisposed) return;
     this.timer = this.options.clock.startTimer(GOSSIP_INTERVAL_MS, () => {
@@ -77,12 +77,12 @@
   }
 
   private announceToRandomPeers(): void {
-    const known = this.options.quarantine.listShared();
-    if (known.length === 0) return;
-    // What doesn't fit has its turn the next times.
-    const first = this.nextIndex % known.length;
+    const shared = this.options.quarantine.listShared();
+    if (shared.length === 0) return;
+    // Records that don't fit in this datagram are sent in later rounds.
+    const first = this.nextIndex % shared.length;
     this.nextIndex = first + MAX_RECORDS;
-    const records = [...known.slice(first), ...known.slice(0, first)].slice(0, MAX_RECORDS);
+    const records = [...shared.slice(first), ...shared.slice(0, first)].slice(0, MAX_RECORDS);
     this.announce(records, this.chooseRandomPeers());
     this.startTimer();
   }
--- a/packages/dispatch/src/quarantine/common/quarantineMessages.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineMessages.ts
@@ -1,4 +1,4 @@
-/** Translation between cases and the messages that carry them. */
+/** Conversion between crash histories and their protobuf messages. */
 import { create } from '@bufbuild/protobuf';
 import type { CrashRecord } from '@parsleymux/schema';
 import { CrashRecordSchema } from '@parsleymux/schema';
@@ -7,6 +7,8 @@
 const MAX_UINT32 = 0xffff_ffff;
 
 /**
+ * Converts a fingerprint from its hexadecimal text to bytes.
+ *
  * @example
  * encodeFingerprint('00ff'); // two bytes
  */
@@ -14,12 +16,12 @@
   return Buffer.from(fingerprint, 'hex');
 }
 
-/** As text, as it stands in logs. */
+/** Converts a fingerprint to hexadecimal text, the form used in logs. */
 export function decodeFingerprint(bytes: Uint8Array): string {
   return Buffer.from(bytes).toString('hex');
 }
 
-/** The message of one case. */
+/** Encodes the crash history of one request. */
 export function encodeRecord(record: ICrashHistoryRecord): CrashRecord {
   const { clearedAgeMs, crashes, fingerprint, holdMs, trials } = record;
   return create(CrashRecordSchema, {
@@ -31,7 +33,7 @@
   });
 }
 
-/** What a message says of one case. */
+/** Decodes the crash history of one request. */
 export function decodeRecord(message: CrashRecord): ICrashHistoryRecord {
   const { clearedAgeMs, crashes, fingerprint, holdMs, trials } = message;
   return {
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
@@ -11,10 +11,10 @@
 
 const REQUEST = 'aa01';
 
-/** Keeps rows; may be out. */
+/** Stores rows in memory; `isUnavailable` makes all calls fail. */
 class MemoryQuarantineStore extends QuarantineStore {
   readonly rows = new Map<string, ICrashHistoryRecord>();
-  isOut = false;
+  isUnavailable = false;
   reads = 0;
 
   override readAll(): Promise<readonly ICrashHistoryRecord[]> {
@@ -31,7 +31,8 @@
   }
 
   private call<T>(run: () => T): Promise<T> {
-    if (this.isOut) return Promise.reject(new StoreCallError(StoreFailure.Busy, 'out'));
+    if (this.isUnavailable)
+      return Promise.reject(new StoreCallError(StoreFailure.Busy, 'unavailable'));
     return Promise.resolve(run());
   }
 }
@@ -73,7 +74,7 @@
   }
 }
 
-test('a verdict reaches all nodes at once, and the store', async () => {
+test('a quarantine decision reaches all nodes and the store immediately', async () => {
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b', 'c'].map((name) => new Node(network, name, store, false));
@@ -83,22 +84,22 @@
   assert.equal(store.rows.size, 1);
 });
 
-test('a verdict that came while the store was out is written when it is back', async () => {
+test('a decision made while the store is unavailable is written when it recovers', async () => {
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
-  store.isOut = true;
+  store.isUnavailable = true;
   const node = new Node(network, 'a', store, false);
   node.loseThree();
   await network.clock.advanceBy(5000);
   assert.equal(store.rows.size, 0);
-  store.isOut = false;
+  store.isUnavailable = false;
   await network.clock.advanceBy(2000);
   assert.equal(store.rows.size, 1);
 });
 
-test('after a loss of power of all nodes, one reads what is held back and tells the others', async () => {
-  // Symptom: a request crashes as many targets again as it took to convict it. Sequence: all nodes lose power;
-  // the request comes again. Cause: the verdict was in the nodes' memories alone.
+test('after all nodes lose power, one of them reads the quarantined requests and shares them', async () => {
+  // Guards against a request that has to crash as many targets again before it is quarantined, because all
+  // nodes lost power and the decision was only in their memory.
   const store = new MemoryQuarantineStore();
   const before = new MemoryNetwork(new ManualClock());
   new Node(before, 'a', store, true).loseThree();
@@ -111,17 +112,17 @@
   assert.equal(store.reads - readsBefore, 1);
 });
 
-test('a node that starts later hears of held requests from others', async () => {
+test('a node that starts later receives the quarantined requests from others', async () => {
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
   new Node(network, 'a', store, false).loseThree();
   await network.clock.advanceBy(1000);
-  const late = new Node(network, 'b', store, false);
+  const lateNode = new Node(network, 'b', store, false);
   await network.clock.advanceBy(10_000);
-  assert.ok(late.quarantine.getHoldMs([REQUEST]) > 0);
+  assert.ok(lateNode.quarantine.getHoldMs([REQUEST]) > 0);
 });
 
-test('a held request that comes no more is forgotten after a day, by the store as well', async () => {
+test('a quarantined request that is not repeated expires after a day, also in the store', async () => {
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b'].map((name) => new Node(network, name, store, name === 'b'));
@@ -133,7 +134,7 @@
   assert.equal(store.rows.size, 0);
 });
 
-test('a request that an operator lets go is forgotten by the store as well', async () => {
+test('a request that an operator releases is removed from the store', async () => {
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
   const node = new Node(network, 'a', store, false);
@@ -144,8 +145,8 @@
   assert.equal(store.rows.size, 0);
 });
 
-test('a verdict that the store has lost with an older copy is written again, by one node', async () => {
-  // Guards against a held request that is forgotten when all nodes lose power after the store went back.
+test('a decision missing from a restored store is written again, by one node', async () => {
+  // Guards against losing a decision when all nodes lose power after the store was restored.
   const network = new MemoryNetwork(new ManualClock());
   const store = new MemoryQuarantineStore();
   const nodes = ['a', 'b', 'c'].map((name) => new Node(network, name, store, name === 'b'));
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -1,4 +1,4 @@
-/** Writes verdicts on requests to the store, and reads them when the fleet starts anew. */
+/** Persists quarantine decisions, and restores them when the whole fleet restarts. */
 import type { Clock, Event, IDisposable, Logger } from '@parsleymux/base';
 import { StoreCallError } from '../../directory/common/authority.js';
 import type { QuarantineStore } from './quarantineStore.js';
@@ -6,44 +6,44 @@
 import type { QuarantineGossip } from './quarantineGossip.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
-/** How often a node that has just started looks whether it reads for others, in ms. */
+/** How often a node that has just started checks whether it reads for its failure domain, in ms. */
 const READER_CHECK_INTERVAL_MS = 250;
-/** Until then, in ms after its start; later it has heard from others what they read. */
+/** How long after its start a node may still read, in ms; by then it has received the records from peers. */
 const READ_WINDOW_MS = 20_000;
-/** Wait after a call that failed, in ms: callers don't wait for it. */
+/** Delay after a failed call, in ms; no caller waits for these calls. */
 const RETRY_DELAY_MS = 1000;
-/** Verdicts that wait to be written at most; the oldest goes first. */
+/** Most decisions that wait to be written; beyond it, the oldest is dropped. */
 const MAX_PENDING_WRITES = 256;
 
 /** Options of a {@link QuarantinePersister}. */
 export interface IQuarantinePersisterOptions {
   readonly quarantine: RequestQuarantine;
-  /** Told what was read, so that the others hear of it. */
+  /** Receives the stored records and sends them to the other nodes. */
   readonly gossip: QuarantineGossip;
   readonly store: QuarantineStore;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Whether this node reads for others: one of a failure domain does, and tells the rest. */
+  /** Whether this node accesses the store for its failure domain and shares what it reads. */
   readonly isReader: () => boolean;
-  /** Whether the whole fleet starts for the first time: no request was ever held back then. */
+  /** Whether the whole fleet starts for the first time, so that no request was ever quarantined. */
   readonly isFirstStart: boolean;
-  /** Fires when the store has come back from an older copy. Default: it never does. */
+  /** Fires when the store was restored from an older copy. Default: never. */
   readonly onDidRestore?: Event<unknown>;
 }
 
 /**
- * When all nodes lose power at once, nobody is left to tell what the fleet knew, and the same request
- * would crash as many targets again. Verdicts are few, so each is written; only who follows the store for a
- * failure domain reads them, once, for each call is paid for.
+ * If all nodes lose power at the same time, the decisions in their memory are gone, and the same request
+ * would crash as many targets again. Decisions are rare, so each one is written. Calls to the store are
+ * billed, so only the node that follows the store for a failure domain reads them, once.
  *
  * @example
- * keeper.start();
+ * persister.start();
  */
 export class QuarantinePersister implements IDisposable {
   private readonly decisionListener: IDisposable;
   private readonly expiryListener: IDisposable;
   private readonly restoreListener: IDisposable | undefined;
-  private readonly waiting = new Map<string, ICrashHistoryRecord>();
+  private readonly pendingWrites = new Map<string, ICrashHistoryRecord>();
   private readonly background = new AbortController();
   private timer: IDisposable | undefined;
   private isCalling = false;
@@ -60,7 +60,7 @@
       this.removeExpired(fingerprint);
     });
     this.restoreListener = options.onDidRestore?.(() => {
-      this.writeAgain();
+      this.writeAll();
     });
   }
 
@@ -74,10 +74,10 @@
     void this.expiryListener.dispose();
     void this.restoreListener?.dispose();
     void this.timer?.dispose();
-    this.background.abort(new Error('the node stops'));
+    this.background.abort(new Error('the node is shutting down'));
   }
 
-  /** An idle node is not woken: the timer runs while there is something to read or to write. */
+  /** Schedules the next call. The timer runs only while one is due, so an idle node isn't woken. */
   private startTimer(delayMs: number): void {
     if (this.isCalling) return;
     void this.timer?.dispose();
@@ -93,7 +93,7 @@
     this.isCalling = false;
     if (signal.aborted) return;
     if (!isDone) this.startTimer(RETRY_DELAY_MS);
-    else if (this.waiting.size > 0) this.startTimer(0);
+    else if (this.pendingWrites.size > 0) this.startTimer(0);
     else if (this.isReadDue()) this.startTimer(READER_CHECK_INTERVAL_MS);
   }
 
@@ -102,31 +102,33 @@
     return !this.hasRead && sinceStartMs < READ_WINDOW_MS;
   }
 
-  /** All nodes forget it at about the same time; one call is enough for a failure domain. */
+  /** Removes an expired record. It expires on all nodes at about the same time, so one node removes it. */
   private removeExpired(fingerprint: string): void {
     if (!this.options.isReader()) return;
     this.addPendingWrite({ fingerprint, crashes: [], trials: 0, holdMs: 0 });
     this.startTimer(0);
   }
 
-  /** What was written since the copy was made is gone; one node of a failure domain writes it again. */
-  private writeAgain(): void {
+  /** Writes all decisions again after a restore lost the newer ones; one node per failure domain does. */
+  private writeAll(): void {
     if (!this.options.isReader()) return;
-    const convicted = this.options.quarantine.listQuarantined();
-    for (const record of convicted) this.addPendingWrite(record);
-    if (convicted.length > 0) this.startTimer(0);
+    const quarantined = this.options.quarantine.listQuarantined();
+    for (const record of quarantined) this.addPendingWrite(record);
+    if (quarantined.length > 0) this.startTimer(0);
   }
 
   private addPendingWrite(record: ICrashHistoryRecord): void {
-    this.waiting.delete(record.fingerprint);
-    this.waiting.set(record.fingerprint, record);
-    const [oldest] = this.waiting.keys();
-    if (this.waiting.size <= MAX_PENDING_WRITES || oldest === undefined) return;
-    this.waiting.delete(oldest);
-    this.options.log.warn('verdict is not kept: too many wait', { fingerprint: oldest });
+    this.pendingWrites.delete(record.fingerprint);
+    this.pendingWrites.set(record.fingerprint, record);
+    const [oldest] = this.pendingWrites.keys();
+    if (this.pendingWrites.size <= MAX_PENDING_WRITES || oldest === undefined) return;
+    this.pendingWrites.delete(oldest);
+    this.options.log.warn('too many pending writes; quarantine decision is not stored', {
+      fingerprint: oldest,
+    });
   }
 
-  /** False if the store did not answer. */
+  /** Reads all records if that is due. Returns false if the call failed. */
   private async read(signal: AbortSignal): Promise<boolean> {
     const { isReader, log, gossip, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
@@ -140,14 +142,15 @@
 
   private async writeNext(signal: AbortSignal): Promise<boolean> {
     const { store } = this.options;
-    const [next] = this.waiting.values();
+    const [next] = this.pendingWrites.values();
     if (next === undefined) return true;
     const { crashes, fingerprint } = next;
     const isWritten = await this.tryCall('verdict not kept yet', signal, () => {
       return crashes.length > 0 ? store.put(next, signal) : store.remove(fingerprint, signal);
     });
-    // What was decided meanwhile is written next.
-    if (isWritten && this.waiting.get(fingerprint) === next) this.waiting.delete(fingerprint);
+    // A newer record of the same request, added during the call, is written next.
+    if (isWritten && this.pendingWrites.get(fingerprint) === next)
+      this.pendingWrites.delete(fingerprint);
     return isWritten;
   }
 
@@ -161,9 +164,9 @@
       return true;
     } catch (error) {
       if (signal.aborted) return false;
-      const failure = error instanceof StoreCallError ? error.failure : 'fault of the program';
+      const failure = error instanceof StoreCallError ? error.failure : 'internal error';
       const reason = error instanceof Error ? error.message : String(error);
-      this.options.log.warn(message, { failure, reason, waiting: this.waiting.size });
+      this.options.log.warn(message, { failure, reason, waiting: this.pendingWrites.size });
       return false;
     }
   }
--- a/packages/dispatch/src/quarantine/common/quarantineStore.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineStore.ts
@@ -1,14 +1,17 @@
-/** Where verdicts on requests outlive the fleet: varies with the deployment. */
+/** Persistent storage of quarantine decisions; each deployment provides its own implementation. */
 import type { ICrashHistoryRecord } from './crashHistory.js';
 
-/** Every call rejects with a StoreCallError without an answer. */
+/**
+ * Stores the crash histories of quarantined requests, so that they survive a restart of the whole fleet.
+ * Every call rejects with a StoreCallError if the store gives no usable response.
+ */
 export abstract class QuarantineStore {
-  /** All requests that were held back when somebody wrote last. */
+  /** Reads the records of all requests that were quarantined at the last write. */
   abstract readAll(signal: AbortSignal): Promise<readonly ICrashHistoryRecord[]>;
 
-  /** Keeps a case, or its newer state. */
+  /** Inserts or replaces the record of a request. */
   abstract put(record: ICrashHistoryRecord, signal: AbortSignal): Promise<void>;
 
-  /** Forgets a case; harmless when there is none. */
+  /** Removes the record of a request; has no effect if there is none. */
   abstract remove(fingerprint: string, signal: AbortSignal): Promise<void>;
 }
--- a/packages/dispatch/src/quarantine/common/requestQuarantine.ts
+++ b/packages/dispatch/src/quarantine/common/requestQuarantine.ts
@@ -1,17 +1,17 @@
-/** Holds requests back under which one target after the other crashes. */
+/** Quarantines poison requests: those that crash one target after another. */
 import type { Clock, Event, Logger } from '@parsleymux/base';
 import { Emitter } from '@parsleymux/base';
 import type { ICrashHistoryRecord } from './crashHistory.js';
 import { ConnectionLossLog } from './connectionLossLog.js';
 import { CRASHES_TO_QUARANTINE, CrashHistory } from './crashHistory.js';
 
-/** Requests that a node keeps in mind at most: some 500 bytes each. */
+/** Most requests that a node tracks, at some 500 bytes each. */
 const MAX_HISTORIES = 1024;
-/** Without another crash, a request that is not held back is forgotten after this time, in ms. */
+/** Evidence against a request that isn't quarantined, or its release, expires after this time, in ms. */
 const RETENTION_MS = 600_000;
-/** One that is held back and comes no more is forgotten after this time, in ms. */
+/** A quarantined request is no longer tracked this long after its last crash, in ms. */
 const QUARANTINED_RETENTION_MS = 86_400_000;
-/** Others are told of a request from this many crashes on: most crashes are no request's fault. */
+/** Other nodes are notified from this many crashes on, because a request causes few of all crashes. */
 const CRASHES_TO_SHARE = 2;
 
 /** One attempt of a request at one target. */
@@ -19,8 +19,9 @@
   readonly fingerprints: readonly string[];
   /** Identifier of the request, for logs. */
   readonly requestId: string;
-  /** The target, and its life. */
+  /** The target and its incarnation, see `formatIncarnation`. */
   readonly target: string;
+  /** When the target was granted, in ms of the monotonic clock. */
   readonly grantedMs: number;
 }
 
@@ -28,40 +29,41 @@
 export interface IRequestQuarantineOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  /** Default: 1,024. */
+  /** Most requests tracked. Default: 1,024. */
   readonly maxHistories?: number;
 }
 
 /**
- * A request that makes the targets that run it crash looks like any other: the targets are doubted, and
- * each copy of it is granted the soundest of those that are left. To be noticed, it has to be known by
- * what it asks for. Three targets lost under one request, with no success of it between, convict it;
- * a target that answers afterwards was not lost, one that went down together with others was lost for
- * another reason, and copies that ran side by side count once. So targets that crash for causes of their own convict nobody.
+ * Tracks which requests crash the targets that run them. Otherwise only the targets would be suspected, and
+ * each copy of the request would be granted the healthiest target that is left. Requests are identified by
+ * fingerprints of their content. A request is quarantined once three targets were lost while they were
+ * running it, with no success in between. A target that responds afterwards doesn't count, nor does one
+ * that failed together with others; concurrent copies count once. So targets that crash for other reasons
+ * don't cause a quarantine.
  *
  * @example
- * quarantine.recordLoss(attempt);
+ * quarantine.recordConnectionLoss(attempt);
  * const holdMs = quarantine.getHoldMs(fingerprints);
  */
 export class RequestQuarantine {
   private readonly histories = new Map<string, CrashHistory>();
-  /** Fingerprints of the requests under which a target was lost, by the target's life. */
-  private readonly accusers = new Map<string, Set<string>>();
+  /** Fingerprints of the requests that a target was running when it was lost, by target incarnation. */
+  private readonly fingerprintsByTarget = new Map<string, Set<string>>();
   private readonly losses = new ConnectionLossLog();
   private readonly changed = new Emitter<ICrashHistoryRecord>();
   private readonly decisionChanged = new Emitter<ICrashHistoryRecord>();
   private readonly expired = new Emitter<string>();
 
-  /** Fires with a case that other nodes have to know of, changed by what was seen here. */
+  /** Fires with a history that a local observation changed and that other nodes need. */
   readonly onDidChange: Event<ICrashHistoryRecord> = this.changed.onDidFire;
-  /** Fires when the verdict on a request changes by what was seen here; it has to outlive the fleet. */
+  /** Fires when a local observation changes a quarantine decision, which then has to be persisted. */
   readonly onDidChangeDecision: Event<ICrashHistoryRecord> = this.decisionChanged.onDidFire;
-  /** Fires with the fingerprint of a held request that is forgotten, since it came no more. */
+  /** Fires with the fingerprint of a quarantined request that expired because it wasn't repeated. */
   readonly onDidExpire: Event<string> = this.expired.onDidFire;
 
   constructor(private readonly options: IRequestQuarantineOptions) {}
 
-  /** For how long a request may not be sent yet, in ms; 0 if it may be. */
+  /** How much longer a request must not be sent, in ms; 0 if it may be. */
   getHoldMs(fingerprints: readonly string[]): number {
     const nowMs = this.now;
     return fingerprints.reduce((longest, fingerprint) => {
@@ -69,205 +71,209 @@
     }, 0);
   }
 
-  /** A request is granted a target. After a hold that is a trial: others have to wait for its outcome. */
+  /** Records that a request is granted a target. After a hold, this is a trial and holds other copies. */
   recordGrant({ fingerprints, requestId }: Pick<IAttempt, 'fingerprints' | 'requestId'>): void {
     for (const fingerprint of fingerprints) this.startTrial(fingerprint, requestId);
   }
 
-  /** The connection of an attempt was lost before its answer was whole. */
+  /** Records that the connection of an attempt was lost before the response was complete. */
   recordConnectionLoss(attempt: IAttempt): void {
     for (const fingerprint of attempt.fingerprints)
       this.recordConnectionLossOf(fingerprint, attempt);
   }
 
-  /** A target ran the request to a good end, so the request crashes nothing. */
+  /** Records that a target completed the request, which releases it. */
   recordSuccess(fingerprints: readonly string[]): void {
-    for (const fingerprint of fingerprints) this.release(fingerprint, 'it succeeded');
+    for (const fingerprint of fingerprints) this.release(fingerprint, 'a target completed it');
   }
 
-  /** A target answered an attempt that it was granted after it had seemed to be lost. */
+  /** Records that a target responded to an attempt granted at `grantedMs`; removes its earlier crashes. */
   recordResponse(target: string, grantedMs: number): void {
-    for (const fingerprint of [...(this.accusers.get(target) ?? [])]) {
-      const found = this.histories.get(fingerprint);
-      if (found === undefined) continue;
-      const crashesBefore = found.crashCount;
-      if (!this.updateHistory(found, () => found.removeCrash(target, grantedMs))) continue;
-      // Whoever was told of the verdict has to hear that it does not stand.
+    for (const fingerprint of [...(this.fingerprintsByTarget.get(target) ?? [])]) {
+      const history = this.histories.get(fingerprint);
+      if (history === undefined) continue;
+      const crashesBefore = history.crashCount;
+      if (!this.updateHistory(history, () => history.removeCrash(target, grantedMs))) continue;
+      // Nodes that were notified of the quarantine decision must be notified that it is withdrawn.
       const isRefuted = crashesBefore === CRASHES_TO_QUARANTINE;
-      if (isRefuted) this.release(fingerprint, 'a target was not lost');
-      else if (found.crashCount === 0) this.histories.delete(fingerprint);
+      if (isRefuted) this.release(fingerprint, 'a target had not crashed');
+      else if (history.crashCount === 0) this.histories.delete(fingerprint);
     }
   }
 
-  /** Lets a request go. False if nothing is known of it. */
+  /** Releases a request. Returns false if there is no evidence against it. */
   release(fingerprint: string, reason: string): boolean {
-    const found = this.histories.get(fingerprint);
-    if (found === undefined || found.crashCount === 0) return false;
-    const wasTold = found.crashCount >= CRASHES_TO_SHARE;
-    const wasConvicted = found.isQuarantined;
-    this.updateHistory(found, () => {
-      found.clear(this.now);
+    const history = this.histories.get(fingerprint);
+    if (history === undefined || history.crashCount === 0) return false;
+    const wasShared = history.crashCount >= CRASHES_TO_SHARE;
+    const wasQuarantined = history.isQuarantined;
+    this.updateHistory(history, () => {
+      history.clear(this.now);
     });
-    if (!wasTold) {
+    if (!wasShared) {
       this.histories.delete(fingerprint);
       return true;
     }
     this.options.log.info('request is no longer suspected', { fingerprint, reason });
-    this.announce(found, wasConvicted);
+    this.announce(history, wasQuarantined);
     return true;
   }
 
-  /** Takes what another node, or the store, knows of a request. */
+  /** Merges a record received from another node or read from the store. */
   applyRecord(record: ICrashHistoryRecord): void {
     const known = this.histories.get(record.fingerprint);
-    // That nothing speaks against a request is no news where nothing is known of it.
+    // A record without crashes adds nothing for a request that isn't tracked here.
     if (known === undefined && record.crashes.length === 0) return;
-    const found = known ?? this.addHistory(record.fingerprint);
-    const wasHeld = found.isHeld(this.now);
-    const crashesBefore = found.crashCount;
-    if (!this.updateHistory(found, () => found.merge(record, this.now))) return;
-    const isHeld = found.isHeld(this.now);
-    // The sender did not know enough for the verdict: then it comes from here.
+    const history = known ?? this.addHistory(record.fingerprint);
+    const wasHeld = history.isHeld(this.now);
+    const crashesBefore = history.crashCount;
+    if (!this.updateHistory(history, () => history.merge(record, this.now))) return;
+    const isHeld = history.isHeld(this.now);
+    // Neither side had enough crashes alone, so this node makes the decision and announces it.
     const isDecidedHere = Math.max(crashesBefore, record.crashes.length) < CRASHES_TO_QUARANTINE;
-    if (isDecidedHere && found.isQuarantined) this.announce(found, true);
+    if (isDecidedHere && history.isQuarantined) this.announce(history, true);
     if (isHeld === wasHeld) return;
     const { fingerprint } = record;
-    this.options.log.warn(isHeld ? 'request is held back' : 'request is let go', {
+    this.options.log.warn(isHeld ? 'request is quarantined' : 'request is released', {
       fingerprint,
-      crashes: found.crashCount,
-      holdMs: Math.round(found.getHoldMs(this.now)),
+      crashes: history.crashCount,
+      holdMs: Math.round(history.getHoldMs(this.now)),
       source: 'another node',
     });
   }
 
-  /** Requests that are held back, or may be tried once. */
+  /** Lists all quarantined requests, whether they are held or due for a trial. */
   listQuarantined(): readonly ICrashHistoryRecord[] {
-    return this.listRecords(({ isQuarantined: isConvicted }) => isConvicted);
+    return this.listRecords(({ isQuarantined }) => isQuarantined);
   }
 
-  /** What all nodes have to know, also which requests were found harmless lately. */
+  /** Lists the records to share with other nodes: quarantined and recently released requests. */
   listShared(): readonly ICrashHistoryRecord[] {
     this.removeExpired();
     const oldestMs = this.now - RETENTION_MS;
-    return this.listRecords((found) => found.isQuarantined || found.lastClearedMs > oldestMs);
+    return this.listRecords((history) => history.isQuarantined || history.lastClearedMs > oldestMs);
   }
 
-  /** Cases, and targets by which they are looked up; both are bounded. */
+  /** Counts the tracked requests and the targets that index them; both are bounded. */
   countEntries(): number {
-    return this.histories.size + this.accusers.size;
+    return this.histories.size + this.fingerprintsByTarget.size;
   }
 
   private get now(): number {
     return this.options.clock.getMonotonicTime();
   }
 
-  private listRecords(isListed: (found: CrashHistory) => boolean): readonly ICrashHistoryRecord[] {
+  private listRecords(
+    isListed: (history: CrashHistory) => boolean,
+  ): readonly ICrashHistoryRecord[] {
     const nowMs = this.now;
-    return [...this.histories.values()].filter(isListed).map((found) => found.toRecord(nowMs));
+    return [...this.histories.values()].filter(isListed).map((history) => history.toRecord(nowMs));
   }
 
   private startTrial(fingerprint: string, requestId: string): void {
-    const found = this.histories.get(fingerprint);
-    if (found?.isQuarantined !== true) return;
-    found.startTrial(this.now);
+    const history = this.histories.get(fingerprint);
+    if (history?.isQuarantined !== true) return;
+    history.startTrial(this.now);
     this.options.log.warn('held request is tried once more', {
       request: requestId,
       fingerprint,
-      trials: found.trialCount,
-      holdMs: Math.round(found.getHoldMs(this.now)),
+      trials: history.trialCount,
+      holdMs: Math.round(history.getHoldMs(this.now)),
     });
-    this.announce(found, true);
+    this.announce(history, true);
   }
 
   private recordConnectionLossOf(fingerprint: string, attempt: IAttempt): void {
     const { grantedMs, requestId, target } = attempt;
-    const found = this.histories.get(fingerprint) ?? this.addHistory(fingerprint);
-    const wasConvicted = found.isQuarantined;
+    const history = this.histories.get(fingerprint) ?? this.addHistory(fingerprint);
+    const wasQuarantined = history.isQuarantined;
     const nowMs = this.now;
     this.losses.record(target, fingerprint, nowMs);
-    const isCounted = this.updateHistory(found, () => {
-      // By now it is known what else was lost at the moments of the earlier ones.
-      if (!wasConvicted) {
-        found.removeUnrelatedCrashes((atMs) => this.losses.isCommonCause(fingerprint, atMs));
+    const isCounted = this.updateHistory(history, () => {
+      // All losses concurrent with the earlier crashes are known by now.
+      if (!wasQuarantined) {
+        history.removeUnrelatedCrashes((atMs) => this.losses.isCommonCause(fingerprint, atMs));
       }
-      return found.recordConnectionLoss({ target, grantedMs, atMs: nowMs });
+      return history.recordConnectionLoss({ target, grantedMs, atMs: nowMs });
     });
     if (!isCounted) return;
-    if (found.crashCount < CRASHES_TO_SHARE) return;
+    if (history.crashCount < CRASHES_TO_SHARE) return;
     this.options.log.warn('targets are lost under one request', {
       request: requestId,
       fingerprint,
       target,
-      crashes: found.crashCount,
-      isHeld: found.isHeld(nowMs),
-      holdMs: Math.round(found.getHoldMs(nowMs)),
+      crashes: history.crashCount,
+      isHeld: history.isHeld(nowMs),
+      holdMs: Math.round(history.getHoldMs(nowMs)),
     });
-    this.announce(found, found.isQuarantined && !wasConvicted);
+    this.announce(history, history.isQuarantined && !wasQuarantined);
   }
 
-  private announce(found: CrashHistory, isDecision: boolean): void {
-    const record = found.toRecord(this.now);
+  private announce(history: CrashHistory, isDecision: boolean): void {
+    const record = history.toRecord(this.now);
     this.changed.fire(record);
     if (isDecision) this.decisionChanged.fire(record);
   }
 
-  /** Changes a case, and keeps the look-up by target in step with it. */
-  private updateHistory<T>(found: CrashHistory, apply: () => T): T {
-    const before = found.listTargets();
+  /** Changes a history and updates the index by target accordingly. */
+  private updateHistory<T>(history: CrashHistory, apply: () => T): T {
+    const before = history.listTargets();
     const result = apply();
-    const after = found.listTargets();
-    for (const target of before) if (!after.includes(target)) this.removeFingerprint(target, found);
+    const after = history.listTargets();
+    for (const target of before)
+      if (!after.includes(target)) this.removeFingerprint(target, history);
     for (const target of after) {
-      const accusers = this.accusers.get(target) ?? new Set();
-      this.accusers.set(target, accusers.add(found.fingerprint));
+      const fingerprints = this.fingerprintsByTarget.get(target) ?? new Set();
+      this.fingerprintsByTarget.set(target, fingerprints.add(history.fingerprint));
     }
     return result;
   }
 
   private removeFingerprint(target: string, { fingerprint }: CrashHistory): void {
-    const accusers = this.accusers.get(target);
-    accusers?.delete(fingerprint);
-    if (accusers?.size === 0) this.accusers.delete(target);
+    const fingerprints = this.fingerprintsByTarget.get(target);
+    fingerprints?.delete(fingerprint);
+    if (fingerprints?.size === 0) this.fingerprintsByTarget.delete(target);
   }
 
   private addHistory(fingerprint: string): CrashHistory {
     this.ensureCapacity();
-    const found = new CrashHistory(fingerprint);
-    this.histories.set(fingerprint, found);
-    return found;
+    const history = new CrashHistory(fingerprint);
+    this.histories.set(fingerprint, history);
+    return history;
   }
 
   /**
-   * Makes room. When hundreds of requests are lost with a rack, each has one crash against it; those that
-   * have crashed most stay, and of the others the newest.
+   * Evicts histories to make room for one more: expired ones, or else the one with the fewest and oldest
+   * crashes. The loss of a rack adds hundreds of requests with one crash each, which must not evict those
+   * with more.
    */
   private ensureCapacity(): void {
     const { maxHistories = MAX_HISTORIES } = this.options;
     if (this.histories.size < maxHistories) return;
     const oldestMs = this.now - RETENTION_MS;
-    for (const found of this.histories.values()) {
-      if (!found.isQuarantined && found.lastChangeMs < oldestMs) this.remove(found);
+    for (const history of this.histories.values()) {
+      if (!history.isQuarantined && history.lastChangeMs < oldestMs) this.remove(history);
     }
     if (this.histories.size < maxHistories) return;
-    const [weakest] = [...this.histories.values()].sort((left, right) => {
+    const [leastEvidence] = [...this.histories.values()].sort((left, right) => {
       return left.crashCount - right.crashCount || left.lastChangeMs - right.lastChangeMs;
     });
-    if (weakest !== undefined) this.remove(weakest);
+    if (leastEvidence !== undefined) this.remove(leastEvidence);
   }
 
-  /** Without it, nodes would tell each other for ever of requests that were mended long ago. */
+  /** Removes expired quarantined requests; otherwise nodes would exchange them forever. */
   private removeExpired(): void {
     const oldestMs = this.now - QUARANTINED_RETENTION_MS;
-    for (const found of this.histories.values()) {
-      if (!found.isQuarantined || found.lastChangeMs > oldestMs) continue;
-      this.remove(found);
-      this.options.log.info('held request is forgotten', { fingerprint: found.fingerprint });
-      this.expired.fire(found.fingerprint);
+    for (const history of this.histories.values()) {
+      if (!history.isQuarantined || history.lastChangeMs > oldestMs) continue;
+      this.remove(history);
+      this.options.log.info('quarantined request expired', { fingerprint: history.fingerprint });
+      this.expired.fire(history.fingerprint);
     }
   }
 
-  private remove(found: CrashHistory): void {
-    this.histories.delete(found.fingerprint);
-    for (const target of found.listTargets()) this.removeFingerprint(target, found);
+  private remove(history: CrashHistory): void {
+    this.histories.delete(history.fingerprint);
+    for (const target of history.listTargets()) this.removeFingerprint(target, history);
   }
 }
--- a/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
+++ b/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
@@ -1,4 +1,4 @@
-/** Lets operators see which requests are held back, and let them go. */
+/** HTTP endpoint on which operators list the quarantined requests and release them. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { RequestQuarantine } from '../common/requestQuarantine.js';
 
@@ -9,8 +9,9 @@
 const METHOD_NOT_ALLOWED = 405;
 
 /**
- * Answers `GET /held-requests` with a list in JSON, and `DELETE /held-requests/FINGERPRINT` by letting
- * that request go on all nodes. False if the path is another one.
+ * Handles `GET /held-requests`, which lists the quarantined requests as JSON, and
+ * `DELETE /held-requests/FINGERPRINT`, which releases that request on all nodes. Returns false, without
+ * a response, for any other path.
  *
  * @example
  * if (!handleHeldRequests(quarantine, incoming, response)) response.writeHead(404).end();
@@ -28,7 +29,7 @@
       response.end(JSON.stringify(quarantine.listQuarantined()));
       break;
     case 'DELETE': {
-      const isKnown = quarantine.release(path.slice(PATH.length + 1), 'an operator let it go');
+      const isKnown = quarantine.release(path.slice(PATH.length + 1), 'released by an operator');
       response.writeHead(isKnown ? NO_CONTENT : NOT_FOUND).end();
       break;
     }
