--- a/packages/dispatch/src/directory/common/authority.ts
+++ b/packages/dispatch/src/directory/common/authority.ts
@@ -1,71 +1,71 @@
 /**
- * The outside authority that a fleet follows: a store that holds configuration, targets and the
- * fleet's members in versioned tables.
+ * The external authority that the fleet follows: a store that holds the configuration, the targets and the
+ * members of the fleet in versioned tables.
  */
 import VError from 'verror';
 import type { ICatalog, ITargetRecord } from '../../catalog/common/catalog.js';
 
-/** One node of the fleet as it registered itself. */
+/** One node of the fleet, as it registered itself. */
 export interface IMember {
-  /** Address of its datagrams, IP number and port: its identity. */
+  /** IP address and port for datagrams; identifies the node. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Address of its whole state over HTTP. */
+  /** Address at which its tables are served over HTTP. */
   readonly stateAddress: string;
-  /** Differs between starts of the node's process. */
+  /** Differs for each start of the node's process. */
   readonly incarnation: number;
-  /** Work for others that its VM can carry, relative to other VMs. */
+  /** How much work for other nodes its VM can do, relative to other VMs. */
   readonly capacity: number;
 }
 
-/** One entry that is new, changed or, with no value, dropped. */
+/** One entry that was added, changed or, if it has no value, removed. */
 export interface ITableChange<T> {
   readonly key: string;
   readonly value: T | undefined;
-  /** Whether the authority came back without the entry, which is kept for now. Default false. */
+  /** Whether the restored authority lacks the entry, which is retained for now. Default: false. */
   readonly isMissing?: boolean;
 }
 
-/** Which state of a table a copy is of. */
+/** Identifies a state of a table. */
 export interface ITableState {
   readonly version: number;
   /**
-   * Rises each time that the authority comes back from an older copy of itself. Versions count within an era.
-   * Default 0.
+   * The store epoch: incremented each time the authority is restored from an older copy of its data.
+   * Versions are comparable only within an epoch. Default: 0.
    */
   readonly era?: number;
-  /** Whether the copy keeps something of a former era besides; undefined where the authority was read. */
+  /** Whether the copy retains entries of a former epoch; undefined if it was read from the authority. */
   readonly isRetained?: boolean;
 }
 
-/** Entries of a table up to a version. */
+/** Changes of a table up to a version. */
 export interface ITableChanges<T> extends ITableState {
   readonly changes: readonly ITableChange<T>[];
-  /** Whether a row of them can't be understood, so that the rest is not the whole. Default: false. */
+  /** Whether the changes are incomplete because a row is malformed. Default: false. */
   readonly isPartial?: boolean;
 }
 
-/** Why the store gave no usable answer. */
+/** Why a call to the store gave no usable response. */
 export const StoreFailure = {
-  /** It refused: nothing was done. */
+  /** The store rejected the call and did nothing. */
   Busy: 'busy',
-  /** The calls of the fleet, or of one part, are above their rate. */
+  /** The call rate of the fleet, or of a part of it, exceeds its limit. */
   Limited: 'limited',
-  /** The connection broke; a write may have taken effect. */
+  /** The connection was lost; a write may have taken effect. */
   Reset: 'reset',
-  /** No answer in time; a write may have taken effect, or may yet. */
+  /** No response in time; a write may have taken effect, or may do so later. */
   Silent: 'silent',
-  /** The changes asked for are no longer kept. */
+  /** The requested changes are no longer stored. */
   HistoryLost: 'history-lost',
-  /** The answer makes no sense. */
+  /** The response can't be parsed. */
   Malformed: 'malformed',
-  /** A condition of a write did not hold. */
+  /** The condition of a write was not met. */
   Conflict: 'conflict',
 } as const;
 
 export type StoreFailure = (typeof StoreFailure)[keyof typeof StoreFailure];
 
-/** A call to the store without a usable answer. */
+/** Error of a call to the store that gave no usable response. */
 export class StoreCallError extends VError {
   constructor(
     readonly failure: StoreFailure,
@@ -77,15 +77,15 @@
   }
 }
 
-/** One table of the authority. Every call rejects with a {@link StoreCallError} without an answer. */
+/** One table of the authority. Calls reject with a {@link StoreCallError} if there is no usable response. */
 export abstract class AuthorityTable<T> {
-  /** Entries read since the start that could not be understood and so name nothing to use. */
+  /** Number of rows read since the start that could not be parsed and were ignored. */
   abstract readonly malformedRows: number;
 
   /** Reads the whole table. */
   abstract readAll(signal: AbortSignal): Promise<ITableChanges<T>>;
 
-  /** Reads what changed after a version; waits up to `waitMs` for the first change. */
+  /** Reads the changes after a version; waits up to `waitMs` for the first one. */
   abstract readChanges(
     after: number,
     waitMs: number,
@@ -93,15 +93,15 @@
   ): Promise<ITableChanges<T>>;
 }
 
-/** The tables that a node follows, and its own registration. */
+/** The tables that a node follows, and the registration of members. */
 export abstract class Authority {
   abstract readonly catalog: AuthorityTable<ICatalog>;
   abstract readonly targets: AuthorityTable<ITargetRecord>;
   abstract readonly members: AuthorityTable<IMember>;
 
-  /** Registers a member, or registers it anew. */
+  /** Registers a member, or replaces its registration. */
   abstract putMember(member: IMember, signal: AbortSignal): Promise<void>;
 
-  /** Removes a member's registration; harmless when there is none. */
+  /** Removes a member's registration; has no effect if there is none. */
   abstract removeMember(address: string, signal: AbortSignal): Promise<void>;
 }
--- a/packages/dispatch/src/directory/common/catalogSource.test.ts
+++ b/packages/dispatch/src/directory/common/catalogSource.test.ts
@@ -12,7 +12,7 @@
 const NORTH: ITenantRule = { name: 'north', keys: ['n1'], burst: 0 };
 const SOUTH: ITenantRule = { name: 'south', keys: ['s1'], burst: 0 };
 
-/** Answers each read after a while with what the test has set. */
+/** Completes each read with `content` after a delay. */
 class SlowTable extends AuthorityTable<ICatalog> {
   override readonly malformedRows = 0;
   readonly calls: string[] = [];
@@ -43,7 +43,7 @@
   return { version, changes: [{ key: 'config', value }] };
 }
 
-function openBench() {
+function openFixture() {
   const clock = new ManualClock();
   const directory = new NodeDirectory(clock);
   const table = new SlowTable(clock, 600);
@@ -54,15 +54,15 @@
     const reading =
       after === undefined ? source.readAll(signal) : source.readChanges(after, 600, signal);
     await clock.advanceBy(600);
-    const taken = await reading;
-    if (taken.isPartial !== true) directory.catalog.setAll(taken, clock.getMonotonicTime());
-    return taken;
+    const applied = await reading;
+    if (applied.isPartial !== true) directory.catalog.setAll(applied, clock.getMonotonicTime());
+    return applied;
   };
   return { clock, directory, table, read };
 }
 
-test('tenants go to a table of their own, and the configuration says that it needs keys', async () => {
-  const { directory, read } = openBench();
+test('tenants are stored in a separate table, and the configuration requires keys', async () => {
+  const { directory, read } = openFixture();
   const { changes } = await read(makeContent(3, [NORTH, SOUTH]));
   assert.equal(changes[0]?.value?.tenants, undefined);
   assert.equal(directory.getCatalog()?.requiresKeys, true);
@@ -70,8 +70,8 @@
   assert.ok(directory.hasCurrentTenants());
 });
 
-test('the change of one tenant is one change of the table', async () => {
-  const { directory, read } = openBench();
+test('a change of one tenant is a single change of the table', async () => {
+  const { directory, read } = openFixture();
   await read(makeContent(3, [NORTH, SOUTH]));
   const changed: string[] = [];
   directory.tenants.onDidChange((changes) => changed.push(...changes.map(({ key }) => key)));
@@ -84,27 +84,27 @@
   assert.equal(directory.tenantIndex.size, 0);
 });
 
-test('a read proves the tenants as of the moment at which it was sent', async () => {
-  // Guards against: a lease that is renewed by an answer which was held or under way for a long time.
-  const { directory, read } = openBench();
+test('a read proves the tenants as of the time at which it was sent', async () => {
+  // Guards against renewing a lease by a response that was held by the store or delayed for a long time.
+  const { directory, read } = openFixture();
   await read(makeContent(3, [NORTH]));
   assert.equal(directory.tenants.getProofAgeMs(), 600);
   await read({ version: 7, changes: [] }, 3);
   assert.equal(directory.tenants.getProofAgeMs(), 600);
 });
 
-test('a configuration that can’t be understood proves nothing', async () => {
-  // Guards against: keys that the newest configuration has ended hold for ever because it can't be read.
-  const { clock, directory, read } = openBench();
+test('a configuration that can’t be parsed proves nothing', async () => {
+  // Guards against keys that stay valid forever because the configuration that revoked them can't be parsed.
+  const { clock, directory, read } = openFixture();
   await read(makeContent(3, [NORTH]));
   await read({ version: 4, changes: [], isPartial: true }, 3);
   await clock.advanceBy(1000);
   assert.equal(directory.tenants.getProofAgeMs(), 2200);
 });
 
-test('tenants that a peer has not passed on yet are read whole', async () => {
-  // Guards against: a node that got the configuration from a peer takes older tenants for its own.
-  const { directory, read, table } = openBench();
+test('tenants that a peer has not replicated yet are read from the store', async () => {
+  // Guards against using outdated tenants with a newer configuration that was received from a peer.
+  const { directory, read, table } = openFixture();
   await read(makeContent(3, [NORTH]));
   const catalog = { ...makeCatalog(5, [makeRoute()]), requiresKeys: true };
   directory.catalog.setAll({ version: 5, changes: [{ key: 'config', value: catalog }] }, 0);
@@ -115,9 +115,9 @@
   assert.ok(directory.hasCurrentTenants());
 });
 
-test('a list of an older copy proves no key until the operator has had the time to write again', async () => {
-  // Guards against a key that has ended and is served again on the strength of a fresh read of an old list.
-  const { clock, directory, read } = openBench();
+test('a restored list proves no key until the operator has had time to write again', async () => {
+  // Guards against serving a revoked key again after a fresh read of a list restored from an older copy.
+  const { clock, directory, read } = openFixture();
   await read({ ...makeContent(3, [NORTH, SOUTH]), era: 1 });
   const provenMs = directory.tenants.getProofAgeMs();
   await read({ ...makeContent(3, [NORTH, SOUTH]), era: 2, version: 2 });
@@ -127,8 +127,8 @@
   assert.equal(directory.tenants.getProofAgeMs(), 600);
 });
 
-test('tenants of an older configuration do not come back with it, and newer ones are taken', async () => {
-  const { directory, read } = openBench();
+test('a restored older configuration does not restore its tenants, and newer ones are applied', async () => {
+  const { directory, read } = openFixture();
   await read({ ...makeContent(5, [SOUTH]), era: 1 });
   await read({ ...makeContent(3, [NORTH, SOUTH]), era: 2 });
   assert.equal(directory.tenantIndex.findByKey('n1'), undefined);
--- a/packages/dispatch/src/directory/common/catalogSource.ts
+++ b/packages/dispatch/src/directory/common/catalogSource.ts
@@ -1,4 +1,4 @@
-/** Reads the configuration, and keeps its tenants in a table of their own. */
+/** Reads the configuration, and stores its tenants in a separate table. */
 import type { Clock, IInstant } from '@parsleymux/base';
 import { measureElapsedMs, readInstant } from '@parsleymux/base';
 import type { ICatalog } from '../../catalog/common/catalog.js';
@@ -6,7 +6,7 @@
 import { AuthorityTable } from './authority.js';
 import type { NodeDirectory } from './nodeDirectory.js';
 
-/** What the operator wrote is written again within this time after the store came back, in ms. */
+/** After a restore of the store, the operator's changes are written again within this time, in ms. */
 const REWRITE_GRACE_MS = 2500;
 
 /** Options of a {@link CatalogSource}. */
@@ -17,15 +17,15 @@
 }
 
 /**
- * The authority keeps a configuration as one entry. Passed on like that, a change of one tenant would be
- * sent to every node with all other tenants.
+ * The authority stores a configuration as one entry. If nodes replicated it like that, a change of one
+ * tenant would send all tenants to every node.
  *
  * @example
  * const source = new CatalogSource({ source: authority.catalog, directory, clock });
  */
 export class CatalogSource extends AuthorityTable<ICatalog> {
   private newestEra: number | undefined;
-  /** When a read was sent that showed a newer era. */
+  /** When the read was sent that returned a newer epoch. */
   private restoredAt: IInstant | undefined;
 
   constructor(private readonly options: ICatalogSourceOptions) {
@@ -53,7 +53,7 @@
     return this.applyRead(await this.options.source.readChanges(after, waitMs, signal), sentAt);
   }
 
-  /** A peer may have passed the configuration on, and its tenants not yet. */
+  /** Whether the tenants are older than the configuration, as peers replicate them separately. */
   private isBehind(version: number): boolean {
     const { directory } = this.options;
     const { catalog, tenants } = directory;
@@ -66,7 +66,7 @@
     const { tenants } = this.options.directory;
     const changes = content.changes.map((change) => this.applyEntry(change, content));
     const readMs = sentAt.monotonicMs;
-    // Nothing changed up to this version.
+    // The tenants didn't change up to this version.
     if (tenants.version !== undefined && tenants.version < content.version) {
       tenants.apply(tenants.version, { ...content, changes: [] }, readMs);
     }
@@ -75,8 +75,8 @@
   }
 
   /**
-   * A list of an older state that is read freshly proves nothing: keys that had ended are in it until the
-   * operator's changes are written again.
+   * Whether a read is proof that the tenants are current. After a restore from an older copy it isn't, until
+   * the operator's changes have been written again: the restored list contains keys that were revoked.
    */
   private isSettled({ era = 0 }: ITableChanges<ICatalog>, sentAt: IInstant): boolean {
     if (era > (this.newestEra ?? -Infinity)) {
@@ -87,7 +87,7 @@
     return measureElapsedMs(this.options.clock, this.restoredAt) >= REWRITE_GRACE_MS;
   }
 
-  /** What is kept of a newer state is newer than what the read has shown. */
+  /** The state of the tenants after a read. Entries retained over a restore are newer than the read. */
   private getState({ era = 0, version }: ITableChanges<ICatalog>): ITableState {
     return { era, version, isRetained: this.options.directory.tenants.isRetaining };
   }
@@ -108,7 +108,7 @@
     return { key: change.key, value: { ...catalog, requiresKeys: tenants !== undefined } };
   }
 
-  /** A configuration that stays in force though the authority holds an older one, or none, keeps its tenants. */
+  /** Keeps the tenants of a configuration that stays in force although the authority lacks it. */
   private advanceTenants({ era = 0, version }: ITableState): void {
     const { clock, directory } = this.options;
     directory.tenants.advanceEra(era, version, clock.getMonotonicTime());
--- a/packages/dispatch/src/directory/common/followedTable.test.ts
+++ b/packages/dispatch/src/directory/common/followedTable.test.ts
@@ -10,9 +10,9 @@
   return new FollowedTable<string>({ name: 't', clock, isSame: (left, right) => left === right });
 }
 
-test('changes apply only where none is missing, and never move backwards', () => {
-  // Symptom: a target that left is granted again. Sequence: a whole copy that was read before the
-  // change arrives after it. Cause: the order of arrival was taken for the order of versions.
+test('changes apply only if none is missing, and never go back to an older version', () => {
+  // Guards against granting a removed target again when a whole copy that was read before the removal
+  // arrives after it.
   const table = makeTable();
   assert.equal(table.apply(0, { version: 5, changes: [] }, 0), false);
   table.setAll({ version: 5, changes: [{ key: 'a', value: '1' }] }, 0);
@@ -24,7 +24,7 @@
   assert.equal(table.version, 8);
 });
 
-test('recent changes bring a peer up to date that missed some updates, and no other', async () => {
+test('recent changes update a peer that missed few updates, but not one that missed more', async () => {
   const clock = new ManualClock();
   const table = makeTable(clock);
   table.setAll({ version: 1, changes: [{ key: 'a', value: '1' }] }, 0);
@@ -51,9 +51,9 @@
   assert.equal(directory.getCatalog()?.version, 9);
 });
 
-test('silence of the first follower makes the second take over, its return makes that one step back', () => {
-  // Symptom: nodes send work to a target that drained seconds ago. Sequence: the node that reads
-  // the store for its failure domain dies. Cause: nobody notices that updates have stopped.
+test('the second follower takes over when updates stop, and stops when the first one sends again', () => {
+  // Guards against outdated tables, and so requests to drained targets, after the node that reads the store
+  // for its failure domain crashed.
   const clock = new ManualClock();
   const rankFollowers = (): readonly string[] => ['a', 'b', 'c'];
   const second = new FollowerRole({ clock, self: 'b', rankFollowers });
@@ -69,26 +69,24 @@
   assert.equal(second.isFollower(), false);
 });
 
-test('an update that is repeated leaves an entry that changed twice as it is', () => {
-  // Symptom: nodes grant a target that leaves, 2 s and more after they knew. Sequence: a target
-  // registers and soon reports that it leaves; updates carry both changes, and arrive again and
-  // again. Cause: the older of the two differed from what was known and the newer did not, so only
-  // the older was taken.
+test('a repeated update does not change an entry that changed twice', () => {
+  // Guards against granting a draining target: repeated updates contain its registration and its drain, and
+  // only the older of the two changes differs from the known value.
   const table = makeTable();
-  const isLeaving = [
+  const bothChanges = [
     { key: 'a', value: 'ready' },
     { key: 'a', value: 'leaving' },
   ];
   table.setAll({ version: 1, changes: [] }, 0);
-  assert.equal(table.apply(1, { version: 3, changes: isLeaving }, 0), true);
+  assert.equal(table.apply(1, { version: 3, changes: bothChanges }, 0), true);
   assert.equal(table.get('a'), 'leaving');
-  assert.equal(table.apply(1, { version: 3, changes: isLeaving }, 0), true);
+  assert.equal(table.apply(1, { version: 3, changes: bothChanges }, 0), true);
   assert.equal(table.get('a'), 'leaving');
-  assert.equal(table.apply(1, { version: 4, changes: isLeaving }, 0), true);
+  assert.equal(table.apply(1, { version: 4, changes: bothChanges }, 0), true);
   assert.equal(table.get('a'), 'leaving');
 });
 
-test('an update that is repeated leaves the copy fresher and nothing else changed', () => {
+test('a repeated update only makes the copy more recent', () => {
   const table = makeTable();
   table.setAll({ version: 1, changes: [] }, 0);
   let events = 0;
@@ -102,10 +100,9 @@
   assert.equal(table.freshMs, 20);
 });
 
-test('weak VMs follow last and are home to nothing', () => {
-  // Symptom: the nodes of a failure domain read the store one by one. Sequence: its follower has a
-  // link of 7 Mbit/s and is late with its updates. Cause: followers and homes were chosen without
-  // regard to what their VM can carry.
+test('small VMs are ranked last as followers and are never homes', () => {
+  // Guards against a follower with a slow link (7 Mbit/s): its updates are late, and the nodes of its failure
+  // domain read the store themselves.
   const directory = new NodeDirectory(new ManualClock());
   const changes = Array.from({ length: 9 }, (_, index) => {
     const address = `10.0.0.${index}:1`;
@@ -120,19 +117,18 @@
     return { key: address, value };
   });
   directory.members.setAll({ version: 1, changes }, 0);
-  const weak = changes.slice(0, 4).map(({ key }) => key);
+  const small = changes.slice(0, 4).map(({ key }) => key);
   const followers = directory.rankFollowers('north');
   assert.equal(followers.length, 9);
-  assert.deepEqual([...followers.slice(-4)].sort(), weak);
+  assert.deepEqual([...followers.slice(-4)].sort(), small);
   for (const service of ['a', 'b', 'c', 'd', 'e', 'f']) {
-    assert.ok(directory.rankHomes(service).every((home) => !weak.includes(home)));
+    assert.ok(directory.rankHomes(service).every((home) => !small.includes(home)));
   }
 });
 
-test('what a former life of a target says of itself comes too late once the next is known', () => {
-  // Symptom: a target that has just started again gets no work, and later requests at an address
-  // that it left. Sequence: it reports its drain, the answer is lost, it starts anew; the store then
-  // carries the first call out. Cause: the newest version of a row was taken for the newest life.
+test('a late write of a former incarnation of a target is ignored', () => {
+  // Guards against a restarted target that gets no requests, or gets them at its former address. The response
+  // to its drain is lost, the target restarts, and only then does the store carry out the drain.
   const directory = new NodeDirectory(new ManualClock());
   const { targets } = directory;
   const first = makeTarget('t1', { bornMs: 1000 });
@@ -158,8 +154,8 @@
   });
 }
 
-test('a copy of a newer era is taken though its version is lower, and late ones of the former era are not', () => {
-  // Guards against versions that are compared although the store has given them out again.
+test('a copy of a newer epoch applies despite a lower version, late ones of the former epoch do not', () => {
+  // Guards against comparing versions that a restored store assigned a second time.
   const table = makeTable();
   table.setAll({ era: 1, version: 90, changes: [{ key: 'a', value: '1' }] }, 0);
   assert.equal(table.apply(90, { era: 2, version: 91, changes: [] }, 0), false);
@@ -179,7 +175,7 @@
   assert.equal(table.get('a'), '4');
 });
 
-test('a peer whose copy is of the former era is not given changes, but the whole table', () => {
+test('a peer with a copy of the former epoch has to fetch the whole table', () => {
   const clock = new ManualClock();
   const [table, peer] = [makeTable(clock), makeTable(clock)];
   for (const one of [table, peer]) one.setAll({ era: 1, version: 90, changes: [] }, 0);
@@ -187,13 +183,13 @@
   table.apply(80, { era: 2, version: 92, changes: [{ key: 'b', value: '1' }] }, 0);
   const { after, content } = table.listRecent();
   assert.equal(peer.apply(after, content, 0), false);
-  const { after: mine, content: own } = peer.listRecent();
-  assert.equal(table.apply(mine, own, 0), true);
+  const { after: peerAfter, content: peerContent } = peer.listRecent();
+  assert.equal(table.apply(peerAfter, peerContent, 0), true);
   assert.equal(table.version, 92);
 });
 
-test('what an older copy undoes stays done: a target that leaves, and one that is gone', async () => {
-  // Guards against requests for a target that has said that it leaves, or that has left.
+test('a restored older copy does not undo the drain of a target or its removal', async () => {
+  // Guards against sending requests to a target that is draining or was removed.
   const clock = new ManualClock();
   const table = makeRestorable(clock);
   const older = [
@@ -201,25 +197,25 @@
     { key: 'b', value: 'ready' },
   ];
   table.setAll({ era: 1, version: 80, changes: older }, 0);
-  const lost = [
+  const lostChanges = [
     { key: 'a', value: 'leaving' },
     { key: 'b', value: undefined },
   ];
-  table.apply(80, { era: 1, version: 90, changes: lost }, 0);
+  table.apply(80, { era: 1, version: 90, changes: lostChanges }, 0);
   table.setAll({ era: 2, version: 80, changes: older }, 0);
   table.setAll({ era: 2, version: 80, changes: older }, 0);
   assert.equal(table.get('a'), 'leaving');
   assert.equal(table.get('b'), undefined);
   assert.deepEqual(table.listWithheld(), ['b']);
-  assert.ok(table.isRetaining, 'also after the authority was read again');
-  // What lives is written about, or the store itself removes it in that time.
+  assert.ok(table.isRetaining, 'retains entries after the authority was read again');
+  // By then, live targets have been written again, and the store has removed the others.
   await clock.advanceBy(GRACE.removedMs);
   table.apply(80, { era: 2, version: 81, changes: [] }, 0);
   assert.equal(table.get('b'), 'ready');
 });
 
-test('an entry that an older copy lacks stays until it is written again, or its time is over', async () => {
-  // Guards against targets and nodes that are dropped for the moment until they register again.
+test('an entry missing after a restore is kept until rewritten or its grace period ends', async () => {
+  // Guards against targets and nodes that are removed until they register again.
   const clock = new ManualClock();
   const table = makeRestorable(clock);
   const entries = ['a', 'b'].map((key) => ({ key, value: 'ready' }));
@@ -233,7 +229,7 @@
   assert.deepEqual(table.listValues(), ['ready']);
 });
 
-test('a moment of another era proves nothing', () => {
+test('a freshness proof of another epoch is ignored', () => {
   const clock = new ManualClock();
   const table = makeTable(clock);
   table.setAll({ era: 2, version: 70, changes: [] }, 0);
--- a/packages/dispatch/src/directory/common/followedTable.ts
+++ b/packages/dispatch/src/directory/common/followedTable.ts
@@ -4,9 +4,9 @@
 import type { ITableChange, ITableChanges, ITableState } from './authority.js';
 import { RestoredEntries } from './restoredEntries.js';
 
-/** Changes are kept this long for peers that missed an update, in ms: several updates. */
+/** Recent changes are kept this long for peers that missed updates, in ms: the time of several updates. */
 const RECENT_CHANGES_MS = 5000;
-/** By then all that the authority has lost was written again, or is gone, in ms. */
+/** After a restore, entries that it lost are written again or expire within this time, in ms. */
 const RETENTION_MS = 15_000;
 const NO_GRACE: IRestoreGrace = { missingMs: 0, removedMs: 0 };
 
@@ -15,31 +15,31 @@
   readonly atMs: number;
 }
 
-/** For how long a copy of an older state of the authority is not believed, in ms. */
+/** Grace periods after the authority was restored from an older copy, in ms. */
 export interface IRestoreGrace {
-  /** Entries that the older state lacks stay so long: whoever wrote them writes them again. */
+  /** How long entries that the restored state lacks are retained, as their writers write them again. */
   readonly missingMs: number;
-  /** Entries that were dropped stay away so long, though the older state has them. */
+  /** How long entries that were removed, but are in the restored state, are withheld. */
   readonly removedMs: number;
 }
 
 /** Options of a {@link FollowedTable}. */
 export interface IFollowedTableOptions<T> {
-  /** Name in messages between nodes. */
+  /** Name of the table in messages between nodes. */
   readonly name: string;
   readonly clock: Clock;
-  /** Whether two values of a key mean the same; such changes are not passed on. */
+  /** Whether two values of a key are equivalent; such changes are not replicated. */
   readonly isSame: (left: T, right: T) => boolean;
-  /** Whether a value is of an earlier time than the known one, whatever its version. Default: never. */
+  /** Whether a value is older than the known one, regardless of its version. Default: never. */
   readonly isOutdated?: (known: T, next: T) => boolean;
-  /** Default: an older state is believed at once. */
+  /** Default: a restored state is applied immediately. */
   readonly restoreGrace?: IRestoreGrace;
 }
 
 /**
- * Only ever moves to newer eras, and within one to newer versions: an answer or update that arrives late
- * changes nothing. Entries of an older state that the authority came back from replace what is known as far as
- * they are no regression; see {@link RestoredEntries}.
+ * Only moves to newer store epochs and, within one, to newer versions, so that late responses and updates
+ * have no effect. After the authority was restored from an older copy, its entries replace the known ones
+ * unless that would be a regression; see {@link RestoredEntries}.
  *
  * @example
  * table.setAll(await authority.targets.readAll(signal), clock.getMonotonicTime());
@@ -47,7 +47,7 @@
 export class FollowedTable<T> {
   private readonly entries = new Map<string, T>();
   private readonly recentChanges: IRecentChange<T>[] = [];
-  /** Changes after this version are all in `kept`. */
+  /** All changes after this version are in `recentChanges`. */
   private recentAfter = 0;
   private currentVersion: number | undefined;
   private currentEra = 0;
@@ -57,13 +57,13 @@
   private readonly changed = new Emitter<readonly ITableChange<T>[]>();
   private readonly restoredEmitter = new Emitter<number>();
   private proof: IInstant | undefined;
-  /** The copy is as of this moment or later, in ms of the monotonic clock. */
+  /** The copy is at least as recent as this time, in ms of the monotonic clock. */
   freshMs = -Infinity;
 
   /** Fires with the entries that changed. */
   readonly onDidChange: Event<readonly ITableChange<T>[]> = this.changed.onDidFire;
 
-  /** Fires with the new era when the authority has come back from an older copy. */
+  /** Fires with the new epoch when the authority was restored from an older copy. */
   readonly onDidRestore: Event<number> = this.restoredEmitter.onDidFire;
 
   constructor(private readonly options: IFollowedTableOptions<T>) {
@@ -74,30 +74,30 @@
     return this.options.name;
   }
 
-  /** Undefined until the table was read or received once. */
+  /** Version of the copy; undefined until the table was first read or received. */
   get version(): number | undefined {
     return this.currentVersion;
   }
 
-  /** The authority's era that the version counts in. */
+  /** Store epoch to which the version belongs. */
   get era(): number {
     return this.currentEra;
   }
 
   /**
-   * Whether something of a former era is kept that the authority's state lacks. Copies of one version differ by
-   * that, so a peer takes none of the other kind piece by piece, and no proof of it.
+   * Whether entries of a former epoch are retained that the authority lacks. Copies of the same version with
+   * and without them differ, so neither changes nor freshness proofs apply between the two kinds.
    */
   get isRetaining(): boolean {
     return this.options.clock.getMonotonicTime() < this.retainedUntilMs;
   }
 
-  /** Whether the authority came back without this entry, and it was not written again yet. */
+  /** Whether the restored authority lacks this entry and it hasn't been written again yet. */
   isMissing(key: string): boolean {
     return this.restored.isMissing(key);
   }
 
-  /** Entries that were dropped, and that the authority came back with. */
+  /** Keys of removed entries that are in the restored authority and withheld for now. */
   listWithheld(): readonly string[] {
     return this.restored.listWithheld();
   }
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Takes a moment at which a copy of this state was the newest. For a read of the store it is the moment at
-   * which the read was sent: its answer may have been under way for any time.
+   * Records a time at which a copy of this state was the newest. For a read of the store, that is when the
+   * read was sent, because its response may have been delayed for any time.
    */
   recordProof({ era = 0, isRetained = false, version }: ITableState, at: IInstant): void {
     if (era !== this.currentEra || isRetained !== this.isRetaining) return;
@@ -128,28 +128,28 @@
     this.proof = this.proof === undefined ? at : pickLater(this.options.clock, this.proof, at);
   }
 
-  /** How long ago this copy was certainly the newest, in ms; infinite if that was never shown. */
+  /** Time since this copy was last proven to be the newest, in ms; infinite if it never was. */
   getProofAgeMs(): number {
     return this.proof === undefined ? Infinity : measureElapsedMs(this.options.clock, this.proof);
   }
 
-  /** Takes a copy of the whole table that was read at `readMs`. */
+  /** Replaces the content by a copy of the whole table that was read at `readMs`. */
   setAll(content: ITableChanges<T>, readMs: number): void {
     const { era = 0, isRetained, version } = content;
     if (era < this.currentEra) return;
     const isRestored = this.currentVersion !== undefined && era > this.currentEra;
     if (!isRestored && version < (this.currentVersion ?? -Infinity)) return;
     const keys = new Set(content.changes.map(({ key }) => key));
-    const dropped = [...this.entries.keys()]
+    const removed = [...this.entries.keys()]
       .filter((key) => !keys.has(key))
       .map((key) => ({ key, value: undefined }));
     this.currentEra = era;
-    const all = [...content.changes, ...dropped];
+    const all = [...content.changes, ...removed];
     const changes = this.listAccepted(all, isRestored);
     if (isRestored) this.applyRestored(changes, changes.length < all.length, version, readMs);
     else this.applyChanges(changes, version, readMs);
     if (isRetained === true) this.retainedUntilMs = this.getRetainEndMs();
-    // The authority itself doesn't say; what it lacks is still kept here then.
+    // Undefined for reads of the authority: entries that it lacks are still retained then.
     if (isRetained === false && !isRestored) this.endRetaining();
     for (const { isMissing, key } of content.changes) {
       if (isMissing === true) this.restored.tryRetain(key);
@@ -157,7 +157,7 @@
     if (isRestored) this.restoredEmitter.fire(era);
   }
 
-  /** Keeps all entries in a newer era, whose own state is an older one. */
+  /** Moves to a newer epoch, but retains all entries because the restored state is older. */
   advanceEra(era: number, version: number, readMs: number): void {
     if (this.currentVersion === undefined || era <= this.currentEra) return;
     this.currentEra = era;
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Takes changes that are complete after version `after` of the same era. False when some are missing
-   * between, or the era is a newer one.
+   * Applies changes that are complete after version `after` of the same epoch. Returns false if changes in
+   * between are missing or if the epoch is newer.
    */
   apply(after: number, content: ITableChanges<T>, readMs: number): boolean {
     const { era = 0, version } = content;
@@ -179,7 +179,7 @@
   }
 
   /**
-   * Recent changes after `known`, and the version after which they are complete.
+   * Lists recent changes after version `known`, and the version after which they are complete.
    *
    * @example
    * const { after, content } = table.listRecent(peerVersion);
@@ -199,21 +199,21 @@
     return { after, content: { era, isRetained, version: this.currentVersion ?? 0, changes } };
   }
 
-  /** Changes to an older state; `isCut` if some of them are not believed yet. */
+  /** Applies changes to a restored state; `isIncomplete` if some of them are deferred. */
   private applyRestored(
     changes: readonly ITableChange<T>[],
-    isCut: boolean,
+    isIncomplete: boolean,
     version: number,
     readMs: number,
   ): void {
-    const isRetained = isCut || changes.some((change) => this.isRegression(change));
+    const isRetained = isIncomplete || changes.some((change) => this.isRegression(change));
     this.restoredMs = this.options.clock.getMonotonicTime();
     if (isRetained) this.retainedUntilMs = this.getRetainEndMs();
     this.applyChanges(changes, version, readMs);
     this.clearRecentChanges(version);
   }
 
-  /** Who has not fetched the table by now lacks what is not kept for it. */
+  /** Discards recent changes, so that peers with an older copy have to fetch the whole table. */
   private clearRecentChanges(version: number): void {
     this.recentChanges.length = 0;
     this.recentAfter = version;
@@ -235,7 +235,7 @@
     return this.options.isOutdated?.(known, value) === true;
   }
 
-  /** Changes to a whole copy, without those of an older state that would be a regression. */
+  /** Filters the changes of a whole copy; defers those of a restored state that would be a regression. */
   private listAccepted(
     changes: readonly ITableChange<T>[],
     isRestored: boolean,
@@ -259,16 +259,16 @@
     const due = this.restored
       .takeDue()
       .filter(({ key }) => !changes.some((one) => one.key === key));
-    const real = listNewest([...due, ...changes]).filter((change) => this.isChange(change));
-    for (const change of real) {
+    const effective = listNewest([...due, ...changes]).filter((change) => this.isChange(change));
+    for (const change of effective) {
       if (change.value === undefined) this.restored.recordRemoved(change.key);
       this.setEntry(change);
     }
-    // What is no news here may be to a peer that has read the older state by itself.
-    const isForAll = atMs - this.restoredMs < RETENTION_MS;
-    const passedOn = isForAll ? listNewest([...due, ...changes]) : real;
-    for (const change of passedOn) this.recentChanges.push({ ...change, version, atMs });
-    if (real.length > 0) this.changed.fire(real);
+    // After a restore, a change without effect here may affect a peer that read the restored state itself.
+    const isAfterRestore = atMs - this.restoredMs < RETENTION_MS;
+    const replicated = isAfterRestore ? listNewest([...due, ...changes]) : effective;
+    for (const change of replicated) this.recentChanges.push({ ...change, version, atMs });
+    if (effective.length > 0) this.changed.fire(effective);
   }
 
   private isChange({ key, value }: ITableChange<T>): boolean {
@@ -285,9 +285,8 @@
 }
 
 /**
- * The last change of each key. Changes arrive again and again, and where a key changed twice, the
- * older one differs from what is known by now and the newer one does not: taken one by one, the
- * older one alone would be applied.
+ * Lists the last change of each key. Changes are received repeatedly. If a key changed twice, only the older
+ * change differs from the known value, so filtering change by change would apply the older one alone.
  */
 function listNewest<T extends ITableChange<unknown>>(changes: readonly T[]): readonly T[] {
   return [...new Map(changes.map((change) => [change.key, change])).values()];
--- a/packages/dispatch/src/directory/common/followerRole.ts
+++ b/packages/dispatch/src/directory/common/followerRole.ts
@@ -1,25 +1,26 @@
-/** Decides which nodes of a failure domain read the store, and when others take over. */
+/** Decides which nodes of a failure domain read the store, and when others take over from them. */
 import type { Clock } from '@parsleymux/base';
 
-/** The second follower takes over when its copy is this old, in ms: an update is 0.3 s late by then. */
+/** The second follower takes over when its copy is this old, in ms; an update is then 0.3 s late. */
 const TAKE_OVER_MS = 1150;
-/** Each further node waits this much longer, in ms, so that one alone takes over. */
+/** Each further node waits this much longer, in ms, so that only one takes over. */
 const TAKE_OVER_STEP_MS = 150;
-/** No node's copy gets older than this without a read of its own, in ms. */
+/** Any node reads the store itself when its copy is older than this, in ms. */
 const MAX_AGE_MS = 1600;
 
 /** Options of a {@link FollowerRole}. */
 export interface IFollowerRoleOptions {
   readonly clock: Clock;
   readonly self: string;
-  /** Nodes of the failure domain, the first follower first. */
+  /** Lists the nodes of the failure domain in the order in which they become followers. */
   readonly rankFollowers: () => readonly string[];
 }
 
 /**
- * The first in order follows. Whoever finds its copy too old takes over, and steps back when it
- * hears from one before it. Two that follow at once cost some calls; none at all would leave the
- * domain on old news, so silence decides and nothing is agreed on.
+ * The first node in the ranking reads the store. A node whose copy gets too old takes over, and stops when
+ * it receives an update from a node ranked higher. Two followers at the same time only cost some calls,
+ * while without any the failure domain would use outdated tables. So the nodes take over on a timeout,
+ * without an election.
  *
  * @example
  * if (role.hasToRead(table.getAgeMs())) await read();
@@ -29,17 +30,17 @@
 
   constructor(private readonly options: IFollowerRoleOptions) {}
 
-  /** Whether this node reads the store for its failure domain now. */
+  /** Whether this node currently reads the store for its failure domain. */
   isFollower(): boolean {
     return this.hasTakenOver || this.getRank() === 0;
   }
 
-  /** Whether this node is the first in order. */
+  /** Whether this node is ranked first. */
   isFirst(): boolean {
     return this.getRank() === 0;
   }
 
-  /** Whether a copy of this age has to be read by this node. */
+  /** Whether this node has to read the store when its copy has this age; if so, it takes over as follower. */
   hasToRead(ageMs: number): boolean {
     if (this.isFollower()) return true;
     if (ageMs <= this.getMaxAgeMs()) return false;
@@ -47,14 +48,14 @@
     return true;
   }
 
-  /** Age up to which a copy of this node needs no read of its own, in ms. */
+  /** Maximum age of this node's copy, in ms, up to which the node doesn't read the store itself. */
   getMaxAgeMs(): number {
     if (this.isFollower()) return 0;
     const waitMs = TAKE_OVER_MS + TAKE_OVER_STEP_MS * Math.max(0, this.getRank() - 1);
     return Math.min(MAX_AGE_MS, waitMs);
   }
 
-  /** A peer sent an update. */
+  /** Records that a peer sent an update. */
   recordUpdate(sender: string): void {
     const ranking = this.options.rankFollowers();
     const rank = ranking.indexOf(sender);
--- a/packages/dispatch/src/directory/common/memberRegistration.ts
+++ b/packages/dispatch/src/directory/common/memberRegistration.ts
@@ -1,18 +1,19 @@
-/** This node's row in the list of members: put there at the start, and taken off when it leaves. */
+/** Registers this node in the list of members at its start, and removes it at shutdown. */
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
 import type { Authority, IMember } from './authority.js';
 import { StoreCallError } from './authority.js';
 import type { FollowedTable } from './followedTable.js';
 
-/** Pause between attempts to register, in ms, and by how much of it nodes differ. */
+/** Delay between attempts to register, in ms, and its jitter as a share of it. */
 const RETRY_MS = 500;
 const RETRY_JITTER = 0.6;
 /**
- * Nodes of a new fleet register within this time, in ms: no caller waits, and a store takes some 200
- * writes a second to one table. Of 293 nodes that registered at once 171 were refused or not heard.
+ * Nodes of a new fleet spread their registrations over this time, in ms. No caller is waiting, and the
+ * store accepts some 200 writes a second to one table: when 293 nodes registered at the same time, 171 of
+ * the writes were rejected or timed out.
  */
 const FIRST_REGISTRATION_SPREAD_MS = 1500;
-/** How often the node looks whether it is still registered, in ms. */
+/** How often the node checks whether it is still registered, in ms. */
 const REGISTRATION_CHECK_INTERVAL_MS = 1000;
 
 /** Options of a {@link MemberRegistration}. */
@@ -28,13 +29,15 @@
 }
 
 /**
+ * Keeps this node registered until it shuts down.
+ *
  * @example
  * const registration = new MemberRegistration(options);
  * await registration.run(signal);
  */
 export class MemberRegistration {
   private readonly startMs: number;
-  /** When this node registered last, in ms of the monotonic clock. */
+  /** When this node last registered, in ms of the monotonic clock. */
   private registeredMs: number | undefined;
   private isRetired = false;
 
@@ -42,11 +45,11 @@
     this.startMs = options.clock.getMonotonicTime();
   }
 
-  /** Registers, and again whenever the list no longer names this node. Ends when `signal` aborts. */
+  /** Registers this node, and again whenever it is missing from the list. Ends when `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, isFirstStart, random } = this.options;
     let isDue = true;
-    // Callers of a node that starts again may wait: it writes its row before it reads the list.
+    // After a restart, callers may be waiting, so the node registers without delay.
     if (isFirstStart) {
       await clock
         .sleep(random.getFloat() * FIRST_REGISTRATION_SPREAD_MS, signal)
@@ -62,9 +65,9 @@
   }
 
   /**
-   * Takes the node off the list for good. Without an end to looking whether it is listed, a node that
-   * stops would miss itself a second later and register again, and be home to services until it is gone.
-   * Rejects with a {@link StoreCallError} when the store doesn't do it.
+   * Permanently removes the node from the list, and stops the checks whether it is listed. Otherwise a
+   * stopping node would register again a second later, and be the home of services until it exits. Rejects
+   * with a {@link StoreCallError} if the call to the store fails.
    */
   async retire(signal: AbortSignal): Promise<void> {
     this.isRetired = true;
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Whether the list may be read for the first time. A node of a new fleet registers before: read too
-   * early, the list names nobody who could tell it the news, and it would read all tables itself.
+   * Whether the list may be read for the first time. A node of a new fleet registers first: read too early,
+   * the list would contain no peer to receive updates from, and the node would read all tables itself.
    */
   isFirstListReadDue(): boolean {
     const { clock, isFirstStart } = this.options;
@@ -82,8 +85,9 @@
   }
 
   /**
-   * Another node may have taken this one for gone while it was cut off or suspended. A copy from before
-   * the registration says nothing: 100 of 293 nodes registered twice by it.
+   * Whether the list no longer contains this node: another node may have removed it while it was partitioned
+   * or suspended. A copy of the list from before the registration is ignored, as it made 100 of 293 nodes
+   * register twice.
    */
   private isUnlisted(): boolean {
     const { members, self } = this.options;
--- a/packages/dispatch/src/directory/common/nodeDirectory.ts
+++ b/packages/dispatch/src/directory/common/nodeDirectory.ts
@@ -1,4 +1,4 @@
-/** What a node knows of configuration, targets and members, ready to be asked for each request. */
+/** A node's copies of the configuration, targets and members, with lookup tables for requests. */
 import type { Clock, Event } from '@parsleymux/base';
 import { Emitter } from '@parsleymux/base';
 import type { INode } from '@parsleymux/fleet';
@@ -14,19 +14,19 @@
 import { TenantIndex } from '../../tenants/common/tenantIndex.js';
 import { listHighCapacityMembers } from './highCapacityMembers.js';
 
-/** Homes of a service that are ranked: the home, and those that take over one after the other. */
+/** Number of ranked homes of a service: the home, and the nodes that take over in order. */
 const RANKED_HOMES = 3;
 
 /**
- * Targets that live write their entries again within about 2 s; the store itself removes those of silent ones
- * after three times their usual pause.
+ * Live targets write their entries again within about 2 s; the store removes the entries of others after
+ * three times that interval.
  */
 const TARGETS_GRACE: IRestoreGrace = { missingMs: 2000, removedMs: 6000 };
-/** Nodes miss themselves on the list within a second, and may have to try again. */
+/** Nodes notice within a second that they aren't listed, and may have to retry the registration. */
 const MEMBERS_GRACE: IRestoreGrace = { missingMs: 4000, removedMs: 6000 };
 
 /**
- * Derives look-up tables once for each change.
+ * Holds the replicated tables, and updates the lookup tables derived from them on each change.
  *
  * @example
  * const match = directory.routes?.match(host, path);
@@ -35,17 +35,17 @@
   readonly catalog: FollowedTable<ICatalog>;
   readonly targets: FollowedTable<ITargetRecord>;
   readonly members: FollowedTable<IMember>;
-  /** Tenants of the configuration; has no version while requests need no keys. */
+  /** Tenants of the configuration; without a version while requests need no keys. */
   readonly tenants: FollowedTable<ITenantRule>;
   readonly tenantIndex = new TenantIndex();
   private currentCatalog: ICatalog | undefined;
   private currentRoutes: RouteTable | undefined;
   private homes = new RendezvousPlacement();
-  /** Followers of each failure domain in their order, computed when asked for first. */
+  /** Ranked followers of each failure domain, computed on first use. */
   private readonly followers = new Map<string, readonly string[]>();
   private readonly catalogChanged = new Emitter<ICatalog>();
 
-  /** Fires when a newer configuration is in force. */
+  /** Fires when a newer configuration comes into force. */
   readonly onDidChangeCatalog: Event<ICatalog> = this.catalogChanged.onDidFire;
 
   constructor(clock: Clock) {
@@ -87,7 +87,7 @@
     return this.currentCatalog;
   }
 
-  /** Whether the tenants are at least as new as the configuration; they may come separately. */
+  /** Whether the tenants are at least as new as the configuration, as both are replicated separately. */
   hasCurrentTenants(): boolean {
     const { catalog, tenants } = this;
     if (tenants.version === undefined) return false;
@@ -95,7 +95,7 @@
     return tenants.version >= (catalog.version ?? 0);
   }
 
-  /** All tables that nodes replicate to each other, the tenants before the configuration that needs them. */
+  /** Lists all tables that nodes replicate, with the tenants before the configuration that needs them. */
   listTables(): readonly FollowedTable<unknown>[] {
     const { catalog, members, targets, tenants } = this;
     return [tenants, catalog, targets, members] as unknown as FollowedTable<unknown>[];
@@ -105,7 +105,7 @@
     return this.currentRoutes;
   }
 
-  /** Addresses of the homes of a service, best first; strong VMs only. */
+  /** Addresses of the homes of a service in their order, on high-capacity VMs only. */
   rankHomes(service: string): readonly string[] {
     return this.homes
       .rank({ id: service, failureDomains: [] }, RANKED_HOMES)
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Followers of a failure domain in their order, of its members that are registered: a weak VM
-   * with a thin link comes after all others, for it would be late with its updates to each.
+   * Ranks the registered members of a failure domain as followers. Small VMs with slow links are ranked
+   * last, because their updates to the other nodes would be late.
    */
   rankFollowers(failureDomain: string): readonly string[] {
     const known = this.followers.get(failureDomain);
@@ -122,16 +122,16 @@
     const inDomain = this.members.listValues().filter((member) => {
       return member.failureDomain === failureDomain;
     });
-    const strong = new Set(listHighCapacityMembers(inDomain));
-    const weak = inDomain.filter((member) => !strong.has(member));
-    const ranking = [...rankMembers([...strong]), ...rankMembers(weak)];
+    const highCapacity = new Set(listHighCapacityMembers(inDomain));
+    const others = inDomain.filter((member) => !highCapacity.has(member));
+    const ranking = [...rankMembers([...highCapacity]), ...rankMembers(others)];
     this.followers.set(failureDomain, ranking);
     return ranking;
   }
 
   /**
-   * A configuration in force is never replaced by an older one, whatever a store or peer says:
-   * requests would be routed by rules that were already withdrawn.
+   * Puts a newer configuration into force. An older one from the store or a peer is ignored, because requests
+   * would be routed by rules that were withdrawn.
    */
   private applyCatalog(): void {
     for (const catalog of this.catalog.listValues()) {
@@ -159,7 +159,7 @@
   return { address: member.address, failureDomain: member.failureDomain };
 }
 
-/** What is left of a cold start shrinks all the time; that alone is no change. */
+/** Ignores the remaining time of a cold start, which decreases continuously. */
 function isSameTarget(left: ITargetRecord, right: ITargetRecord): boolean {
   return (
     isSameIncarnation(left, right) &&
@@ -171,10 +171,10 @@
   );
 }
 
-/** A target never takes back in the same life that it leaves. */
+/** Whether `next` is older than `known`. A drain is never undone within an incarnation. */
 function isEarlierState(known: ITargetRecord, next: ITargetRecord): boolean {
-  const isTakenBack = known.isDraining && !next.isDraining && isSameIncarnation(known, next);
-  return isTakenBack || isEarlierIncarnation(known, next);
+  const isDrainUndone = known.isDraining && !next.isDraining && isSameIncarnation(known, next);
+  return isDrainUndone || isEarlierIncarnation(known, next);
 }
 
 function isSameMember(left: IMember, right: IMember): boolean {
--- a/packages/dispatch/src/directory/common/restoredEntries.ts
+++ b/packages/dispatch/src/directory/common/restoredEntries.ts
@@ -1,25 +1,26 @@
-/** Entries on which a node and an older state of the authority disagree, after the authority came back from it. */
+/** Entries on which a node's copy and an authority that was restored from an older copy disagree. */
 import type { Clock } from '@parsleymux/base';
 import type { ITableChange } from './authority.js';
 import type { IRestoreGrace } from './followedTable.js';
 
-/** Dropped entries are remembered this long, in ms: longer than a copy is old. */
+/** How long removed entries are tracked, in ms: longer than the age of a copy used for a restore. */
 const REMOVED_RETENTION_MS = 120_000;
-/** Dropped entries that are remembered at most, the oldest going first. */
+/** Most removed entries tracked; the oldest are discarded first. */
 const MAX_REMOVED = 4096;
 
 /**
- * What was written since the copy was made is written again, but not at once. Until then a target that was
- * dropped must not come back, and one that registered in that time is no reason to send its requests elsewhere.
+ * Changes made after the copy was taken are written again, but not immediately. Until then, a target that
+ * was removed must not be used again, and one that registered meanwhile must stay usable.
  *
  * @example
- * if (restored.tryRetain(key)) continue; // the entry stays for now
+ * if (restored.tryRetain(key)) continue; // the entry is retained for now
  */
 export class RestoredEntries<T> {
-  /** Since when entries are kept that the older state lacks. */
+  /** Entries retained although the restored state lacks them, and since when. */
   private readonly missing = new Map<string, number>();
-  /** Entries of the older state that are not believed yet, and since when. */
+  /** Entries of the restored state that are not applied yet, and since when. */
   private readonly withheld = new Map<string, { readonly value: T; readonly sinceMs: number }>();
+  /** When entries were removed, by key. */
   private readonly removed = new Map<string, number>();
 
   constructor(
@@ -31,7 +32,7 @@
     return this.missing.has(key);
   }
 
-  /** Whether something is to be written about the entry, or its time is to pass, before it changes. */
+  /** Whether the entry stays as it is until the authority writes it again or its grace period ends. */
   isPending(key: string): boolean {
     return this.missing.has(key) || this.withheld.has(key);
   }
@@ -47,30 +48,30 @@
     if (this.removed.size > MAX_REMOVED && oldest !== undefined) this.removed.delete(oldest);
   }
 
-  /** Whether an entry that the older state lacks stays for now. */
+  /** Retains an entry that the restored state lacks; returns whether it stays for now. */
   tryRetain(key: string): boolean {
     if (this.grace.missingMs === 0) return false;
     if (!this.missing.has(key)) this.missing.set(key, this.clock.getMonotonicTime());
     return true;
   }
 
-  /** Whether an entry of the older state stays away for now: it was dropped not long ago. */
+  /** Withholds an entry of the restored state that was removed recently; returns whether it does. */
   tryWithhold({ key, value }: ITableChange<T>): boolean {
     const nowMs = this.clock.getMonotonicTime();
-    const droppedMs = this.removed.get(key) ?? -Infinity;
-    const isRecent = nowMs - droppedMs < REMOVED_RETENTION_MS;
+    const removedMs = this.removed.get(key) ?? -Infinity;
+    const isRecent = nowMs - removedMs < REMOVED_RETENTION_MS;
     if (value === undefined || this.grace.removedMs === 0 || !isRecent) return false;
     this.withheld.set(key, { value, sinceMs: nowMs });
     return true;
   }
 
-  /** The authority has written about an entry since it came back. */
+  /** Records that the entry was written to the authority after the restore. */
   clear(key: string): void {
     this.missing.delete(key);
     this.withheld.delete(key);
   }
 
-  /** Changes that are believed now, since nothing was written about them in time. */
+  /** Takes the changes whose grace period ended without a new write, which now apply. */
   takeDue(): readonly ITableChange<T>[] {
     const nowMs = this.clock.getMonotonicTime();
     const due: ITableChange<T>[] = [];
--- a/packages/dispatch/src/directory/common/storeFollower.test.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.test.ts
@@ -8,7 +8,7 @@
 
 type Reply = ITableChanges<string> | StoreFailure | 'none';
 
-/** Replies in turn; 'none' stays unanswered until the call is given up. */
+/** Returns the replies in order; for 'none', the call stays pending until it is aborted. */
 class ScriptedTable extends AuthorityTable<string> {
   override readonly malformedRows = 0;
   readonly calls: string[] = [];
@@ -37,20 +37,20 @@
     if (reply !== 'none') return Promise.reject(new StoreCallError(reply, reply));
     return new Promise((_, reject) => {
       signal.addEventListener('abort', () => {
-        reject(new StoreCallError(StoreFailure.Reset, 'given up'));
+        reject(new StoreCallError(StoreFailure.Reset, 'aborted'));
       });
     });
   }
 }
 
-interface IBench {
+interface IFixture {
   readonly clock: ManualClock;
   readonly source: ScriptedTable;
   readonly table: FollowedTable<string>;
   readonly follower: StoreFollower<string>;
 }
 
-function startBench(replies: Reply[], signal: AbortSignal): IBench {
+function startFixture(replies: Reply[], signal: AbortSignal): IFixture {
   const clock = new ManualClock();
   const source = new ScriptedTable(replies);
   const table = new FollowedTable<string>({ name: 't', clock, isSame: (a, b) => a === b });
@@ -70,13 +70,13 @@
   return { clock, source, table, follower };
 }
 
-/** A node whose peers tell it the news, until `lastToldMs`. */
-async function countLooks(lastToldMs: number, untilMs: number): Promise<readonly number[]> {
+/** Runs a node that receives updates until `lastUpdateMs`; returns when it checked whether to read. */
+async function runChecks(lastUpdateMs: number, untilMs: number): Promise<readonly number[]> {
   const stop = new AbortController();
   const clock = new ManualClock();
   const source = new ScriptedTable([]);
   const table = new FollowedTable<string>({ name: 't', clock, isSame: (a, b) => a === b });
-  const looksMs: number[] = [];
+  const checksMs: number[] = [];
   table.setAll({ version: 1, changes: [] }, 0);
   const follower = new StoreFollower({
     table,
@@ -86,7 +86,7 @@
     log: createSilentLogger(),
     jitter: (delayMs) => delayMs,
     hasToRead: () => {
-      looksMs.push(clock.getMonotonicTime());
+      checksMs.push(clock.getMonotonicTime());
       return table.getAgeMs() > 1150;
     },
     getMaxAgeMs: () => 1150,
@@ -96,36 +96,33 @@
   void follower.run(stop.signal);
   for (let atMs = 850; atMs <= untilMs; atMs += 850) {
     await clock.advanceTo(atMs);
-    if (atMs <= lastToldMs) table.freshMs = atMs;
+    if (atMs <= lastUpdateMs) table.freshMs = atMs;
   }
-  assert.equal(source.calls.length, lastToldMs < untilMs ? 1 : 0);
+  assert.equal(source.calls.length, lastUpdateMs < untilMs ? 1 : 0);
   stop.abort();
-  return looksMs;
+  return checksMs;
 }
 
-test('a node that is told the news wakes only when its copy may have become too old', async () => {
-  // Symptom: fleets of hundreds of nodes that nobody asks for anything keep their machines busy.
-  // Sequence: each node looks 20 times a second whether one of three tables must be read, and finds
-  // that it was told a moment ago. Cause: it looked at a fixed pace, not when there was a reason to.
-  const looks = await countLooks(8500, 8500);
-  assert.ok(looks.length <= 17, `${looks.length} looks in 8.5 s`);
+test('a node that receives updates wakes only when its copy may have become too old', async () => {
+  // Guards against a busy fleet of idle nodes that check at a fixed interval, 20 times a second, whether one
+  // of three tables has to be read.
+  const checks = await runChecks(8500, 8500);
+  assert.ok(checks.length <= 17, `${checks.length} checks in 8.5 s`);
 });
 
-test('a node that is told nothing any more reads as soon as its copy is too old', async () => {
-  const looks = await countLooks(1700, 3400);
-  assert.ok((looks.at(-1) ?? Infinity) <= 1700 + 1151 + 1);
+test('a node that no longer receives updates reads as soon as its copy is too old', async () => {
+  const checks = await runChecks(1700, 3400);
+  assert.ok((checks.at(-1) ?? Infinity) <= 1700 + 1151 + 1);
 });
 
 const FIRST: ITableChanges<string> = { version: 3, changes: [{ key: 'config', value: 'old' }] };
 const SECOND: ITableChanges<string> = { version: 5, changes: [{ key: 'config', value: 'new' }] };
 
-test('a held read that a cut has swallowed is given up as soon as the cut shows elsewhere', async () => {
-  // Symptom: nodes that nothing has happened to route by the former configuration for over 2 s.
-  // Sequence: their follower is cut off while the store holds its read; the cut heals, the
-  // configuration changes, the follower reads targets again and tells all that its news are fresh.
-  // Cause: the held read had died with the cut and was taken for "nothing new".
+test('a long poll that was lost in a network partition is cancelled and repeated', async () => {
+  // Guards against routing by an outdated configuration after a follower was partitioned from the store
+  // during a long poll: the lost poll must not count as "no changes".
   const stop = new AbortController();
-  const { clock, follower, source, table } = startBench([FIRST, 'none', SECOND], stop.signal);
+  const { clock, follower, source, table } = startFixture([FIRST, 'none', SECOND], stop.signal);
   await clock.advanceBy(100);
   assert.equal(follower.isLongPollPending(), true);
   follower.cancelRead();
@@ -135,20 +132,20 @@
   stop.abort();
 });
 
-test('a history that the store has dropped is read as a whole', async () => {
+test('the whole table is read if the store no longer has its change history', async () => {
   const stop = new AbortController();
   const replies: Reply[] = [FIRST, StoreFailure.HistoryLost, SECOND];
-  const { clock, source, table } = startBench(replies, stop.signal);
+  const { clock, source, table } = startFixture(replies, stop.signal);
   await clock.advanceBy(100);
   assert.equal(table.get('config'), 'new');
   assert.deepEqual(source.calls.slice(0, 3), ['all', 'after 3', 'all']);
   stop.abort();
 });
 
-test('a store that is away is asked again after a pause, and the copy stays', async () => {
+test('reads of an unavailable store are retried after a delay, and the copy is kept', async () => {
   const stop = new AbortController();
   const busy = [StoreFailure.Busy, StoreFailure.Silent, StoreFailure.Limited];
-  const { clock, source, table } = startBench([FIRST, ...busy, SECOND], stop.signal);
+  const { clock, source, table } = startFixture([FIRST, ...busy, SECOND], stop.signal);
   await clock.advanceBy(300);
   assert.equal(table.get('config'), 'old');
   assert.equal(source.calls.length, 2);
@@ -157,12 +154,12 @@
   stop.abort();
 });
 
-test('a read of changes that shows a newer era is followed by one of the whole table', async () => {
-  // Guards against changes after a version that the store has given out again.
+test('a read of changes that returns a newer epoch is followed by a read of the whole table', async () => {
+  // Guards against applying changes after a version that the restored store assigned a second time.
   const stop = new AbortController();
   const changes = { era: 2, version: 9, changes: [{ key: 'other', value: 'x' }] };
   const whole = { ...SECOND, era: 2, version: 2 };
-  const { clock, source, table } = startBench([FIRST, changes, whole], stop.signal);
+  const { clock, source, table } = startFixture([FIRST, changes, whole], stop.signal);
   await clock.advanceBy(100);
   assert.equal(table.get('config'), 'new');
   assert.equal(table.version, 2);
--- a/packages/dispatch/src/directory/common/storeFollower.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.ts
@@ -1,26 +1,26 @@
-/** Reads the authority's tables while this node is a follower, or while nobody tells it the news. */
+/** Reads a table of the authority while this node is a follower or receives no updates from peers. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { JoinedSignal } from '@parsleymux/base';
 import type { AuthorityTable, ITableChanges } from './authority.js';
 import { StoreCallError, StoreFailure } from './authority.js';
 import type { FollowedTable } from './followedTable.js';
 
-/** When this node looks again whether it has to read, in ms, once its copy is old enough for that. */
+/** How often a node checks whether it has to read, in ms, once its copy is old enough. */
 const IDLE_CHECK_MS = 150;
-/** The same while the table was never read, in ms: the node can't serve before. */
+/** The same before the table was first read, in ms: until then, the node can't serve requests. */
 const FIRST_READ_CHECK_MS = 20;
-/** Wait after a failed read by the first followers, in ms: short, for all nodes wait for them. */
+/** Delay after a failed read by the first follower, in ms; short, because the other nodes depend on it. */
 const FOLLOWER_RETRY_MS = 400;
-/** Wait after a failed read by any other node, in ms; spread, so that a store is not stormed. */
+/** Delay after a failed read by any other node, in ms; jittered, so that they don't overload the store. */
 const OTHER_RETRY_MS = 1500;
 
-/** How a table is read. */
+/** How often a table is read, and how long the store may hold each read. */
 export interface IPollTiming {
-  /** Pause between two reads, in ms. */
+  /** Delay between two reads, in ms. */
   readonly pauseMs: number;
-  /** How long the store may hold a read until something changes, in ms. */
+  /** How long the store may hold a read until the table changes (long poll), in ms. */
   readonly waitMs: number;
-  /** In place of {@link waitMs} when it is called for, at each read. */
+  /** If set, called for each read in place of {@link waitMs}. */
   readonly getWaitMs?: () => number;
 }
 
@@ -32,20 +32,20 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly jitter: (delayMs: number) => number;
-  /** Whether the table has to be read by this node now. */
+  /** Whether this node has to read the table now. */
   readonly hasToRead: () => boolean;
-  /** Age of the copy up to which the table needn't be read by this node, in ms. */
+  /** Age of the copy up to which this node doesn't have to read the table, in ms. */
   readonly getMaxAgeMs: () => number;
-  /** Whether this node is among the first to read. */
+  /** Whether this node is the first follower. */
   readonly isFirst: () => boolean;
-  /** Called after every successful read; `hasNews` if it brought a change. */
-  readonly onDidRead: (hasNews: boolean) => void;
+  /** Called after every successful read; `hasChanges` if it returned changes. */
+  readonly onDidRead: (hasChanges: boolean) => void;
   /** Called after every failed read. */
   readonly onDidFail?: () => void;
 }
 
 /**
- * One loop for one table.
+ * Runs the read loop of one table.
  *
  * @example
  * await new StoreFollower({ table, source, pollTiming, ... }).run(signal);
@@ -53,10 +53,10 @@
 export class StoreFollower<T> {
   private isStoreLost = false;
   private readStartMs: number | undefined;
-  /** How long the store may hold the read that is under way, in ms. */
+  /** How long the store may hold the pending read, in ms. */
   private longPollMs = 0;
   private cancelled = new AbortController();
-  /** Reads that failed, by kind, and that went well. */
+  /** Number of successful reads, and of failed reads by kind of failure. */
   readonly counts = { succeeded: 0, failed: new Map<StoreFailure, number>() };
 
   constructor(private readonly options: IStoreFollowerOptions<T>) {}
@@ -75,18 +75,18 @@
     }
   }
 
-  /** A read that the store holds has shown no change since it began. */
+  /** Whether a long poll is pending within its wait time, so that nothing has changed since it began. */
   isLongPollPending(): boolean {
     if (this.readStartMs === undefined) return false;
     return this.options.clock.getMonotonicTime() - this.readStartMs <= this.longPollMs;
   }
 
   /**
-   * Gives up the read that the store may be holding; the next one follows at once. After a cut the
-   * question or its answer may be lost, and the read would look quiet while everything changes.
+   * Cancels a pending read; the next one follows immediately. After a network partition, the request or its
+   * response may be lost, and the pending read would wrongly indicate that nothing changes.
    */
   cancelRead(): void {
-    this.cancelled.abort(new Error('the way to the store was cut'));
+    this.cancelled.abort(new Error('read cancelled; its connection to the store may be lost'));
   }
 
   private async read(signal: AbortSignal): Promise<boolean> {
@@ -122,11 +122,11 @@
     try {
       this.longPollMs = pollTiming.getWaitMs?.() ?? pollTiming.waitMs;
       const content = await source.readChanges(after, this.longPollMs, signal);
-      // A held read is answered at the change or when the wait is over: it is as of its end.
+      // The store responds to a long poll at a change or at the end of the wait, so it is as of its end.
       const readMs = this.longPollMs > 0 ? clock.getMonotonicTime() : startMs;
-      // Versions of another era were given out again: what is new after them is not known.
+      // Versions of different epochs aren't comparable, so the whole table has to be read.
       if ((content.era ?? 0) > table.era) return await this.readRestored(content, signal);
-      // Rows that can't be understood are read again: the version behind them would hide them.
+      // The version isn't advanced past malformed rows, so that they are read again.
       if (content.isPartial === true) table.freshMs = readMs;
       else table.apply(after, content, readMs);
       return content;
@@ -134,7 +134,7 @@
       const isLost = error instanceof StoreCallError && error.failure === StoreFailure.HistoryLost;
       if (!isLost) throw error;
       const content = await source.readAll(signal);
-      this.options.log.warn('history of a table is lost; read it whole', {
+      this.options.log.warn('change history of a table was lost; read the whole table', {
         table: table.name,
         version: after,
         readEra: content.era ?? 0,
@@ -149,12 +149,12 @@
     signal: AbortSignal,
   ): Promise<ITableChanges<T>> {
     const { clock, log, source, table } = this.options;
-    const { era: before, version: versionBefore } = table;
+    const { era: eraBefore, version: versionBefore } = table;
     log.warn('store came back from an older copy; reading the table whole', {
       table: table.name,
       era: era ?? 0,
       version,
-      eraBefore: before,
+      eraBefore,
       versionBefore,
     });
     const startMs = clock.getMonotonicTime();
@@ -167,8 +167,9 @@
   }
 
   /**
-   * A node that is told the news has nothing to look for before its copy is too old: looking every
-   * 150 ms for each of three tables, it woke 20 times a second where 4 do.
+   * How long the loop sleeps while no read is due, in ms: until the copy may be too old, if that is later
+   * than the next check. Checking every 150 ms, the loops of three tables would wake an idle node 20 times
+   * a second in place of 4.
    */
   private getIdleMs(): number {
     const { getMaxAgeMs: getMostAgeMs, table } = this.options;
--- a/packages/dispatch/src/directory/common/tableMessages.ts
+++ b/packages/dispatch/src/directory/common/tableMessages.ts
@@ -1,15 +1,15 @@
-/** Translation between tables and the messages that carry their changes. */
+/** Conversion between table changes and their protobuf messages. */
 import { create } from '@bufbuild/protobuf';
 import type { FollowedChanges } from '@parsleymux/schema';
 import { FollowedChangesSchema } from '@parsleymux/schema';
 import type { ITableChanges } from './authority.js';
 import type { FollowedTable } from './followedTable.js';
 
-/** Older proofs are not passed on: no lease is as long, in ms. */
+/** Older freshness proofs are not sent, in ms, because no lease is that long. */
 const MAX_PROOF_AGE_MS = 3_600_000;
 
 /**
- * Values travel as JSON: they are small, few, and read by people in traces.
+ * Encodes changes. Values are sent as JSON: they are few and small, and readable in traces.
  *
  * @example
  * encodeChanges('targets', 40, { version: 42, changes });
@@ -35,7 +35,7 @@
   });
 }
 
-/** How old a copy is, and how long ago it was certainly the newest. */
+/** Encodes the age of a copy and of its freshness proof. */
 export function encodeAges(
   table: FollowedTable<unknown>,
 ): Pick<FollowedChanges, 'ageMs' | 'proofAgeMs'> {
@@ -45,7 +45,7 @@
   return { ageMs, proofAgeMs: Math.max(0, Math.ceil(proofAgeMs)) };
 }
 
-/** The changes of a message, and the version after which they are complete. */
+/** Decodes the changes of a message and the version after which they are complete. */
 export function decodeChanges(message: FollowedChanges): {
   readonly after: number;
   readonly content: ITableChanges<unknown>;
--- a/packages/dispatch/src/directory/common/updateRelay.test.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.test.ts
@@ -22,7 +22,7 @@
   }
 
   override setHandler(): void {
-    // Tests hand messages over themselves.
+    // Tests call the handlers directly.
   }
 
   override dispose(): void {
@@ -34,14 +34,14 @@
   return create(UpdateReceivedSchema, { sequence });
 }
 
-interface IBench {
+interface IFixture {
   readonly clock: ManualClock;
   readonly channel: RecordingChannel;
   readonly relay: UpdateRelay;
   readonly table: FollowedTable<unknown>;
 }
 
-function openBench(): IBench {
+function openFixture(): IFixture {
   const clock = new ManualClock();
   const channel = new RecordingChannel();
   const table = new FollowedTable<unknown>({ name: 't', clock, isSame: () => false });
@@ -57,7 +57,7 @@
   return { clock, channel, relay, table };
 }
 
-/** As a follower does: one update after the other. */
+/** Announces updates at the interval of a follower. */
 async function announceFor(ms: number, relay: UpdateRelay, clock: ManualClock): Promise<void> {
   for (let passedMs = 0; passedMs <= ms; passedMs += 900) {
     relay.announce();
@@ -65,25 +65,23 @@
   }
 }
 
-test('a peer that confirms nothing is silent, the others are not', async () => {
-  const { clock, relay } = openBench();
+test('only a peer that confirms nothing is listed as silent', async () => {
+  const { clock, relay } = openFixture();
   await announceFor(LIMIT_MS, relay, clock);
   for (const peer of PEERS.slice(1)) relay.handleUpdateReceived(peer, confirm(1n));
   assert.deepEqual(relay.listSilent(LIMIT_MS), [PEERS[0]]);
 });
 
-test('a node that hears nobody takes itself for cut off, not the others for gone', async () => {
-  // Symptom: all nodes of a failure domain lose their registration at once, and their services
-  // change homes. Sequence: one node is cut off from its peers but reaches the store; its copy gets
-  // old, it takes over as follower, nobody confirms its updates. Cause: silence of all was taken for
-  // the death of each.
-  const { clock, relay } = openBench();
+test('a node that receives no confirmations lists no peer as silent', async () => {
+  // Guards against removing the registrations of a whole failure domain: a node that is partitioned from its
+  // peers, but reaches the store, takes over as follower, and nobody confirms its updates.
+  const { clock, relay } = openFixture();
   await announceFor(LIMIT_MS, relay, clock);
   assert.deepEqual(relay.listSilent(LIMIT_MS), []);
 });
 
-test('changes reach a peer in one datagram, and those too large for it are only announced', () => {
-  const { channel, relay, table } = openBench();
+test('changes are sent in one datagram, and those too large for it are only announced', () => {
+  const { channel, relay, table } = openFixture();
   table.setAll({ version: 1, changes: [] }, 0);
   table.apply(1, { version: 2, changes: [{ key: 'a', value: 'small' }] }, 0);
   relay.announce();
@@ -96,11 +94,10 @@
   assert.equal(last.after, 3n);
 });
 
-test('an update that a peer did not confirm is sent to it once more', async () => {
-  // Symptom: with a hundred nodes, several times the calls of the followers reach the store.
-  // Sequence: a datagram with an update is lost; before the next one comes, its receiver's copy is
-  // older than it bears, and it reads the store itself. Cause: nothing repeated a lost update.
-  const { channel, clock, relay } = openBench();
+test('an update that a peer did not confirm is repeated once', async () => {
+  // Guards against nodes that read the store themselves because an update was lost and their copy gets too
+  // old before the next one arrives.
+  const { channel, clock, relay } = openFixture();
   relay.announce();
   for (const peer of PEERS.slice(1)) relay.handleUpdateReceived(peer, confirm(1n));
   await clock.advanceBy(400);
@@ -108,31 +105,28 @@
   assert.deepEqual(sent, [...PEERS, PEERS[0]]);
 });
 
-test('a peer gets only what is new since the update that it confirmed', () => {
-  // Symptom: peers fetch whole tables several times a second, and read the store themselves when
-  // their follower is too busy to serve them. Sequence: a few dozen targets register within seconds.
-  // Cause: each update carried the changes of the last five seconds, and soon too many of them.
-  const { channel, relay, table } = openBench();
+test('a peer gets only the changes since the update that it confirmed', () => {
+  // Guards against peers that fetch whole tables several times a second when a few dozen targets register
+  // within seconds, because all changes of the last five seconds don't fit into one update.
+  const { channel, relay, table } = openFixture();
   table.setAll({ version: 1, changes: [] }, 0);
   table.apply(1, { version: 2, changes: [{ key: 'a', value: '1' }] }, 0);
   relay.announce();
   relay.handleUpdateReceived(PEERS[0]!, confirm(1n));
   table.apply(2, { version: 3, changes: [{ key: 'b', value: '2' }] }, 0);
   relay.announce();
-  const told = channel.sent.slice(PEERS.length).map(({ address, body }) => {
+  const sent = channel.sent.slice(PEERS.length).map(({ address, body }) => {
     const changes = body.case === 'update' ? body.value.changes[0] : undefined;
     return { address, after: changes?.after, keys: changes?.rows.map(({ key }) => key) };
   });
-  assert.deepEqual(told[0], { address: PEERS[0], after: 2n, keys: ['b'] });
-  assert.deepEqual(told[1], { address: PEERS[1], after: 1n, keys: ['a', 'b'] });
+  assert.deepEqual(sent[0], { address: PEERS[0], after: 2n, keys: ['b'] });
+  assert.deepEqual(sent[1], { address: PEERS[1], after: 1n, keys: ['a', 'b'] });
 });
 
-test('a node that was not the follower for a while takes nobody for gone when it is again', async () => {
-  // Symptom: with a hundred nodes, dozens of registrations are removed and written again every
-  // second, homes and followers change all the time. Sequence: a node follows for a moment at the
-  // start, steps back, and takes over for a moment some seconds later. Cause: its peers had not
-  // confirmed anything for so long, because it had not sent them anything.
-  const { clock, relay } = openBench();
+test('a node that becomes the follower again lists no peer as silent for the time in between', async () => {
+  // Guards against removing registrations of live peers: they could not confirm any update while another
+  // node was the follower and this one sent none.
+  const { clock, relay } = openFixture();
   relay.announce();
   relay.handleUpdateReceived(PEERS[0]!, confirm(1n));
   await clock.advanceBy(LIMIT_MS + 1000);
@@ -142,8 +136,8 @@
   assert.deepEqual(relay.listSilent(LIMIT_MS), []);
 });
 
-test('a peer that has read an older copy by itself takes neither changes nor proof of one that keeps more', () => {
-  // Guards against an ended key that holds again by the proof of a follower which knows that it has ended.
+test('a peer that read a restored table applies no changes or proofs of one that retains entries', () => {
+  // Guards against accepting a revoked key on the proof of a follower that still has its revocation.
   const clock = new ManualClock();
   const fetched: string[] = [];
   const tables = [0, 1].map(() => {
--- a/packages/dispatch/src/directory/common/updateRelay.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.ts
@@ -1,4 +1,4 @@
-/** Followers tell the nodes of their failure domain what they have read, and who of them is alive. */
+/** Sends the tables that a follower reads to the nodes of its failure domain, and detects silent ones. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, IInstant, Logger } from '@parsleymux/base';
 import { computeEarlier } from '@parsleymux/base';
@@ -10,37 +10,37 @@
 import { decodeChanges, encodeAges, encodeChanges } from './tableMessages.js';
 
 /**
- * Rows in one datagram, in bytes: some forty targets. What is more is fetched as a whole table,
- * which is several times the work for both sides.
+ * Most bytes of rows in one datagram: about forty targets. For more changes, peers fetch the whole table,
+ * which costs both sides several times as much.
  */
 const MAX_ROW_BYTES = 8000;
-/** Updates whose confirmation may still come: those of some ten seconds. */
+/** Most updates tracked for a confirmation: those of about ten seconds. */
 const MAX_TRACKED_UPDATES = 256;
 
 /**
- * A peer that has not confirmed an update after this gets it again, in ms: a few round trips of a
- * busy node, and early enough that a lost datagram leaves no copy older than its node bears.
+ * An update that a peer has not confirmed after this time, in ms, is repeated. This is several round trips
+ * of a busy node, but early enough that a lost datagram doesn't make a peer's copy too old.
  */
 const REPEAT_MS = 200;
 
-/** A peer counts as silent after so many updates in a row without confirmation, repeats included. */
+/** A peer is considered silent after this many consecutive unconfirmed updates, including repeats. */
 const MIN_UNCONFIRMED = 4;
-/** Updates that are further apart are not in a row, in ms: this node was not the follower between. */
+/** Updates further apart than this, in ms, aren't consecutive: this node was not the follower in between. */
 const MAX_GAP_MS = 2500;
 
-/** Above this share of silent peers, the way of this node is to blame rather than the peers. */
+/** If more than this share of the peers is silent, the network path of this node is considered at fault. */
 const MAX_SILENT_SHARE = 0.5;
 
-/** A state of a table. */
+/** State of a table that an update was sent for. */
 interface ISentState {
   readonly era: number;
   readonly version: number;
 }
 
-/** States of tables, by name. */
+/** States of tables, by table name. */
 type TableVersions = ReadonlyMap<string, ISentState>;
 
-/** Updates in a row that a peer has not confirmed. */
+/** Consecutive updates that a peer has not confirmed. */
 interface IUnconfirmed {
   readonly sinceMs: number;
   readonly lastMs: number;
@@ -53,21 +53,21 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly statePort: number;
-  /** Differs between starts of the process. Default 0. */
+  /** Differs for each start of the process. Default: 0. */
   readonly incarnation?: number;
   readonly tables: readonly FollowedTable<unknown>[];
-  /** Whether this node soon can't show any more that its copies are recent enough. Default: never. */
+  /** Whether this node needs a freshness proof for its copies soon. Default: never. */
   readonly isProofDue?: () => boolean;
-  /** Nodes of this failure domain, this one left out. */
+  /** Lists the addresses of the other nodes of this failure domain. */
   readonly listPeers: () => readonly string[];
-  /** Fetches a whole table from a node that has a newer one. */
+  /** Fetches a whole table from a node that has a newer copy. */
   readonly fetchTable: (table: FollowedTable<unknown>, stateAddress: string) => Promise<void>;
 }
 
 /**
- * Sends and takes updates. A peer gets what is new since the update that it confirmed last: with
- * all recent changes in each, a few dozen targets that come or go would make every peer fetch the
- * whole table again and again.
+ * Sends and applies updates. An update contains the changes since the one that the peer last confirmed. If
+ * each contained all recent changes, a few dozen targets that register or leave would make every peer
+ * fetch the whole table repeatedly.
  *
  * @example
  * relay.announce(); // after a read of the store
@@ -77,12 +77,12 @@
   private readonly confirmedAtMs = new Map<string, number>();
   private readonly unconfirmed = new Map<string, IUnconfirmed>();
   private readonly fetching = new Set<string>();
-  /** What each update told, by its sequence. */
+  /** States of the tables in each sent update, by sequence number. */
   private readonly sentVersions = new Map<bigint, TableVersions>();
-  /** What each peer has confirmed. */
+  /** States of the tables that each peer has confirmed. */
   private readonly confirmed = new Map<string, TableVersions>();
   private readonly tokens: EchoTokens;
-  /** The newest token of each peer. */
+  /** The newest echo token of each peer. */
   private readonly echoes = new Map<string, bigint>();
   private repeatTimer: IDisposable | undefined;
 
@@ -90,7 +90,7 @@
     this.tokens = new EchoTokens({ clock: options.clock, incarnation: options.incarnation ?? 0 });
   }
 
-  /** Tells all peers the present state of the tables. */
+  /** Sends the current state of the tables to all peers, and repeats it to those that don't confirm it. */
   announce(): void {
     const { clock, listPeers } = this.options;
     const nowMs = clock.getMonotonicTime();
@@ -101,7 +101,7 @@
     });
   }
 
-  /** A node that has just started asks for what this one knows. */
+  /** Sends an update to a node that has just started and requested one. */
   handleHello(sender: string): void {
     this.confirmed.delete(sender);
     this.sendUpdates([sender]);
@@ -125,7 +125,10 @@
     if (urgent) this.sendUpdates([sender]);
   }
 
-  /** The first update of a follower brings no token back, so it proves nothing: the next is asked for. */
+  /**
+   * Confirms an update. The first update of a follower echoes no token, so it is no freshness proof; the
+   * next one is requested immediately if a proof is due.
+   */
   private confirm(sender: string, { echo, sequence }: Update): void {
     const { channel, isProofDue } = this.options;
     const value = create(UpdateReceivedSchema, {
@@ -137,10 +140,10 @@
   }
 
   /**
-   * Peers that were sent one update after the other for `limitMs` and confirmed none. None at all
-   * when most are silent: then this node is the one that is cut off, and to report them would take a
-   * whole failure domain off the list while it is at work. Only updates in a row count: a node that
-   * follows again after a while has not been told anything between because it has not asked.
+   * Lists the peers that confirmed none of the consecutive updates sent to them for `limitMs`. Lists none if
+   * most are silent: then this node is probably partitioned, and reporting them would remove a whole failure
+   * domain that is working. Only consecutive updates count, because peers can't confirm anything while this
+   * node is not the follower and sends no updates.
    */
   listSilent(limitMs: number): readonly string[] {
     const nowMs = this.options.clock.getMonotonicTime();
@@ -152,7 +155,7 @@
     return silent.length > peers.length * MAX_SILENT_SHARE ? [] : silent;
   }
 
-  /** Forgets what was heard, when this node stops being a follower. */
+  /** Discards all state of peers and stops the repeats. */
   clear(): void {
     void this.repeatTimer?.dispose();
     this.confirmedAtMs.clear();
@@ -162,17 +165,18 @@
   }
 
   /**
-   * One lost datagram would make the copy of a peer so old that it reads the store itself: with a
-   * hundred nodes, more calls came from lost updates than from the followers.
+   * Repeats an update to the peers that haven't confirmed any since. Otherwise a single lost datagram would
+   * make a peer's copy so old that it reads the store itself: with a hundred nodes, lost updates caused
+   * more calls than the followers.
    */
   private sendRepeats(announcedMs: number): void {
-    const missing = this.options.listPeers().filter((peer) => {
+    const unconfirmedPeers = this.options.listPeers().filter((peer) => {
       return (this.confirmedAtMs.get(peer) ?? -Infinity) < announcedMs;
     });
-    this.sendUpdates(missing);
+    this.sendUpdates(unconfirmedPeers);
   }
 
-  /** Peers that have confirmed the same get the same update, encoded once. */
+  /** Sends an update to each peer. Peers that confirmed the same state get the same update, encoded once. */
   private sendUpdates(peers: readonly string[]): void {
     const updates = new Map<string, Update>();
     for (const peer of peers) {
@@ -189,9 +193,9 @@
 
   private recordSent(peer: string): void {
     const nowMs = this.options.clock.getMonotonicTime();
-    const row = this.unconfirmed.get(peer);
-    const isInRow = row !== undefined && nowMs - row.lastMs <= MAX_GAP_MS;
-    const before = isInRow ? row : { sinceMs: nowMs, count: 0 };
+    const previous = this.unconfirmed.get(peer);
+    const isConsecutive = previous !== undefined && nowMs - previous.lastMs <= MAX_GAP_MS;
+    const before = isConsecutive ? previous : { sinceMs: nowMs, count: 0 };
     this.unconfirmed.set(peer, { sinceMs: before.sinceMs, lastMs: nowMs, count: before.count + 1 });
   }
 
@@ -217,7 +221,7 @@
     table: FollowedTable<unknown>,
     known: ISentState | undefined,
   ): FollowedChanges {
-    // A version of another era says nothing of what the peer knows.
+    // A version of another epoch isn't comparable, so it doesn't limit the changes to send.
     const { after, content } = table.listRecent(
       known?.era === table.era ? known.version : undefined,
     );
@@ -225,7 +229,7 @@
     const bytes = encoded.rows.reduce((sum, { value }) => sum + (value?.byteLength ?? 0), 0);
     const ages = encodeAges(table);
     if (bytes <= MAX_ROW_BYTES) return create(FollowedChangesSchema, { ...encoded, ...ages });
-    // Too much for a datagram: who lacks these changes fetches the table.
+    // The changes don't fit into a datagram: peers that lack them fetch the table.
     const version = encoded.version;
     const { era } = table;
     return create(FollowedChangesSchema, {
@@ -246,8 +250,8 @@
     if (table === undefined) return;
     const asOfMs = this.options.clock.getMonotonicTime() - changes.ageMs;
     const { after, content } = decodeChanges(changes);
-    const isOtherKind = content.isRetained !== table.isRetaining && content.era === table.era;
-    if (isOtherKind || !table.apply(after, content, asOfMs)) this.fetch(table, stateAddress);
+    const isIncompatible = content.isRetained !== table.isRetaining && content.era === table.era;
+    if (isIncompatible || !table.apply(after, content, asOfMs)) this.fetch(table, stateAddress);
     if (sentAfter === undefined || changes.proofAgeMs === undefined) return;
     table.recordProof(content, computeEarlier(sentAfter, changes.proofAgeMs));
   }
--- a/packages/dispatch/src/directory/node/directoryService.test.ts
+++ b/packages/dispatch/src/directory/node/directoryService.test.ts
@@ -16,11 +16,11 @@
   incarnation: 1,
 };
 
-/** Counts reads of the whole table; holds reads of changes until they are given up. */
+/** Counts reads; reads of changes stay pending until they are aborted. */
 class CountingTable<T> extends AuthorityTable<T> {
   override readonly malformedRows = 0;
   reads = 0;
-  changesAsked = 0;
+  changeReads = 0;
 
   constructor(private readonly content: ITableChanges<T>) {
     super();
@@ -36,10 +36,10 @@
     _waitMs: number,
     signal: AbortSignal,
   ): Promise<ITableChanges<T>> {
-    this.changesAsked += 1;
+    this.changeReads += 1;
     return new Promise((_, reject) => {
       signal.addEventListener('abort', () => {
-        reject(new StoreCallError(StoreFailure.Reset, 'given up'));
+        reject(new StoreCallError(StoreFailure.Reset, 'aborted'));
       });
     });
   }
@@ -111,7 +111,7 @@
 
 async function countEarlyReads(isFirstStart: boolean): Promise<{ reads: number; hellos: number }> {
   const { authority, channel, clock, directory, service, stop } = startService(isFirstStart);
-  assert.notEqual(makeRank(directory), 0);
+  assert.notEqual(computeRank(directory), 0);
   const running = service.run(stop.signal);
   await clock.advanceBy(100);
   stop.abort();
@@ -120,27 +120,24 @@
   return { reads: authority.catalog.reads + authority.targets.reads, hellos };
 }
 
-/** The test says nothing if this node were the first follower, which always reads. */
-function makeRank(directory: NodeDirectory): number {
+/** The first follower always reads, so the test requires that this node isn't the first. */
+function computeRank(directory: NodeDirectory): number {
   directory.members.setAll(makeMembers(), 0);
   const rank = directory.rankFollowers(SELF.failureDomain).indexOf(SELF.address);
   directory.members.setAll({ version: 0, changes: [] }, 0);
   return rank;
 }
 
-test('a node that starts again reads at once, the nodes of a new fleet ask a follower first', async () => {
-  // Symptom: callers are refused for some 0.2 s after all nodes were restarted. Sequence: every
-  // node asks followers first, which have only just started too. Cause: the wait for their news was
-  // the same at the first start of a fleet, when no caller waits, and at any later one.
+test('a restarted node reads immediately, nodes of a new fleet first send a hello to followers', async () => {
+  // Guards against rejecting callers for some 0.2 s after all nodes restart, because each node waits for
+  // followers that have just started too.
   assert.deepEqual(await countEarlyReads(false), { reads: 2, hellos: 0 });
   assert.deepEqual(await countEarlyReads(true), { reads: 0, hellos: 2 });
 });
 
-test('a node of a new fleet registers once, before it reads who else is there', async () => {
-  // Symptom: the first seconds of 293 nodes cost 1,900 calls to the store in place of 1,100. Sequence:
-  // all read the list of members before anybody is on it, so nobody tells them the news, and they
-  // read every table themselves; a second later they miss themselves in that list and register again.
-  // Cause: the list was read first, and a copy from before the registration was believed.
+test('a node of a new fleet registers once, before it reads the list of members', async () => {
+  // Guards against needless calls to the store. With a list read before anyone registered, nodes have no
+  // follower and read every table themselves; and because they aren't on it, they register again.
   const { authority, clock, service, stop } = startService(true);
   const running = service.run(stop.signal);
   while (authority.registrations === 0) {
@@ -155,10 +152,9 @@
   await running;
 });
 
-test('a node of a new fleet waits longer for the news than one that starts again', async () => {
-  // Symptom: a third of the calls of the first 20 s come from 150 nodes that read three tables once
-  // each. Sequence: the node that would tell them is another one with every node that registers; their
-  // copies get older than they bear. Cause: the limit was that of a fleet whose callers wait.
+test('a node of a new fleet waits longer for updates than a restarted node', async () => {
+  // Guards against many nodes that each read all tables: while the nodes of a new fleet register, followers
+  // change with each registration, and copies get older than usual.
   const countReads = async (isFirstStart: boolean, hasReceivedRequests = false) => {
     const { authority, clock, directory, service, stop } = startService(
       isFirstStart,
@@ -172,20 +168,18 @@
     await clock.advanceBy(2500);
     stop.abort();
     await running;
-    return authority.targets.changesAsked;
+    return authority.targets.changeReads;
   };
   assert.equal(await countReads(true), 0);
   assert.equal(await countReads(false), 1);
-  // Symptom: a leaving target gets bookings 2.1 s after the store accepted it. Sequence: callers come
-  // 1.3 s after the start of a new fleet, and the node that tells theirs the news is cut off. Cause:
-  // it waited as long as if nobody were there; its copy of the targets was 3.7 s old.
+  // Once callers send requests, the usual limit applies. Otherwise a draining target gets requests for more
+  // than 2 s when the follower is partitioned.
   assert.equal(await countReads(true, true), 1);
 });
 
-test('a node that leaves does not register again because it misses itself on the list', async () => {
-  // Symptom: requests ask a home that is stopping, until it is gone. Sequence: a node that was told to
-  // stop takes itself off the list; a second later it looks whether it is still listed. Cause: it took
-  // itself for removed by another node, as after a cut, and registered again.
+test('a node that shuts down does not register again after it removed its registration', async () => {
+  // Guards against grant requests to a stopping home: its check for a registration that another node
+  // removed must not apply to one that it removed itself.
   const { authority, clock, directory, service, stop } = startService(false);
   const running = service.run(stop.signal);
   await clock.advanceBy(100);
@@ -198,8 +192,8 @@
   await running;
 });
 
-test('a node that the store came back without registers again at once, and others stay on its list', async () => {
-  // Guards against a home that nobody asks any more because the store has lost its row.
+test('a node missing from a restored store registers again and keeps its member list', async () => {
+  // Guards against a home that receives no grant requests because the restored store lacks its row.
   const { authority, clock, directory, service, stop } = startService(false);
   const running = service.run(stop.signal);
   await clock.advanceBy(2000);
--- a/packages/dispatch/src/directory/node/directoryService.ts
+++ b/packages/dispatch/src/directory/node/directoryService.ts
@@ -1,4 +1,4 @@
-/** Keeps a node's directory fresh: follows the store or its followers, and registers the node. */
+/** Keeps a node's directory up to date from the store or from followers, and registers the node. */
 import type { Clock, IDisposable, Logger, RandomSource } from '@parsleymux/base';
 import { create } from '@bufbuild/protobuf';
 import type { Update, UpdateReceived } from '@parsleymux/schema';
@@ -16,32 +16,35 @@
 import { fetchTable } from './stateServer.js';
 
 /**
- * Pause between reads of the targets, in ms. Each read is paid for; a target that drains has to be
- * known everywhere within 2 s, of which the take-over from a dead follower needs 1.3 s.
+ * The delay between reads of the targets balances two needs. Reads are billed, but all nodes have to learn of
+ * a draining target within 2 s, of which the takeover from a crashed follower takes 1.3 s.
  */
 const TARGETS_POLLING: IPollTiming = { pauseMs: 850, waitMs: 0 };
-/** The store holds these reads until there is news; the wait bounds how long a dead connection hides it. */
+/** Long polls; the wait bounds how long a dead connection can hide a change. */
 const CATALOG_POLLING: IPollTiming = { pauseMs: 10, waitMs: 1500 };
 const MEMBERS_POLLING: IPollTiming = { pauseMs: 300, waitMs: 10_000 };
-/** A peer that confirmed no update for this long is taken for gone, in ms: five updates. */
+/** A peer that confirmed no update for this long, in ms, is considered crashed; the time of five updates. */
 const SILENT_PEER_MS = 4500;
 /**
- * While the nodes of a new fleet appear on the list, those that tell the others change with each that
- * is added, and copies get older than usual, in ms: no caller waits for the news yet. Half of
- * a large fleet would read all tables for itself in that time.
+ * How long after its start a fleet is considered new, in ms. While its nodes register, each registration may
+ * change the followers, so copies get older than usual.
  */
 const NEW_FLEET_MS = 5000;
+/**
+ * How much older than usual copies may get in a new fleet, in ms; no caller is waiting yet. Without it, half
+ * of a large fleet would read all tables from the store.
+ */
 const NEW_FLEET_EXTRA_AGE_MS = 2500;
 
-/** Followers that a starting node asks: the first, and the one that would take over from it. */
+/** Number of followers from which a starting node requests an update: the first and its successor. */
 const MAX_HELLOS = 2;
-/** A starting node reads for itself after this wait, in ms: two announcements of a follower. */
+/** A starting node reads the store itself after this time, in ms: that of two updates of a follower. */
 const HELLO_WAIT_MS = 1500;
-/** Pause between questions to the seeds of a node that knows nothing, in ms: the store goes first. */
-const SEED_PAUSE_MS = 400;
-/** Part of the lease on keys for which a read of the configuration may be held. */
+/** Interval at which a node without tables sends hellos to the seeds, in ms; it reads the store first. */
+const SEED_REQUEST_INTERVAL_MS = 400;
+/** Longest long poll of the configuration, as a share of the lease on keys. */
 const LONG_POLL_LEASE_SHARE = 0.125;
-/** Once this part of the lease has passed since the last proof, another one is due at once. */
+/** Age of the last freshness proof, as a share of the lease on keys, at which another is due immediately. */
 const URGENT_PROOF_SHARE = 0.5;
 const LEAVING = create(LeavingSchema);
 const HELLO = create(HelloSchema);
@@ -55,18 +58,18 @@
   readonly random: RandomSource;
   readonly log: Logger;
   readonly self: IMember;
-  /** Whether the whole fleet starts for the first time; no caller is waiting then. */
+  /** Whether the whole fleet starts for the first time, so that no caller is waiting. */
   readonly isFirstStart: boolean;
-  /** Datagram addresses of nodes that may be alive. */
+  /** Datagram addresses of nodes that may be running. */
   readonly seeds: readonly string[];
-  /** For how long keys hold without a proof that they are the newest, in ms; undefined: for ever. */
+  /** How long keys are valid without a new freshness proof, in ms; undefined: without limit. */
   readonly keyLeaseMs?: number | undefined;
-  /** Whether a caller, or another node for one, has asked this node for anything. */
+  /** Whether this node has received a request, from a caller or from a node on behalf of one. */
   readonly hasReceivedRequests: () => boolean;
 }
 
 /**
- * Runs all loops of the directory.
+ * Runs all background loops of the directory.
  *
  * @example
  * await new DirectoryService(options).run(signal);
@@ -107,21 +110,21 @@
       if (targets.version === undefined) return this.isFirstReadDue();
       return this.hasToRead(targets.getAgeMs());
     });
-    // While the targets can't be read, asking for more would only add to the calls.
-    const isOpen = () =>
+    // While the targets can't be read, reads of other tables would only add to the calls.
+    const isStoreReadable = () =>
       targets.version === undefined || targets.getAgeMs() < TARGETS_POLLING.pauseMs * 2;
     const catalogPolling = { ...CATALOG_POLLING, getWaitMs: () => this.getCatalogWaitMs() };
     this.catalogFollower = this.createFollower('catalog', catalogPolling, () => {
       if (catalog.version === undefined) return this.isFirstReadDue();
-      return isOpen() && this.hasToRead(catalog.getAgeMs());
+      return isStoreReadable() && this.hasToRead(catalog.getAgeMs());
     });
     this.membersFollower = this.createFollower('members', MEMBERS_POLLING, () => {
       if (members.version === undefined) return this.registration.isFirstListReadDue();
-      return isOpen() && this.hasToRead(members.getAgeMs());
+      return isStoreReadable() && this.hasToRead(members.getAgeMs());
     });
   }
 
-  /** Ends when `signal` aborts. */
+  /** Runs all loops; ends when `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
       this.registration.run(signal),
@@ -132,7 +135,7 @@
     ]);
   }
 
-  /** Whether this node reads the store for its failure domain now, also in place of one that is gone. */
+  /** Whether this node currently reads the store for its failure domain, by rank or after taking over. */
   get isFollower(): boolean {
     return this.role.isFollower();
   }
@@ -150,7 +153,7 @@
     this.relay.handleUpdateReceived(sender, received);
   }
 
-  /** Takes the node off the list, so that nobody asks it any more. */
+  /** Removes this node from the list of members, so that it receives no more requests. */
   async retire(signal: AbortSignal): Promise<void> {
     const { channel, directory, log, self } = this.options;
     for (const { address } of directory.members.listValues()) {
@@ -160,7 +163,9 @@
       await this.registration.retire(signal);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      log.warn('registration not removed; peers will find this node silent', { reason });
+      log.warn('registration not removed; peers will remove it once this node is silent', {
+        reason,
+      });
     }
   }
 
@@ -169,8 +174,9 @@
   }
 
   /**
-   * A read that the store holds proves the copy only as of its start. Where keys are served under a lease,
-   * it is held a small part of that, and not at all while the last proof is old.
+   * How long the store may hold a read of the configuration, in ms. A long poll proves the copy only as of
+   * its start, so with a lease on keys it may take only a small share of the lease, and no time while the
+   * last proof is old.
    */
   private getCatalogWaitMs(): number {
     const { directory, keyLeaseMs } = this.options;
@@ -207,10 +213,10 @@
       getMaxAgeMs: () => this.role.getMaxAgeMs(),
       jitter: (delayMs) => random.getJittered(delayMs, 0.4),
       isFirst: () => this.role.isFirst(),
-      onDidRead: (hasNews) => {
+      onDidRead: (hasChanges) => {
         if (name === 'targets') this.checkEra();
-        // Reads of the targets come often enough to pass on that nothing is new elsewhere.
-        if (hasNews || name === 'targets') this.announce();
+        // Reads of the targets are frequent enough to confirm to peers that the other tables are unchanged.
+        if (hasChanges || name === 'targets') this.announce();
       },
       onDidFail: () => {
         if (name !== 'targets') return;
@@ -221,9 +227,9 @@
   }
 
   /**
-   * When a whole fleet starts for the first time, its nodes take configuration and targets from a
-   * follower if one answers soon: calls to the store are paid for, and all would come at once. A
-   * node that starts later reads at once, for callers may wait for it already.
+   * Whether this node has to read the tables itself for the first time. When a whole fleet starts for the
+   * first time, its nodes prefer the tables of a follower, because calls to the store are billed and all
+   * nodes would call at the same time. A node that starts later reads immediately, as callers may be waiting.
    */
   private isFirstReadDue(): boolean {
     const { channel, clock, directory, isFirstStart, self } = this.options;
@@ -245,8 +251,8 @@
   }
 
   /**
-   * How much older than usual a copy may get before this node reads for itself, in ms. None once it is
-   * asked for anything: a target that leaves would be given requests until the news of it comes.
+   * How much older than usual a copy may get before this node reads the store itself, in ms. Zero once the
+   * node has received a request: with an outdated copy, it would send requests to draining targets.
    */
   private getExtraAgeMs(): number {
     const { clock, hasReceivedRequests, isFirstStart } = this.options;
@@ -258,14 +264,14 @@
     if (!this.role.isFollower()) return;
     const { clock, directory } = this.options;
     const nowMs = clock.getMonotonicTime();
-    // The store holds these reads until something changes; while it answers others, silence is news.
+    // While other reads succeed, a pending long poll shows that its table is unchanged.
     if (this.catalogFollower.isLongPollPending()) directory.catalog.freshMs = nowMs;
     if (this.membersFollower.isLongPollPending()) directory.members.freshMs = nowMs;
     this.relay.announce();
     this.removeSilentPeers();
   }
 
-  /** The store came back from an older copy: what it holds back may be reads of its former versions. */
+  /** Cancels pending reads of tables that are still of a former epoch: they may wait for a former version. */
   private checkEra(): void {
     const { catalog, members, targets } = this.options.directory;
     const isOlder = ({ era, version }: FollowedTable<unknown>) => {
@@ -276,9 +282,9 @@
   }
 
   private removeSilentPeers(): void {
-    // Those that are gone are named again by a store that came back from an older copy.
-    const returned = this.options.directory.members.listWithheld();
-    for (const peer of [...this.relay.listSilent(SILENT_PEER_MS), ...returned]) {
+    // A store restored from an older copy lists members again that were removed before.
+    const restored = this.options.directory.members.listWithheld();
+    for (const peer of [...this.relay.listSilent(SILENT_PEER_MS), ...restored]) {
       if (this.removing.has(peer)) continue;
       this.removing.add(peer);
       void this.removePeer(peer).finally(() => this.removing.delete(peer));
@@ -287,7 +293,7 @@
 
   private async removePeer(peer: string): Promise<void> {
     const { authority, log } = this.options;
-    log.warn('peer is gone; removing its registration', { peer, limitMs: SILENT_PEER_MS });
+    log.warn('peer is silent; removing its registration', { peer, limitMs: SILENT_PEER_MS });
     try {
       await authority.removeMember(peer, AbortSignal.timeout(SILENT_PEER_MS));
     } catch (error) {
@@ -296,11 +302,11 @@
     }
   }
 
-  /** The store may refuse this node while it serves others: then the seeds can tell what they know. */
+  /** Requests updates from the seeds until the tables are known: the store may reject only this node. */
   private async requestFromSeeds(signal: AbortSignal): Promise<void> {
     const { channel, clock, directory, seeds, self } = this.options;
     while (!signal.aborted) {
-      await clock.sleep(SEED_PAUSE_MS, signal).catch(() => undefined);
+      await clock.sleep(SEED_REQUEST_INTERVAL_MS, signal).catch(() => undefined);
       const isKnown = directory.catalog.version !== undefined;
       if (isKnown && directory.members.version !== undefined) return;
       for (const seed of seeds) {
--- a/packages/dispatch/src/directory/node/keyLease.test.ts
+++ b/packages/dispatch/src/directory/node/keyLease.test.ts
@@ -6,14 +6,14 @@
 
 const NODES = 24;
 
-async function play(seed: number, way: ProofWay) {
+async function runFleet(seed: number, way: ProofWay) {
   return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, way }).run();
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`no ended key is served later than the lease, and others are all along: seed ${seed}`, async () => {
-    // Guards against: nodes that the store turns away serve withdrawn keys, or refuse every key.
-    const figures = await play(seed, 'followers');
+  test(`no revoked key is accepted beyond the lease, and others always are: seed ${seed}`, async () => {
+    // Guards against nodes that accept revoked keys, or reject all keys, while the store rejects their reads.
+    const figures = await runFleet(seed, 'followers');
     assert.equal(figures.servedTooLate, 0);
     assert.ok(
       figures.withoutServiceS < NODES * 0.1,
@@ -23,8 +23,8 @@
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`no ended key is served later than the lease by a store that comes back older: seed ${seed}`, async () => {
-    // Guards against a key that has ended and holds again by a fresh read of an older list.
+  test(`no revoked key is accepted beyond the lease after a restore of the store: seed ${seed}`, async () => {
+    // Guards against accepting a revoked key after a fresh read of a list restored from an older copy.
     const fleet = new LeaseFleet({
       clock: new ManualClock(),
       seed,
--- a/packages/dispatch/src/directory/node/stateServer.test.ts
+++ b/packages/dispatch/src/directory/node/stateServer.test.ts
@@ -5,7 +5,7 @@
 import { FollowedTable } from '../common/followedTable.js';
 import { createStateServer, fetchTable } from './stateServer.js';
 
-test('a table that is encoded once for all peers still tells each how old it is', async () => {
+test('a table that is encoded once for all peers is sent to each with its current age', async () => {
   const clock = new ManualClock();
   const table = new FollowedTable<string>({ name: 't', clock, isSame: (a, b) => a === b });
   table.setAll({ version: 7, changes: [{ key: 'a', value: 'ready' }] }, 0);
--- a/packages/dispatch/src/directory/node/stateServer.ts
+++ b/packages/dispatch/src/directory/node/stateServer.ts
@@ -1,4 +1,4 @@
-/** Serves whole tables to peers that lack too much for a datagram, and fetches them. */
+/** Serves whole tables to peers that lack more changes than fit into a datagram, and fetches them. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
@@ -12,8 +12,8 @@
 
 const TABLE_PREFIX = '/tables/';
 /**
- * Longest wait for a peer, in ms. When a fleet starts, sixty nodes fetch tables of 70 KB from one: that
- * is 1.7 s of a link of 20 Mbit/s. Given up sooner and begun anew, most of them would fail.
+ * Timeout of a fetch, in ms. When a fleet starts, sixty nodes fetch tables of 70 KB from one node, which
+ * takes 1.7 s on a link of 20 Mbit/s. With a shorter timeout and retries, most fetches would fail.
  */
 const FETCH_TIMEOUT_MS = 2000;
 const OK = 200;
@@ -26,11 +26,11 @@
   readonly bytes: Uint8Array;
 }
 
-/** Answers requests for other things than tables; false if it knows nothing of the path. */
+/** Handles requests for other paths than tables; returns false, without a response, for an unknown path. */
 export type FallbackHandler = (incoming: IncomingMessage, response: ServerResponse) => boolean;
 
 /**
- * A server for this node's tables.
+ * Creates an HTTP server for this node's tables.
  *
  * @example
  * const server = createStateServer([directory.catalog, directory.targets]);
@@ -51,13 +51,13 @@
     const ages = create(FollowedChangesSchema, encodeAges(table));
     const age = toBinary(FollowedChangesSchema, ages);
     response.writeHead(OK);
-    // Messages one behind the other are read as one, with the fields of both.
+    // Concatenated protobuf messages are parsed as one message with the fields of both.
     response.write(encodeRows(table, encoded));
     response.end(age);
   });
 }
 
-/** All rows of a table, encoded once for all peers that ask for the same version. */
+/** Encodes all rows of a table, once for all peers that request the same version. */
 function encodeRows(
   table: FollowedTable<unknown>,
   encoded: Map<string, IEncodedTable>,
@@ -77,7 +77,7 @@
 }
 
 /**
- * Replaces a table by the copy of a peer. Rejects when the peer does not answer in time.
+ * Replaces the content of a table by the copy of a peer. Rejects if the peer doesn't respond in time.
  *
  * @example
  * await fetchTable(directory.catalog, '10.1.0.4:7201', clock);
@@ -92,7 +92,7 @@
     signal: AbortSignal.timeout(FETCH_TIMEOUT_MS),
   });
   const bytes = await body.bytes();
-  if (statusCode !== OK) throw new VError('peer answered %d', statusCode);
+  if (statusCode !== OK) throw new VError('peer responded with status %d', statusCode);
   const message = fromBinary(FollowedChangesSchema, bytes);
   const { content } = decodeChanges(message);
   table.setAll(content, clock.getMonotonicTime() - message.ageMs);
--- a/packages/dispatch/src/quarantine/common/crashHistory.ts
+++ b/packages/dispatch/src/quarantine/common/crashHistory.ts
@@ -14,7 +14,7 @@
 const HOLD_FACTOR = 10;
 const MAX_HOLD_MS = 6_000_000;
 
-/** The loss of one target while it was running the request. */
+/** The loss of one target: its connection closed while it was running the request. */
 export interface ICrash {
   /** The target and its incarnation, see `formatIncarnation`. */
   readonly target: string;
--- a/packages/dispatch/src/quarantine/common/quarantineGossip.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineGossip.ts
@@ -8,7 +8,7 @@
 import { decodeRecord, encodeRecord } from './quarantineMessages.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
-/** How often a node that knows of quarantined requests sends them to some peers, in ms. */
+/** How often a node that tracks quarantined requests sends them to some peers, in ms. */
 const GOSSIP_INTERVAL_MS = 1000;
 /** Number of peers per round: each node receives two messages a second on average, at any fleet size. */
 const GOSSIP_FANOUT = 2;
@@ -28,7 +28,7 @@
 /**
  * A request that crashes targets may be repeated at any node and scheduled by any home. So the node that
  * observes a change immediately sends it to all others. Because datagrams get lost and nodes start later,
- * each node that knows of quarantined requests also keeps sending them to randomly chosen peers.
+ * each node that tracks quarantined requests also keeps sending them to randomly chosen peers.
  *
  * @example
  * gossip.handleQuarantine(message);
