--- a/packages/dispatch/src/directory/common/echoTokens.ts
+++ b/packages/dispatch/src/directory/common/echoTokens.ts
@@ -24,7 +24,7 @@
  * const sentAfter = tokens.find(message.echo);
  */
 export class EchoTokens {
-  private readonly creationTimes = new Map<bigint, IInstant>();
+  private readonly createdAt = new Map<bigint, IInstant>();
   private last: bigint;
 
   constructor(private readonly options: IEchoTokensOptions) {
@@ -34,15 +34,14 @@
   /** Creates a token and records the current time. */
   create(): bigint {
     this.last += 1n;
-    this.creationTimes.set(this.last, readInstant(this.options.clock));
-    const [oldest] = this.creationTimes.keys();
-    if (this.creationTimes.size > MAX_TOKENS && oldest !== undefined)
-      this.creationTimes.delete(oldest);
+    this.createdAt.set(this.last, readInstant(this.options.clock));
+    const [oldest] = this.createdAt.keys();
+    if (this.createdAt.size > MAX_TOKENS && oldest !== undefined) this.createdAt.delete(oldest);
     return this.last;
   }
 
   /** Returns when a token was created; undefined if it is unknown or too old. */
   find(token: bigint): IInstant | undefined {
-    return this.creationTimes.get(token);
+    return this.createdAt.get(token);
   }
 }
--- a/packages/dispatch/src/directory/common/updateRelay.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.ts
@@ -15,7 +15,7 @@
  */
 const MAX_ROW_BYTES = 8000;
 /** Most updates tracked for a confirmation: those of about ten seconds. */
-const MAX_TRACKED_UPDATES = 256;
+const MAX_SENT = 256;
 
 /**
  * An update that a peer has not confirmed after this time, in ms, is repeated. This is several round trips
@@ -31,7 +31,7 @@
 /** If more than this share of the peers is silent, the network path of this node is considered at fault. */
 const MAX_SILENT_SHARE = 0.5;
 
-/** State of a table that an update was sent for. */
+/** State of a table in a sent update. */
 interface ISentState {
   readonly era: number;
   readonly version: number;
@@ -213,8 +213,7 @@
   private recordSentVersions(versions: TableVersions): void {
     this.sentVersions.set(this.sequence, versions);
     const [oldest] = this.sentVersions.keys();
-    if (this.sentVersions.size > MAX_TRACKED_UPDATES && oldest !== undefined)
-      this.sentVersions.delete(oldest);
+    if (this.sentVersions.size > MAX_SENT && oldest !== undefined) this.sentVersions.delete(oldest);
   }
 
   private encodeTable(
--- a/packages/dispatch/src/directory/node/directoryService.ts
+++ b/packages/dispatch/src/directory/node/directoryService.ts
@@ -16,8 +16,8 @@
 import { fetchTable } from './stateServer.js';
 
 /**
- * The delay between reads of the targets balances two needs. Reads are billed, but all nodes have to learn of
- * a draining target within 2 s, of which the takeover from a crashed follower takes 1.3 s.
+ * Reads are billed, so targets are read no more often than needed: all nodes have to receive the drain of a
+ * target within 2 s, of which the takeover from a crashed follower takes 1.3 s.
  */
 const TARGETS_POLLING: IPollTiming = { pauseMs: 850, waitMs: 0 };
 /** Long polls; the wait bounds how long a dead connection can hide a change. */
@@ -227,9 +227,9 @@
   }
 
   /**
-   * Whether this node has to read the tables itself for the first time. When a whole fleet starts for the
-   * first time, its nodes prefer the tables of a follower, because calls to the store are billed and all
-   * nodes would call at the same time. A node that starts later reads immediately, as callers may be waiting.
+   * Whether this node has to make its first read of the tables now. When a whole fleet starts for the first
+   * time, its nodes wait for the tables of a follower, because calls to the store are billed and all nodes
+   * would call at the same time. A node that starts later reads immediately, as callers may be waiting.
    */
   private isFirstReadDue(): boolean {
     const { channel, clock, directory, isFirstStart, self } = this.options;
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -43,7 +43,7 @@
   private readonly decisionListener: IDisposable;
   private readonly expiryListener: IDisposable;
   private readonly restoreListener: IDisposable | undefined;
-  private readonly pendingWrites = new Map<string, ICrashHistoryRecord>();
+  private readonly pending = new Map<string, ICrashHistoryRecord>();
   private readonly background = new AbortController();
   private timer: IDisposable | undefined;
   private isCalling = false;
@@ -93,7 +93,7 @@
     this.isCalling = false;
     if (signal.aborted) return;
     if (!isDone) this.startTimer(RETRY_DELAY_MS);
-    else if (this.pendingWrites.size > 0) this.startTimer(0);
+    else if (this.pending.size > 0) this.startTimer(0);
     else if (this.isReadDue()) this.startTimer(READER_CHECK_INTERVAL_MS);
   }
 
@@ -118,11 +118,11 @@
   }
 
   private addPendingWrite(record: ICrashHistoryRecord): void {
-    this.pendingWrites.delete(record.fingerprint);
-    this.pendingWrites.set(record.fingerprint, record);
-    const [oldest] = this.pendingWrites.keys();
-    if (this.pendingWrites.size <= MAX_PENDING_WRITES || oldest === undefined) return;
-    this.pendingWrites.delete(oldest);
+    this.pending.delete(record.fingerprint);
+    this.pending.set(record.fingerprint, record);
+    const [oldest] = this.pending.keys();
+    if (this.pending.size <= MAX_PENDING_WRITES || oldest === undefined) return;
+    this.pending.delete(oldest);
     this.options.log.warn('too many pending writes; quarantine decision is not stored', {
       fingerprint: oldest,
     });
@@ -130,7 +130,7 @@
 
   /** Reads all records if that is due. Returns false if the call failed. */
   private async read(signal: AbortSignal): Promise<boolean> {
-    const { isReader, log, gossip, store } = this.options;
+    const { gossip, isReader, log, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
     return this.tryCall('held requests not read', signal, async () => {
       const records = await store.readAll(signal);
@@ -142,15 +142,14 @@
 
   private async writeNext(signal: AbortSignal): Promise<boolean> {
     const { store } = this.options;
-    const [next] = this.pendingWrites.values();
+    const [next] = this.pending.values();
     if (next === undefined) return true;
     const { crashes, fingerprint } = next;
     const isWritten = await this.tryCall('verdict not kept yet', signal, () => {
       return crashes.length > 0 ? store.put(next, signal) : store.remove(fingerprint, signal);
     });
     // A newer record of the same request, added during the call, is written next.
-    if (isWritten && this.pendingWrites.get(fingerprint) === next)
-      this.pendingWrites.delete(fingerprint);
+    if (isWritten && this.pending.get(fingerprint) === next) this.pending.delete(fingerprint);
     return isWritten;
   }
 
@@ -166,7 +165,7 @@
       if (signal.aborted) return false;
       const failure = error instanceof StoreCallError ? error.failure : 'internal error';
       const reason = error instanceof Error ? error.message : String(error);
-      this.options.log.warn(message, { failure, reason, waiting: this.pendingWrites.size });
+      this.options.log.warn(message, { failure, reason, waiting: this.pending.size });
       return false;
     }
   }
--- a/packages/dispatch/src/quarantine/common/requestQuarantine.ts
+++ b/packages/dispatch/src/quarantine/common/requestQuarantine.ts
@@ -11,7 +11,7 @@
 const RETENTION_MS = 600_000;
 /** A quarantined request is no longer tracked this long after its last crash, in ms. */
 const QUARANTINED_RETENTION_MS = 86_400_000;
-/** Other nodes are notified from this many crashes on, because a request causes few of all crashes. */
+/** Other nodes are notified of a request from its second crash on: requests don't cause most crashes. */
 const CRASHES_TO_SHARE = 2;
 
 /** One attempt of a request at one target. */
@@ -58,7 +58,7 @@
   readonly onDidChange: Event<ICrashHistoryRecord> = this.changed.onDidFire;
   /** Fires when a local observation changes a quarantine decision, which then has to be persisted. */
   readonly onDidChangeDecision: Event<ICrashHistoryRecord> = this.decisionChanged.onDidFire;
-  /** Fires with the fingerprint of a quarantined request that expired because it wasn't repeated. */
+  /** Fires with the fingerprint of a quarantined request that expired, as it crashed no target for long. */
   readonly onDidExpire: Event<string> = this.expired.onDidFire;
 
   constructor(private readonly options: IRequestQuarantineOptions) {}
@@ -78,8 +78,7 @@
 
   /** Records that the connection of an attempt was lost before the response was complete. */
   recordConnectionLoss(attempt: IAttempt): void {
-    for (const fingerprint of attempt.fingerprints)
-      this.recordConnectionLossOf(fingerprint, attempt);
+    for (const fingerprint of attempt.fingerprints) this.recordLoss(fingerprint, attempt);
   }
 
   /** Records that a target completed the request, which releases it. */
@@ -183,7 +182,7 @@
     this.announce(history, true);
   }
 
-  private recordConnectionLossOf(fingerprint: string, attempt: IAttempt): void {
+  private recordLoss(fingerprint: string, attempt: IAttempt): void {
     const { grantedMs, requestId, target } = attempt;
     const history = this.histories.get(fingerprint) ?? this.addHistory(fingerprint);
     const wasQuarantined = history.isQuarantined;
@@ -220,8 +219,7 @@
     const before = history.listTargets();
     const result = apply();
     const after = history.listTargets();
-    for (const target of before)
-      if (!after.includes(target)) this.removeFingerprint(target, history);
+    for (const target of before) if (!after.includes(target)) this.removeTarget(target, history);
     for (const target of after) {
       const fingerprints = this.fingerprintsByTarget.get(target) ?? new Set();
       this.fingerprintsByTarget.set(target, fingerprints.add(history.fingerprint));
@@ -229,7 +227,7 @@
     return result;
   }
 
-  private removeFingerprint(target: string, { fingerprint }: CrashHistory): void {
+  private removeTarget(target: string, { fingerprint }: CrashHistory): void {
     const fingerprints = this.fingerprintsByTarget.get(target);
     fingerprints?.delete(fingerprint);
     if (fingerprints?.size === 0) this.fingerprintsByTarget.delete(target);
@@ -274,6 +272,6 @@
 
   private remove(history: CrashHistory): void {
     this.histories.delete(history.fingerprint);
-    for (const target of history.listTargets()) this.removeFingerprint(target, history);
+    for (const target of history.listTargets()) this.removeTarget(target, history);
   }
 }
