--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -130,7 +130,7 @@
 
   /** Reads all records if that is due. Returns false if the call failed. */
   private async read(signal: AbortSignal): Promise<boolean> {
-    const { gossip, isReader, log, store } = this.options;
+    const { isReader, log, gossip, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
     return this.tryCall('held requests not read', signal, async () => {
       const records = await store.readAll(signal);
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -8,7 +8,7 @@
   ITargetRecord,
 } from '@parsleymux/dispatch';
 import {
-  BeliefSharing,
+  HealthSharing,
   QuarantinePersister,
   DEFAULT_TENANT_BOUNDS,
   GrantServer,
@@ -52,7 +52,7 @@
   readonly runner: RequestRunner;
   readonly transport: ModelledTransport;
   private readonly homes: HomeService;
-  private readonly beliefs: BeliefSharing;
+  private readonly beliefs: HealthSharing;
   private readonly retries: RetrySharing;
   private readonly quarantine: QuarantineGossip;
   private readonly keeper: QuarantinePersister;
@@ -96,7 +96,7 @@
       findTarget,
     });
     const server = new GrantServer({ channel, homes, clock });
-    const beliefs = new BeliefSharing({ channel, homes, clock, rankHomes });
+    const beliefs = new HealthSharing({ channel, homes, clock, rankHomes });
     const retries = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
     const sharing = new QuarantineGossip({
       channel,
