--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -24,9 +24,9 @@
 import { HealthSharing } from '../../grants/common/healthSharing.js';
 import { RetrySharing } from '../../grants/common/retrySharing.js';
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
-import { CaseKeeper } from '../../quarantine/common/caseKeeper.js';
-import type { CaseStore } from '../../quarantine/common/caseStore.js';
-import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
+import { QuarantinePersister } from '../../quarantine/common/quarantinePersister.js';
+import type { QuarantineStore } from '../../quarantine/common/quarantineStore.js';
+import { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
 import type { IServiceBounds } from '../../home/common/serviceScheduler.js';
@@ -154,7 +154,7 @@
     );
     this.retrySharing = retries;
     const quarantine = this.store.add(
-      new QuarantineSharing({
+      new QuarantineGossip({
         channel,
         clock,
         random,
@@ -252,7 +252,7 @@
     return new CaseKeeper({
       clock,
       log,
-      sharing,
+      gossip: sharing,
       quarantine: this.quarantine,
       store: quarantineStore,
       isReader: () => service.isFollower,
--- a/packages/dispatch/src/app/node/heldRequests.ts
+++ b/packages/dispatch/src/app/node/heldRequests.ts
@@ -15,7 +15,7 @@
     help: 'Requests that are quarantined or on trial because targets crashed while running them.',
     registers: [registry],
     collect() {
-      this.set(quarantine.listConvicted().length);
+      this.set(quarantine.listQuarantined().length);
     },
   });
 }
--- a/packages/dispatch/src/directory/common/storeFollower.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.ts
@@ -1,26 +1,26 @@
-/** Reads the authority's tables while this node is a follower, or while nobody tells it the news. */
+/** Reads a table of the authority while this node is a follower or receives no updates from peers. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { JoinedSignal } from '@parsleymux/base';
 import type { AuthorityTable, ITableChanges } from './authority.js';
 import { StoreCallError, StoreFailure } from './authority.js';
 import type { FollowedTable } from './followedTable.js';
 
-/** When this node looks again whether it has to read, in ms, once its copy is old enough for that. */
+/** How often a node checks whether it has to read, in ms, once its copy is old enough. */
 const IDLE_CHECK_MS = 150;
-/** The same while the table was never read, in ms: the node can't serve before. */
-const FIRST_CHECK_MS = 20;
-/** Wait after a failed read by the first followers, in ms: short, for all nodes wait for them. */
+/** The same before the table was first read, in ms: until then, the node can't serve requests. */
+const FIRST_READ_CHECK_MS = 20;
+/** Delay after a failed read by the first follower, in ms; short, because the other nodes depend on it. */
 const FOLLOWER_RETRY_MS = 400;
-/** Wait after a failed read by any other node, in ms; spread, so that a store is not stormed. */
+/** Delay after a failed read by any other node, in ms; jittered, so that they don't overload the store. */
 const OTHER_RETRY_MS = 1500;
 
-/** How a table is read. */
-export interface IFollowPace {
-  /** Pause between two reads, in ms. */
+/** How often a table is read, and how long the store may hold each read. */
+export interface IPollTiming {
+  /** Delay between two reads, in ms. */
   readonly pauseMs: number;
-  /** How long the store may hold a read until something changes, in ms. */
+  /** How long the store may hold a read until the table changes (long poll), in ms. */
   readonly waitMs: number;
-  /** In place of {@link waitMs} when it is called for, at each read. */
+  /** If set, called for each read in place of {@link waitMs}. */
   readonly getWaitMs?: () => number;
 }
 
@@ -28,65 +28,65 @@
 export interface IStoreFollowerOptions<T> {
   readonly table: FollowedTable<T>;
   readonly source: AuthorityTable<T>;
-  readonly pace: IFollowPace;
+  readonly pollTiming: IPollTiming;
   readonly clock: Clock;
   readonly log: Logger;
   readonly jitter: (delayMs: number) => number;
-  /** Whether the table has to be read by this node now. */
+  /** Whether this node has to read the table now. */
   readonly hasToRead: () => boolean;
-  /** Age of the copy up to which the table needn't be read by this node, in ms. */
-  readonly getMostAgeMs: () => number;
-  /** Whether this node is among the first to read. */
+  /** Age of the copy up to which this node doesn't have to read the table, in ms. */
+  readonly getMaxAgeMs: () => number;
+  /** Whether this node is the first follower. */
   readonly isFirst: () => boolean;
-  /** Called after every successful read; `hasNews` if it brought a change. */
-  readonly onDidRead: (hasNews: boolean) => void;
+  /** Called after every successful read; `hasChanges` if it returned changes. */
+  readonly onDidRead: (hasChanges: boolean) => void;
   /** Called after every failed read. */
   readonly onDidFail?: () => void;
 }
 
 /**
- * One loop for one table.
+ * Runs the read loop of one table.
  *
  * @example
- * await new StoreFollower({ table, source, pace, ... }).run(signal);
+ * await new StoreFollower({ table, source, pollTiming, ... }).run(signal);
  */
 export class StoreFollower<T> {
   private isStoreLost = false;
   private readStartMs: number | undefined;
-  /** How long the store may hold the read that is under way, in ms. */
-  private heldMs = 0;
+  /** How long the store may hold the pending read, in ms. */
+  private longPollMs = 0;
   private cancelled = new AbortController();
-  /** Reads that failed, by kind, and that went well. */
+  /** Number of successful reads, and of failed reads by kind of failure. */
   readonly counts = { succeeded: 0, failed: new Map<StoreFailure, number>() };
 
   constructor(private readonly options: IStoreFollowerOptions<T>) {}
 
   /** Ends when `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, hasToRead, pace } = this.options;
+    const { clock, hasToRead, pollTiming } = this.options;
     while (!signal.aborted) {
       if (!hasToRead()) {
         await clock.sleep(this.getIdleMs(), signal).catch(() => undefined);
         continue;
       }
       const isRead = await this.read(signal);
-      const delayMs = isRead ? pace.pauseMs : this.getRetryMs();
+      const delayMs = isRead ? pollTiming.pauseMs : this.getRetryMs();
       await clock.sleep(delayMs, signal).catch(() => undefined);
     }
   }
 
-  /** A read that the store holds has shown no change since it began. */
-  isWaitingQuietly(): boolean {
+  /** Whether a long poll is pending within its wait time, so that nothing has changed since it began. */
+  isLongPollPending(): boolean {
     if (this.readStartMs === undefined) return false;
-    return this.options.clock.getMonotonicTime() - this.readStartMs <= this.heldMs;
+    return this.options.clock.getMonotonicTime() - this.readStartMs <= this.longPollMs;
   }
 
   /**
-   * Gives up the read that the store may be holding; the next one follows at once. After a cut the
-   * question or its answer may be lost, and the read would look quiet while everything changes.
+   * Cancels a pending read; the next one follows immediately. After a network partition, the request or its
+   * response may be lost, and the pending read would wrongly indicate that nothing changes.
    */
   cancelRead(): void {
-    this.cancelled.abort(new Error('the way to the store was cut'));
+    this.cancelled.abort(new Error('read cancelled; its connection to the store may be lost'));
   }
 
   private async read(signal: AbortSignal): Promise<boolean> {
@@ -116,17 +116,17 @@
   }
 
   private async readOnce(startMs: number, signal: AbortSignal): Promise<ITableChanges<T>> {
-    const { clock, pace, source, table } = this.options;
+    const { clock, pollTiming, source, table } = this.options;
     const after = table.version;
-    if (after === undefined) return this.takeAll(await source.readAll(signal), startMs);
+    if (after === undefined) return this.applyAll(await source.readAll(signal), startMs);
     try {
-      this.heldMs = pace.getWaitMs?.() ?? pace.waitMs;
-      const content = await source.readChanges(after, this.heldMs, signal);
-      // A held read is answered at the change or when the wait is over: it is as of its end.
-      const readMs = this.heldMs > 0 ? clock.getMonotonicTime() : startMs;
-      // Versions of another era were given out again: what is new after them is not known.
+      this.longPollMs = pollTiming.getWaitMs?.() ?? pollTiming.waitMs;
+      const content = await source.readChanges(after, this.longPollMs, signal);
+      // The store responds to a long poll at a change or at the end of the wait, so it is as of its end.
+      const readMs = this.longPollMs > 0 ? clock.getMonotonicTime() : startMs;
+      // Versions of different epochs aren't comparable, so the whole table has to be read.
       if ((content.era ?? 0) > table.era) return await this.readRestored(content, signal);
-      // Rows that can't be understood are read again: the version behind them would hide them.
+      // The version isn't advanced past malformed rows, so that they are read again.
       if (content.isPartial === true) table.freshMs = readMs;
       else table.apply(after, content, readMs);
       return content;
@@ -134,13 +134,13 @@
       const isLost = error instanceof StoreCallError && error.failure === StoreFailure.HistoryLost;
       if (!isLost) throw error;
       const content = await source.readAll(signal);
-      this.options.log.warn('history of a table is lost; read it whole', {
+      this.options.log.warn('change history of a table was lost; read the whole table', {
         table: table.name,
         version: after,
         readEra: content.era ?? 0,
         readVersion: content.version,
       });
-      return this.takeAll(content, clock.getMonotonicTime());
+      return this.applyAll(content, clock.getMonotonicTime());
     }
   }
 
@@ -149,30 +149,31 @@
     signal: AbortSignal,
   ): Promise<ITableChanges<T>> {
     const { clock, log, source, table } = this.options;
-    const { era: before, version: versionBefore } = table;
+    const { era: eraBefore, version: versionBefore } = table;
     log.warn('store came back from an older copy; reading the table whole', {
       table: table.name,
       era: era ?? 0,
       version,
-      eraBefore: before,
+      eraBefore,
       versionBefore,
     });
     const startMs = clock.getMonotonicTime();
-    return this.takeAll(await source.readAll(signal), startMs);
+    return this.applyAll(await source.readAll(signal), startMs);
   }
 
-  private takeAll(content: ITableChanges<T>, readMs: number): ITableChanges<T> {
+  private applyAll(content: ITableChanges<T>, readMs: number): ITableChanges<T> {
     if (content.isPartial !== true) this.options.table.setAll(content, readMs);
     return content;
   }
 
   /**
-   * A node that is told the news has nothing to look for before its copy is too old: looking every
-   * 150 ms for each of three tables, it woke 20 times a second where 4 do.
+   * How long the loop sleeps while no read is due, in ms: until the copy may be too old, if that is later
+   * than the next check. Checking every 150 ms, the loops of three tables would wake an idle node 20 times
+   * a second in place of 4.
    */
   private getIdleMs(): number {
-    const { getMostAgeMs, table } = this.options;
-    if (table.version === undefined) return FIRST_CHECK_MS;
+    const { getMaxAgeMs: getMostAgeMs, table } = this.options;
+    if (table.version === undefined) return FIRST_READ_CHECK_MS;
     return Math.max(IDLE_CHECK_MS, getMostAgeMs() - table.getAgeMs() + 1);
   }
 
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@parsleymux/base';
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import { GrantOutcome, hasCompleteResponse } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { ResponseCheck, IAttemptResult } from './attemptOutcome.js';
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -3,7 +3,7 @@
 import type { ITargetResponse } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import type { IAdvertisedLimit } from '../../grants/common/grant.js';
 import { parseRetryAfterMs } from './retryAfter.js';
 
@@ -60,7 +60,7 @@
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
     const limits = targets.flatMap((target) => {
-      const limit = this.notices.get(formatLife(target))?.limit;
+      const limit = this.notices.get(formatIncarnation(target))?.limit;
       if (limit === undefined) return [];
       const { bornMs, id: targetId } = target;
       return { targetId, bornMs, ratePerS: limit.ratePerS, ageMs: nowMs - limit.atMs };
@@ -71,7 +71,7 @@
   /** Whether the target must not receive requests now. */
   isExcluded(target: ITargetRecord): boolean {
     if (this.notices.size === 0) return false;
-    const notice = this.notices.get(formatLife(target));
+    const notice = this.notices.get(formatIncarnation(target));
     if (notice === undefined) return false;
     return notice.isDraining || this.clock.getMonotonicTime() < notice.waitUntilMs;
   }
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -170,12 +170,12 @@
     this.ownFollower = new StoreFollower({
       table: this.directory.catalog,
       source: new CatalogSource({ source: authority.catalog, directory: this.directory, clock }),
-      pace: { pauseMs: 10, waitMs: 625 },
+      pollTiming: { pauseMs: 10, waitMs: 625 },
       clock,
       log,
       jitter: (delayMs) => random.getJittered(delayMs, 0.4),
       hasToRead: () => true,
-      getMostAgeMs: () => 0,
+      getMaxAgeMs: () => 0,
       isFirst: () => false,
       onDidRead: () => undefined,
     });
