--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -11,7 +11,7 @@
 /** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
   readonly healthSharing: HealthSharing;
-  readonly quarantine: QuarantineSharing;
+  readonly quarantine: QuarantineGossip;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
   readonly selector: HomeSelector;
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -69,7 +69,7 @@
 export interface IDirectNodeOptions {
   readonly settings: IDirectNodeSettings;
   readonly authority: Authority;
-  readonly quarantineStore: CaseStore;
+  readonly quarantineStore: QuarantineStore;
   readonly protocol: IDeploymentProtocol;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -177,7 +177,7 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () =>
+      hasReceivedRequests: () =>
         this.front?.connections.hasAcceptedConnection === true || homes.listSchedulers().length > 0,
     });
     this.directoryService = this.store.add(service);
@@ -245,11 +245,11 @@
   }
 
   private createQuarantinePersister(
-    sharing: QuarantineSharing,
+    sharing: QuarantineGossip,
     service: DirectoryService,
-  ): CaseKeeper {
+  ): QuarantinePersister {
     const { quarantineStore, clock, log, settings } = this.options;
-    return new CaseKeeper({
+    return new QuarantinePersister({
       clock,
       log,
       gossip: sharing,
--- a/packages/dispatch/src/directory/node/keyLease.test.ts
+++ b/packages/dispatch/src/directory/node/keyLease.test.ts
@@ -6,7 +6,7 @@
 
 const NODES = 24;
 
-async function play(seed: number, proofMode: ProofMode) {
+async function runFleet(seed: number, proofMode: ProofMode) {
   return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, proofMode }).run();
 }
 
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -64,7 +64,7 @@
         {
           target: target.address,
           // Connections to an earlier incarnation are dead or hang, so each incarnation has its own.
-          member: formatLife(target),
+          member: formatIncarnation(target),
           method: request.method,
           path: request.path,
           headers: [...request.headers, ...listTargetHeaders(target.id)],
--- a/packages/dispatch/src/entry/common/pathHealth.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.ts
@@ -46,7 +46,7 @@
     const oldestMs = nowMs - MAX_PAUSE_MS;
     for (const [id, { target, untilMs }] of this.unreachable) {
       const current = this.findTarget(id);
-      const hasRestarted = current !== undefined && !isSameLife(target, current);
+      const hasRestarted = current !== undefined && !isSameIncarnation(target, current);
       if (untilMs < oldestMs || hasRestarted) this.unreachable.delete(id);
     }
     return [...this.unreachable].filter(([, { untilMs }]) => nowMs < untilMs).map(([id]) => id);
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -40,10 +40,10 @@
   record(target: ITargetRecord, response: ITargetResponse): void {
     const waitMs = response.notRun ? this.getWaitMs(response) : undefined;
     const { draining, rateLimit: ratePerS } = response;
-    const existing = this.notices.get(formatLife(target));
+    const existing = this.notices.get(formatIncarnation(target));
     if (ratePerS === undefined && existing !== undefined) existing.limit = undefined;
     if (!draining && waitMs === undefined && ratePerS === undefined) return;
-    const notice = existing ?? this.createNotice(formatLife(target));
+    const notice = existing ?? this.createNotice(formatIncarnation(target));
     notice.isDraining ||= draining;
     if (ratePerS !== undefined) {
       notice.limit = { ratePerS, atMs: this.clock.getMonotonicTime() };
@@ -52,7 +52,7 @@
   }
 
   isDraining(target: ITargetRecord): boolean {
-    return this.notices.get(formatLife(target))?.isDraining === true;
+    return this.notices.get(formatIncarnation(target))?.isDraining === true;
   }
 
   /** Rate limits that the given targets have announced, the latest first. */
--- a/packages/dispatch/src/grants/common/homeSelector.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.ts
@@ -173,15 +173,15 @@
     // Either side may have older data: the home may know a target that this node has not learned of, or a
     // home that was paused may grant one that this node knows to be draining. If they know different
     // incarnations of a target, its address may have changed too.
-    const isSameLife = target?.bornMs === decodeBornMs(decision.bornMs);
-    if (target === undefined || target.isDraining || !isSameLife) {
+    const isSameIncarnation = target?.bornMs === decodeBornMs(decision.bornMs);
+    if (target === undefined || target.isDraining || !isSameIncarnation) {
       this.sendReport(home, id, request, undefined, 'abandoned', 0);
       this.options.log.info('granted target is not usable', {
         request: request.requestId,
         home,
         target: decision.targetId,
         isKnown: target !== undefined,
-        isSameLife,
+        isSameIncarnation,
       });
       return { kind: 'unusable-target', id: decision.targetId };
     }
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -165,7 +165,7 @@
       isFirstStart: false,
       seeds: [],
       keyLeaseMs: proofMode === 'followers' ? TENANT_BOUNDS.keyLeaseMs : undefined,
-      isAsked: () => true,
+      hasReceivedRequests: () => true,
     });
     this.ownFollower = new StoreFollower({
       table: this.directory.catalog,
