--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -6,12 +6,12 @@
 import type { HomeSelector } from '../../grants/common/homeSelector.js';
 import type { RetrySharing } from '../../grants/common/retrySharing.js';
 import type { QuotaSharing } from '../../quotas/common/quotaSharing.js';
-import type { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
+import type { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 
 /** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
   readonly healthSharing: HealthSharing;
-  readonly quarantine: QuarantineGossip;
+  readonly quarantine: QuarantineSharing;
   readonly quotas: QuotaSharing;
   readonly retries: RetrySharing;
   readonly selector: HomeSelector;
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -26,7 +26,7 @@
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
 import { QuarantinePersister } from '../../quarantine/common/quarantinePersister.js';
 import type { QuarantineStore } from '../../quarantine/common/quarantineStore.js';
-import { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
+import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
 import type { IServiceBounds } from '../../home/common/serviceScheduler.js';
@@ -154,7 +154,7 @@
     );
     this.retrySharing = retries;
     const quarantine = this.store.add(
-      new QuarantineGossip({
+      new QuarantineSharing({
         channel,
         clock,
         random,
@@ -245,14 +245,14 @@
   }
 
   private createQuarantinePersister(
-    sharing: QuarantineGossip,
+    sharing: QuarantineSharing,
     service: DirectoryService,
   ): QuarantinePersister {
     const { quarantineStore, clock, log, settings } = this.options;
     return new QuarantinePersister({
       clock,
       log,
-      gossip: sharing,
+      sharing: sharing,
       quarantine: this.quarantine,
       store: quarantineStore,
       isReader: () => service.isFollower,
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -33,5 +33,5 @@
 export * from './quarantine/common/quarantinePersister.js';
 export * from './quarantine/common/quarantineStore.js';
 export * from './quarantine/common/crashHistory.js';
-export * from './quarantine/common/quarantineGossip.js';
+export * from './quarantine/common/quarantineSharing.js';
 export * from './quarantine/common/requestQuarantine.js';
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
@@ -6,7 +6,7 @@
 import { QuarantinePersister } from './quarantinePersister.js';
 import { QuarantineStore } from './quarantineStore.js';
 import type { ICrashHistoryRecord } from './crashHistory.js';
-import { QuarantineGossip } from './quarantineGossip.js';
+import { QuarantineSharing } from './quarantineSharing.js';
 import { RequestQuarantine } from './requestQuarantine.js';
 
 const REQUEST = 'aa01';
@@ -50,13 +50,13 @@
     const channel = network.open(address);
     const random = new SeededRandom(1);
     const listMembers = () => ['a', 'b', 'c'];
-    const gossip = new QuarantineGossip({ channel, quarantine, clock, random, listMembers });
+    const gossip = new QuarantineSharing({ channel, quarantine, clock, random, listMembers });
     channel.setHandler((_sender, body) => {
       if (body.case === 'quarantine') gossip.handleQuarantine(body.value);
     });
     new QuarantinePersister({
       quarantine,
-      gossip,
+      sharing: gossip,
       store,
       clock,
       log,
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -3,7 +3,7 @@
 import { StoreCallError } from '../../directory/common/authority.js';
 import type { QuarantineStore } from './quarantineStore.js';
 import type { ICrashHistoryRecord } from './crashHistory.js';
-import type { QuarantineGossip } from './quarantineGossip.js';
+import type { QuarantineSharing } from './quarantineSharing.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
 /** How often a node that has just started checks whether it reads for its failure domain, in ms. */
@@ -19,7 +19,7 @@
 export interface IQuarantinePersisterOptions {
   readonly quarantine: RequestQuarantine;
   /** Receives the stored records and sends them to the other nodes. */
-  readonly gossip: QuarantineGossip;
+  readonly sharing: QuarantineSharing;
   readonly store: QuarantineStore;
   readonly clock: Clock;
   readonly log: Logger;
@@ -130,7 +130,7 @@
 
   /** Reads all records if that is due. Returns false if the call failed. */
   private async read(signal: AbortSignal): Promise<boolean> {
-    const { isReader, log, gossip, store } = this.options;
+    const { isReader, log, sharing: gossip, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
     return this.tryCall('held requests not read', signal, async () => {
       const records = await store.readAll(signal);
--- a/packages/dispatch/src/quarantine/common/quarantineGossip.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineSharing.ts
@@ -15,8 +15,8 @@
 /** Most records in one datagram, at up to about 250 bytes each. */
 const MAX_RECORDS = 4;
 
-/** Options of a {@link QuarantineGossip}. */
-export interface IQuarantineGossipOptions {
+/** Options of a {@link QuarantineSharing}. */
+export interface IQuarantineSharingOptions {
   readonly channel: DatagramChannel;
   readonly quarantine: RequestQuarantine;
   readonly clock: Clock;
@@ -33,13 +33,13 @@
  * @example
  * gossip.handleQuarantine(message);
  */
-export class QuarantineGossip implements IDisposable {
+export class QuarantineSharing implements IDisposable {
   private readonly changeListener: IDisposable;
   private timer: IDisposable | undefined;
   private nextIndex = 0;
   private isDisposed = false;
 
-  constructor(private readonly options: IQuarantineGossipOptions) {
+  constructor(private readonly options: IQuarantineSharingOptions) {
     this.changeListener = options.quarantine.onDidChange((record) => {
       this.announce([record], this.listOthers());
       this.startTimer();
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -17,7 +17,7 @@
   KeyChecker,
   NodeDirectory,
   PathHealth,
-  QuarantineGossip,
+  QuarantineSharing,
   RequestQuarantine,
   RequestRunner,
   RetrySharing,
@@ -54,7 +54,7 @@
   private readonly homes: HomeService;
   private readonly beliefs: HealthSharing;
   private readonly retries: RetrySharing;
-  private readonly quarantine: QuarantineGossip;
+  private readonly quarantine: QuarantineSharing;
   private readonly keeper: QuarantinePersister;
   private readonly end = new AbortController();
   private known = new Map<string, ITargetRecord>();
@@ -98,7 +98,7 @@
     const server = new GrantServer({ channel, homes, clock });
     const beliefs = new HealthSharing({ channel, homes, clock, rankHomes });
     const retries = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
-    const sharing = new QuarantineGossip({
+    const sharing = new QuarantineSharing({
       channel,
       quarantine,
       clock,
@@ -140,7 +140,7 @@
     retries.start();
     const keeper = new QuarantinePersister({
       quarantine,
-      gossip: sharing,
+      sharing: sharing,
       clock,
       log,
       store: options.cases,
