--- a/packages/base/src/clock/common/instant.ts
+++ b/packages/base/src/clock/common/instant.ts
@@ -29,7 +29,7 @@
 }
 
 /** The moment `ms` before `instant`. */
-export function computeEarlier({ monotonicMs, wallMs }: IInstant, ms: number): IInstant {
+export function computeEarlierInstant({ monotonicMs, wallMs }: IInstant, ms: number): IInstant {
   return { monotonicMs: monotonicMs - ms, wallMs: wallMs - ms };
 }
 
@@ -40,6 +40,6 @@
  * @example
  * proof = pickLater(clock, proof, next);
  */
-export function pickLater(clock: Clock, left: IInstant, right: IInstant): IInstant {
+export function pickLaterInstant(clock: Clock, left: IInstant, right: IInstant): IInstant {
   return measureElapsedMs(clock, left) < measureElapsedMs(clock, right) ? left : right;
 }
--- a/packages/base/src/clock/common/manualClock.ts
+++ b/packages/base/src/clock/common/manualClock.ts
@@ -69,7 +69,7 @@
     for (;;) {
       const next = this.heap[0];
       if (next === undefined || next.dueMs > instantMs) break;
-      this.takeTimer();
+      this.removeFirstTimer();
       if (next.isCancelled) continue;
       this.nowMs = next.dueMs;
       next.callback();
@@ -91,7 +91,7 @@
     heap[index] = timer;
   }
 
-  private takeTimer(): void {
+  private removeFirstTimer(): void {
     const heap = this.heap;
     const last = heap.pop();
     if (last === undefined || heap.length === 0) return;
--- a/packages/base/src/http/node/listener.ts
+++ b/packages/base/src/http/node/listener.ts
@@ -72,7 +72,7 @@
  * @example
  * await endServer(server);
  */
-export async function endServer(server: Server): Promise<void> {
+export async function closeServerImmediately(server: Server): Promise<void> {
   const closed = closeServer(server);
   server.closeAllConnections();
   await closed;
--- a/packages/base/src/invariant/common/invariantRegistry.ts
+++ b/packages/base/src/invariant/common/invariantRegistry.ts
@@ -8,10 +8,10 @@
 /** Names of the invariants, as they appear in metrics and reports. */
 export const InvariantName = {
   CapacityFloor: 'capacity_floor',
-  WholeAnswer: 'whole_answer',
+  CompleteResponse: 'whole_answer',
   TruthfulRefusal: 'truthful_refusal',
   AtMostOnce: 'at_most_once',
-  LeavingTarget: 'leaving_target',
+  DrainingTarget: 'leaving_target',
   GracefulShutdown: 'graceful_shutdown',
   ConfigurationNeverReverts: 'configuration_never_reverts',
   MemberIsolation: 'member_isolation',
@@ -49,12 +49,12 @@
   }
 
   /** Times that `name` was checked. */
-  getChecks(name: InvariantName): number {
+  getCheckCount(name: InvariantName): number {
     return this.checks.get(name) ?? 0;
   }
 
   /** Times that `name` did not hold. */
-  getViolations(name: InvariantName): number {
+  getViolationCount(name: InvariantName): number {
     return this.violations.get(name) ?? 0;
   }
 }
--- a/packages/base/src/result/common/retryAfter.ts
+++ b/packages/base/src/result/common/retryAfter.ts
@@ -7,7 +7,7 @@
  * Wait that is named when the refusal itself estimates none, in ms. Short where another node
  * answers at once, longer where the cause is unlikely to pass within a second.
  */
-const DEFAULT_WAIT_MS: ReadonlyMap<ResultCode, number> = new Map<ResultCode, number>([
+const DEFAULT_RETRY_AFTER_MS: ReadonlyMap<ResultCode, number> = new Map<ResultCode, number>([
   [ResultCode.QueueFull, 1000],
   [ResultCode.QueueTimeout, 1000],
   [ResultCode.NoTarget, 5000],
@@ -42,7 +42,7 @@
  * getDefaultRetryAfterMs(ResultCode.QueueFull); // 1000
  */
 export function getDefaultRetryAfterMs(code: ResultCode): number | undefined {
-  return DEFAULT_WAIT_MS.get(code);
+  return DEFAULT_RETRY_AFTER_MS.get(code);
 }
 
 /**
--- a/packages/claims/src/test/claimWorld.ts
+++ b/packages/claims/src/test/claimWorld.ts
@@ -152,8 +152,8 @@
       assert.ok(executions.length <= 1, `ran ${executions.length} times`);
       if (call.result !== undefined) this.assertTruth(call);
     }
-    assert.equal(this.invariants.getViolations(InvariantName.AtMostOnce), 0);
-    assert.equal(this.invariants.getViolations(InvariantName.TruthfulRefusal), 0);
+    assert.equal(this.invariants.getViolationCount(InvariantName.AtMostOnce), 0);
+    assert.equal(this.invariants.getViolationCount(InvariantName.TruthfulRefusal), 0);
   }
 
   private assertTruth(call: ITestCall): void {
--- a/packages/config/src/distribution/common/configDistributor.test.ts
+++ b/packages/config/src/distribution/common/configDistributor.test.ts
@@ -133,7 +133,7 @@
     assert.equal(node.getCurrent().members.get('dobrescu')?.intent?.note, 'two');
   }
   assert.ok(node.getCounters().dropped > 0);
-  assert.equal(invariants.getViolations(InvariantName.ConfigurationNeverReverts), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.ConfigurationNeverReverts), 0);
 });
 
 test('without the check, the invariant trips', () => {
@@ -147,7 +147,7 @@
   const config = { member: 'dobrescu', fleetRevision: 2n } as MemberConfig;
   applied.apply({ fleetRevision: 2, members: [{ ...config, memberRevision: 2n }] });
   applied.apply({ fleetRevision: 2, members: [{ ...config, memberRevision: 1n }] });
-  assert.equal(invariants.getViolations(InvariantName.ConfigurationNeverReverts), 1);
+  assert.equal(invariants.getViolationCount(InvariantName.ConfigurationNeverReverts), 1);
 });
 
 /*
--- a/packages/config/src/distribution/common/distribution.fuzz.test.ts
+++ b/packages/config/src/distribution/common/distribution.fuzz.test.ts
@@ -168,7 +168,7 @@
 }
 
 function countViolations(fleet: Fleet): number {
-  return fleet.invariants.getViolations(InvariantName.ConfigurationNeverReverts);
+  return fleet.invariants.getViolationCount(InvariantName.ConfigurationNeverReverts);
 }
 
 /*
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -2,7 +2,7 @@
 import { randomInt } from 'node:crypto';
 import type { Server } from 'node:http';
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
-import { DisposableStore, endServer, listenOn, toDisposable } from '@parsleymux/base';
+import { DisposableStore, closeServerImmediately, listenOn, toDisposable } from '@parsleymux/base';
 import type { Header, TargetProtocol } from '@parsleymux/routing';
 import { HttpTargetTransport } from '@parsleymux/routing';
 import { Registry, collectDefaultMetrics } from 'prom-client';
@@ -316,7 +316,7 @@
 
   private async listen(server: Server, address: string): Promise<void> {
     await listenOn(server, address);
-    this.store.add(toDisposable(() => endServer(server)));
+    this.store.add(toDisposable(() => closeServerImmediately(server)));
   }
 }
 
--- a/packages/dispatch/src/directory/common/followedTable.ts
+++ b/packages/dispatch/src/directory/common/followedTable.ts
@@ -1,6 +1,6 @@
 /** A node's copy of one table of the authority, and how fresh it is. */
 import type { Clock, Event, IInstant } from '@parsleymux/base';
-import { Emitter, measureElapsedMs, pickLater } from '@parsleymux/base';
+import { Emitter, measureElapsedMs, pickLaterInstant } from '@parsleymux/base';
 import type { ITableChange, ITableChanges, ITableState } from './authority.js';
 import { RestoredEntries } from './restoredEntries.js';
 
@@ -125,7 +125,8 @@
   recordProof({ era = 0, isRetained = false, version }: ITableState, at: IInstant): void {
     if (era !== this.currentEra || isRetained !== this.isRetaining) return;
     if (this.currentVersion === undefined || this.currentVersion < version) return;
-    this.proof = this.proof === undefined ? at : pickLater(this.options.clock, this.proof, at);
+    this.proof =
+      this.proof === undefined ? at : pickLaterInstant(this.options.clock, this.proof, at);
   }
 
   /** Time since this copy was last proven to be the newest, in ms; infinite if it never was. */
--- a/packages/dispatch/src/directory/common/updateRelay.ts
+++ b/packages/dispatch/src/directory/common/updateRelay.ts
@@ -1,7 +1,7 @@
 /** Sends the tables that a follower reads to the nodes of its failure domain, and detects silent ones. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, IInstant, Logger } from '@parsleymux/base';
-import { computeEarlier } from '@parsleymux/base';
+import { computeEarlierInstant } from '@parsleymux/base';
 import type { FollowedChanges, Update, UpdateReceived } from '@parsleymux/schema';
 import { FollowedChangesSchema, UpdateReceivedSchema, UpdateSchema } from '@parsleymux/schema';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
@@ -252,7 +252,7 @@
     const isIncompatible = content.isRetained !== table.isRetaining && content.era === table.era;
     if (isIncompatible || !table.apply(after, content, asOfMs)) this.fetch(table, stateAddress);
     if (sentAfter === undefined || changes.proofAgeMs === undefined) return;
-    table.recordProof(content, computeEarlier(sentAfter, changes.proofAgeMs));
+    table.recordProof(content, computeEarlierInstant(sentAfter, changes.proofAgeMs));
   }
 
   private fetch(table: FollowedTable<unknown>, stateAddress: string): void {
--- a/packages/dispatch/src/directory/node/stateServer.test.ts
+++ b/packages/dispatch/src/directory/node/stateServer.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { ManualClock, endServer, listenOn } from '@parsleymux/base';
+import { ManualClock, closeServerImmediately, listenOn } from '@parsleymux/base';
 import { FollowedTable } from '../common/followedTable.js';
 import { createStateServer, fetchTable } from './stateServer.js';
 
@@ -27,5 +27,5 @@
   const late = await fetchCopy();
   assert.equal(late.freshMs, 900);
   assert.equal(late.get('a'), 'leaving');
-  await endServer(server);
+  await closeServerImmediately(server);
 });
--- a/packages/dispatch/src/directory/node/stateServer.ts
+++ b/packages/dispatch/src/directory/node/stateServer.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { Clock } from '@parsleymux/base';
-import { computeEarlier, readInstant } from '@parsleymux/base';
+import { computeEarlierInstant, readInstant } from '@parsleymux/base';
 import { FollowedChangesSchema } from '@parsleymux/schema';
 import { request } from 'undici';
 import VError from 'verror';
@@ -97,5 +97,5 @@
   const { content } = decodeChanges(message);
   table.setAll(content, clock.getMonotonicTime() - message.ageMs);
   if (message.proofAgeMs === undefined) return;
-  table.recordProof(content, computeEarlier(sentAt, message.proofAgeMs));
+  table.recordProof(content, computeEarlierInstant(sentAt, message.proofAgeMs));
 }
--- a/packages/lab/src/docs/common/fieldTable.ts
+++ b/packages/lab/src/docs/common/fieldTable.ts
@@ -1,7 +1,7 @@
 /** Tables of every field that people write by hand, taken from the schema. */
 import type { DescField, DescMessage } from '@bufbuild/protobuf';
 import { ScalarType } from '@bufbuild/protobuf';
-import { formatEnumName, getFieldRule, isFilledWhenAbsent } from '@parsleymux/schema';
+import { formatEnumName, getFieldRule, hasDefaultsWhenAbsent } from '@parsleymux/schema';
 import { formatTable } from './markdown.js';
 
 const SCALAR_NAMES: ReadonlyMap<ScalarType, string> = new Map([
@@ -66,7 +66,7 @@
   if (rule.default !== '') return `\`${rule.default}\``;
   if (field.fieldKind === 'list') return 'empty';
   if (field.fieldKind === 'message') {
-    return isFilledWhenAbsent(field.message) ? 'each field its own' : 'absent';
+    return hasDefaultsWhenAbsent(field.message) ? 'each field its own' : 'absent';
   }
   if (field.scalar === ScalarType.STRING) return 'empty';
   if (field.scalar === ScalarType.BOOL) return '`false`';
--- a/packages/lab/src/load/node/caller.ts
+++ b/packages/lab/src/load/node/caller.ts
@@ -1,6 +1,6 @@
 /** A caller: sends one request to a node, and judges the answer as a careful client would. */
 import type { RunState } from '@parsleymux/base';
-import { AnswerFault, computeChecksum, verifyAnswer } from '@parsleymux/standins';
+import { ResponseFault, computeChecksum, verifyResponse } from '@parsleymux/standins';
 import type { IDisposable } from '@parsleymux/base';
 import type { Dispatcher } from 'undici';
 import { Pool } from 'undici';
@@ -89,7 +89,7 @@
   const runState = getHeader(answer, CallerHeader.RunState) as RunState | undefined;
   const status = answer.statusCode;
   const { workload, requestId, path } = request;
-  const fault = verifyAnswer(body, {
+  const fault = verifyResponse(body, {
     member: workload.member,
     service: workload.service,
     requestId,
@@ -98,10 +98,10 @@
     requestChecksum: computeChecksum(workload.method === 'GET' ? '' : request.body),
   });
   if (status === OK) return { outcome: toOutcome(fault), status, code, runState };
-  if (fault === AnswerFault.Foreign) {
+  if (fault === ResponseFault.Foreign) {
     return { outcome: AttemptOutcome.Foreign, status, code, runState };
   }
-  if (fault === AnswerFault.None) {
+  if (fault === ResponseFault.None) {
     return { outcome: AttemptOutcome.TargetFailed, status, code, runState };
   }
   const isExplained = code > 0 && runState !== undefined;
@@ -114,9 +114,9 @@
   return isRefused ? AttemptOutcome.NotSent : AttemptOutcome.Broken;
 }
 
-function toOutcome(fault: AnswerFault): AttemptOutcome {
-  if (fault === AnswerFault.None) return AttemptOutcome.Answered;
-  return fault === AnswerFault.Foreign ? AttemptOutcome.Foreign : AttemptOutcome.Partial;
+function toOutcome(fault: ResponseFault): AttemptOutcome {
+  if (fault === ResponseFault.None) return AttemptOutcome.Answered;
+  return fault === ResponseFault.Foreign ? AttemptOutcome.Foreign : AttemptOutcome.Partial;
 }
 
 function getHeader(answer: Dispatcher.ResponseData, name: string): string | undefined {
--- a/packages/lab/src/replay/common/replayTrace.ts
+++ b/packages/lab/src/replay/common/replayTrace.ts
@@ -152,7 +152,7 @@
 
   private countViolations(): number {
     const names = Object.values(InvariantName);
-    return names.reduce((sum, name) => sum + this.invariants.getViolations(name), 0);
+    return names.reduce((sum, name) => sum + this.invariants.getViolationCount(name), 0);
   }
 
   private buildTargets(): ReadonlyMap<string, SimulatedTarget> {
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -1,5 +1,5 @@
 /** Brings the soak's faults about, and ends them. */
-import { FOREIGN_TARGET_TEXTS, MetadataFault } from '@parsleymux/standins';
+import { INVALID_TARGET_TEXTS, MetadataFault } from '@parsleymux/standins';
 import type { IFaultStep } from '../../prove/common/faultSchedule.js';
 import type { EndFault, Injection } from '../../prove/node/faultInjector.js';
 import { endNothing, pickElement } from '../../prove/node/faultInjector.js';
@@ -309,7 +309,7 @@
 }
 
 function startForeignEntry(target: SoakTarget, step: Step, world: SoakWorld): Promise<EndFault> {
-  const restore = world.putForeignEntry(target, pickElement(FOREIGN_TARGET_TEXTS, step.pick) ?? '');
+  const restore = world.putForeignEntry(target, pickElement(INVALID_TARGET_TEXTS, step.pick) ?? '');
   return Promise.resolve(() => {
     restore();
     return Promise.resolve();
--- a/packages/node/src/admin/node/adminServer.ts
+++ b/packages/node/src/admin/node/adminServer.ts
@@ -1,5 +1,5 @@
 /** The port of the administration API. */
-import { endServer, listenOn } from '@parsleymux/base';
+import { closeServerImmediately, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
 import type { AdminApi } from '@parsleymux/operators';
@@ -59,7 +59,7 @@
   }
 
   dispose(): Promise<void> {
-    return endServer(this.server);
+    return closeServerImmediately(this.server);
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/packages/node/src/metrics/node/nodeMetrics.ts
+++ b/packages/node/src/metrics/node/nodeMetrics.ts
@@ -109,7 +109,7 @@
       registers: [this.registry],
       collect: () => {
         for (const name of Object.values(InvariantName)) {
-          violations.set({ name }, invariants.getViolations(name));
+          violations.set({ name }, invariants.getViolationCount(name));
         }
       },
     });
@@ -120,7 +120,7 @@
       registers: [this.registry],
       collect: () => {
         for (const name of Object.values(InvariantName)) {
-          checks.set({ name }, invariants.getChecks(name));
+          checks.set({ name }, invariants.getCheckCount(name));
         }
       },
     });
--- a/packages/node/src/peer/node/peerServer.ts
+++ b/packages/node/src/peer/node/peerServer.ts
@@ -1,5 +1,5 @@
 /** The port on which other nodes of the fleet are served: the request hop and control traffic. */
-import { endServer, listenOn } from '@parsleymux/base';
+import { closeServerImmediately, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
 import type { HttpHandler, PeerAuthenticator } from '@parsleymux/fleet';
@@ -61,7 +61,7 @@
   }
 
   dispose(): Promise<void> {
-    return endServer(this.server);
+    return closeServerImmediately(this.server);
   }
 
   private serve(request: IncomingMessage, response: ServerResponse): void {
--- a/packages/operators/src/api/node/adminApi.test.ts
+++ b/packages/operators/src/api/node/adminApi.test.ts
@@ -139,7 +139,7 @@
     const result = await api.call('GET', '/v1/status', own);
     assert.doesNotMatch(result.text, /donautal|70/);
     assert.match(result.text, /"inForce":true/);
-    assert.equal(api.invariants.getViolations(InvariantName.MemberIsolation), 1);
+    assert.equal(api.invariants.getViolationCount(InvariantName.MemberIsolation), 1);
   });
 });
 
--- a/packages/operators/src/targets/common/floorRace.test.ts
+++ b/packages/operators/src/targets/common/floorRace.test.ts
@@ -169,7 +169,7 @@
     fc.asyncProperty(fc.nat(), fc.array(actions, { maxLength: 32 }), async (seed, list) => {
       const world = await runRace(list, { seed });
       assert.ok(world.lowest >= FLOOR, `${world.lowest} slots`);
-      assert.equal(world.invariants.getViolations(InvariantName.CapacityFloor), 0);
+      assert.equal(world.invariants.getViolationCount(InvariantName.CapacityFloor), 0);
       ejected += world.ejected;
       confirmed += world.confirmed;
     }),
--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -108,7 +108,7 @@
     );
     const drainingMs = slot.handle.getDrainingMs(clock.getWallTime(), clock.getMonotonicTime());
     invariants.check(
-      InvariantName.LeavingTarget,
+      InvariantName.DrainingTarget,
       drainingMs < DRAINING_GRACE_MS,
       () => `${this.member}/${request.route.service}: ${slot.handle.address} is draining`,
     );
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -100,7 +100,7 @@
   await breakNow();
   assert.ok(standings.includes('t0 suspect'));
   assert.equal(standings.includes('t0 ejected'), false);
-  assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
   const bookings = state.bookings;
   await run(2000);
   assert.equal(state.bookings, bookings);
--- a/packages/routing/src/home/common/streamedAnswers.test.ts
+++ b/packages/routing/src/home/common/streamedAnswers.test.ts
@@ -89,5 +89,5 @@
     return error instanceof MuxError && error.runState === RunState.MayHaveRun;
   });
   assert.equal(transport.sent.length, 2);
-  assert.equal(invariants.getViolations('truthful_refusal'), 0);
+  assert.equal(invariants.getViolationCount('truthful_refusal'), 0);
 });
--- a/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
@@ -42,7 +42,7 @@
     EjectionDecision.RefusedByFloor,
   ]);
   assert.equal(listEjected(table).length, 1);
-  assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
 });
 
 test('cold and draining targets count as missing', async () => {
@@ -123,7 +123,7 @@
       // Returns can overtake ejections of the same target; without them every grant must stand.
       if (steps.some((step) => step.isReturn)) return;
       assert.deepEqual(new Set(listEjected(table)), granted);
-      assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+      assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
     }),
     { seed: 5, numRuns: 100 },
   );
--- a/packages/routing/src/transport/node/exchange.ts
+++ b/packages/routing/src/transport/node/exchange.ts
@@ -124,7 +124,7 @@
     if (this.isEnded || this.head === undefined) return;
     const { contentLength } = this.head;
     const isComplete = this.options.invariants.check(
-      InvariantName.WholeAnswer,
+      InvariantName.CompleteResponse,
       contentLength === undefined || contentLength === this.receivedBytes,
       () => `response of ${this.receivedBytes} bytes, content-length ${contentLength ?? -1}`,
     );
--- a/packages/schema/src/rules/common/fieldRules.ts
+++ b/packages/schema/src/rules/common/fieldRules.ts
@@ -39,8 +39,8 @@
  * out means no TLS, because a certificate has no default.
  *
  * @example
- * isFilledWhenAbsent(TlsFilesSchema); // false
+ * hasDefaultsWhenAbsent(TlsFilesSchema); // false
  */
-export function isFilledWhenAbsent(message: DescMessage): boolean {
+export function hasDefaultsWhenAbsent(message: DescMessage): boolean {
   return !message.fields.some((field) => getFieldRule(field).required);
 }
--- a/packages/schema/src/rules/common/nearestName.ts
+++ b/packages/schema/src/rules/common/nearestName.ts
@@ -12,14 +12,14 @@
  */
 export function findNearest(text: string, names: readonly string[]): string | undefined {
   if (names.length === 0) return undefined;
-  const folded = new Map(names.map((name) => [formatFolded(name), name]));
-  const nearest = closest(formatFolded(text), [...folded.keys()]);
-  const changes = distance(formatFolded(text), nearest);
+  const folded = new Map(names.map((name) => [formatNormalized(name), name]));
+  const nearest = closest(formatNormalized(text), [...folded.keys()]);
+  const changes = distance(formatNormalized(text), nearest);
   if (changes > Math.max(text.length, nearest.length) * MAX_CHANGED_SHARE) return undefined;
   return folded.get(nearest);
 }
 
 /** Case, dashes and underscores are what people most often get wrong. */
-function formatFolded(name: string): string {
+function formatNormalized(name: string): string {
   return name.toLowerCase().replaceAll(/[-_]/g, '');
 }
--- a/packages/schema/src/rules/common/ruleChecker.ts
+++ b/packages/schema/src/rules/common/ruleChecker.ts
@@ -5,11 +5,11 @@
 import type { DescField, DescMessage, JsonObject, JsonValue } from '@bufbuild/protobuf';
 import type { Node } from 'jsonc-parser';
 import { getNodeValue } from 'jsonc-parser';
-import { getDefaultValue, getFieldRule, isFilledWhenAbsent } from './fieldRules.js';
+import { getDefaultValue, getFieldRule, hasDefaultsWhenAbsent } from './fieldRules.js';
 import type { LineIndex } from './lineIndex.js';
 import { findNearest } from './nearestName.js';
 import type { IFieldProblem } from './settingsError.js';
-import type { IValueFault, ValueCheck } from './valueCheck.js';
+import type { IValueProblem, ValueCheck } from './valueCheck.js';
 import { checkEnum, checkScalar, describeValue } from './valueCheck.js';
 
 /** Options of a {@link RuleChecker}. */
@@ -97,7 +97,7 @@
       this.addProblem(parent, path, { message: 'is required but absent', hint });
       return undefined;
     }
-    if (field.fieldKind === 'message' && isFilledWhenAbsent(field.message)) {
+    if (field.fieldKind === 'message' && hasDefaultsWhenAbsent(field.message)) {
       return this.checkMessage(field.message, { type: 'object', offset: 0, length: 0 }, path);
     }
     return getDefaultValue(field);
@@ -110,13 +110,13 @@
       case 'list':
         return this.checkList(field, node, path);
       case 'enum':
-        return this.takeValue(
+        return this.resolveValue(
           checkEnum(getNodeValue(node), field.enum, getFieldRule(field)),
           node,
           path,
         );
       case 'scalar':
-        return this.takeValue(this.checkScalarField(field, node), node, path);
+        return this.resolveValue(this.checkScalarField(field, node), node, path);
       case 'map':
         throw new TypeError(`${field.toString()}: files cannot hold map fields`);
     }
@@ -166,16 +166,16 @@
       field.listKind === 'enum'
         ? checkEnum(value, field.enum, rule)
         : checkScalar(value, field.scalar, rule);
-    return this.takeValue(check, node, path);
+    return this.resolveValue(check, node, path);
   }
 
-  private takeValue(check: ValueCheck, node: Node, path: string): JsonValue | undefined {
+  private resolveValue(check: ValueCheck, node: Node, path: string): JsonValue | undefined {
     if (check.fault === undefined) return check.value;
     this.addProblem(node, path, check.fault);
     return undefined;
   }
 
-  private addProblem(node: Node, field: string, fault: IValueFault): void {
+  private addProblem(node: Node, field: string, fault: IValueProblem): void {
     const position = this.lines.getPosition(node.offset);
     const { message, hint = '' } = fault;
     this.problems.push({ file: this.fileName, ...position, field, message, hint });
--- a/packages/schema/src/rules/common/valueCheck.ts
+++ b/packages/schema/src/rules/common/valueCheck.ts
@@ -6,7 +6,7 @@
 import { hasFormat } from './stringFormat.js';
 
 /** A fault without its place. */
-export interface IValueFault {
+export interface IValueProblem {
   readonly message: string;
   readonly hint?: string;
 }
@@ -14,7 +14,7 @@
 /** The value in the form that the protobuf JSON reader takes, or what is wrong with it. */
 export type ValueCheck =
   | { readonly value: JsonValue; readonly fault?: undefined }
-  | { readonly value?: undefined; readonly fault: IValueFault };
+  | { readonly value?: undefined; readonly fault: IValueProblem };
 
 interface INumberType {
   readonly name: string;
@@ -26,7 +26,7 @@
 const UINT32_MAX = 4294967295;
 const INT32_MAX = 2147483647;
 /** Larger whole numbers can't be told apart in JSON. */
-const MAX_WHOLE = Number.MAX_SAFE_INTEGER;
+const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 const NUMBER_TYPES: ReadonlyMap<ScalarType, INumberType> = new Map([
   [ScalarType.UINT32, { name: 'whole number', isInteger: true, min: 0, max: UINT32_MAX }],
@@ -34,12 +34,15 @@
     ScalarType.INT32,
     { name: 'whole number', isInteger: true, min: -INT32_MAX - 1, max: INT32_MAX },
   ],
-  [ScalarType.UINT64, { name: 'whole number', isInteger: true, min: 0, max: MAX_WHOLE }],
-  [ScalarType.INT64, { name: 'whole number', isInteger: true, min: -MAX_WHOLE, max: MAX_WHOLE }],
+  [ScalarType.UINT64, { name: 'whole number', isInteger: true, min: 0, max: MAX_INTEGER }],
+  [
+    ScalarType.INT64,
+    { name: 'whole number', isInteger: true, min: -MAX_INTEGER, max: MAX_INTEGER },
+  ],
   [ScalarType.DOUBLE, { name: 'number', isInteger: false, min: -Infinity, max: Infinity }],
 ]);
-const WIDE_TYPES: ReadonlySet<ScalarType> = new Set([ScalarType.INT64, ScalarType.UINT64]);
-const WHOLE_NUMBER = /^-?[0-9]{1,16}$/;
+const INT64_TYPES: ReadonlySet<ScalarType> = new Set([ScalarType.INT64, ScalarType.UINT64]);
+const INTEGER_PATTERN = /^-?[0-9]{1,16}$/;
 
 /**
  * Checks a number, string or truth value.
@@ -51,7 +54,7 @@
   if (type === ScalarType.BOOL) return checkBoolean(value, rule);
   if (type === ScalarType.STRING) return checkString(value, rule);
   const numberType = NUMBER_TYPES.get(type);
-  if (numberType === undefined) return makeFault('has a type that files cannot hold');
+  if (numberType === undefined) return makeProblem('has a type that files cannot hold');
   return checkNumber(toNumber(value, type), numberType, rule);
 }
 
@@ -65,7 +68,7 @@
   const names = type.values.map((entry) => formatEnumName(type, entry));
   const hint = rule.hint === '' ? `one of ${names.join(', ')}` : rule.hint;
   if (typeof value !== 'string') {
-    return makeFault(`must be a name, is ${describeValue(value)}`, hint);
+    return makeProblem(`must be a name, is ${describeValue(value)}`, hint);
   }
   const found = type.values.find((entry) => {
     return entry.name === value || formatEnumName(type, entry) === value;
@@ -73,7 +76,7 @@
   if (found !== undefined) return { value: found.name };
   const nearest = findNearest(value, names);
   const guess = nearest === undefined ? '' : `; did you mean "${nearest}"?`;
-  return makeFault(`has no value "${value}"${guess}`, hint);
+  return makeProblem(`has no value "${value}"${guess}`, hint);
 }
 
 /**
@@ -98,55 +101,55 @@
   if (value === null) return 'null';
   if (Array.isArray(value)) return 'a list';
   if (typeof value === 'object') return 'an object';
-  if (typeof value === 'string') return `the text ${JSON.stringify(formatShortened(value))}`;
+  if (typeof value === 'string') return `the text ${JSON.stringify(formatTruncated(value))}`;
   return JSON.stringify(value);
 }
 
 function checkBoolean(value: unknown, rule: FieldRule): ValueCheck {
   if (typeof value === 'boolean') return { value };
-  return makeFault(`must be true or false, is ${describeValue(value)}`, rule.hint);
+  return makeProblem(`must be true or false, is ${describeValue(value)}`, rule.hint);
 }
 
 function checkString(value: unknown, rule: FieldRule): ValueCheck {
   if (typeof value !== 'string') {
-    return makeFault(`must be a text in quotes, is ${describeValue(value)}`, rule.hint);
+    return makeProblem(`must be a text in quotes, is ${describeValue(value)}`, rule.hint);
   }
-  if (rule.required && value === '') return makeFault('must not be empty', rule.hint);
+  if (rule.required && value === '') return makeProblem('must not be empty', rule.hint);
   const isChecked = rule.pattern !== '' && (value !== '' || rule.required);
   if (isChecked && !new RegExp(`^(?:${rule.pattern})$`, 'u').test(value)) {
-    const shown = JSON.stringify(formatShortened(value));
-    return makeFault(`has a wrong form: ${shown}`, rule.hint || `must match ${rule.pattern}`);
+    const shown = JSON.stringify(formatTruncated(value));
+    return makeProblem(`has a wrong form: ${shown}`, rule.hint || `must match ${rule.pattern}`);
   }
   if (value !== '' && !hasFormat(value, rule.format)) {
-    return makeFault(`has a wrong form: ${JSON.stringify(formatShortened(value))}`, rule.hint);
+    return makeProblem(`has a wrong form: ${JSON.stringify(formatTruncated(value))}`, rule.hint);
   }
   return { value };
 }
 
 function checkNumber(value: unknown, type: INumberType, rule: FieldRule): ValueCheck {
   if (typeof value !== 'number' || (type.isInteger && !Number.isInteger(value))) {
-    return makeFault(`must be a ${type.name}, is ${describeValue(value)}`, rule.hint);
+    return makeProblem(`must be a ${type.name}, is ${describeValue(value)}`, rule.hint);
   }
   const unit = rule.unit === '' ? '' : ` ${rule.unit}`;
   const min = Math.max(rule.min ?? type.min, type.min);
   const max = Math.min(rule.max ?? type.max, type.max);
-  if (value < min) return makeFault(`must be at least ${min}${unit}, is ${value}`, rule.hint);
-  if (value > max) return makeFault(`must be at most ${max}${unit}, is ${value}`, rule.hint);
+  if (value < min) return makeProblem(`must be at least ${min}${unit}, is ${value}`, rule.hint);
+  if (value > max) return makeProblem(`must be at most ${max}${unit}, is ${value}`, rule.hint);
   return { value };
 }
 
 /** 64-bit numbers are written as strings by the protobuf JSON writer, so both forms are read. */
 function toNumber(value: unknown, type: ScalarType): unknown {
-  if (!WIDE_TYPES.has(type) || typeof value !== 'string') return value;
-  return WHOLE_NUMBER.test(value) ? Number(value) : value;
+  if (!INT64_TYPES.has(type) || typeof value !== 'string') return value;
+  return INTEGER_PATTERN.test(value) ? Number(value) : value;
 }
 
-const SHOWN_LENGTH = 60;
+const MAX_SHOWN_LENGTH = 60;
 
-function formatShortened(text: string): string {
-  return text.length <= SHOWN_LENGTH ? text : `${text.slice(0, SHOWN_LENGTH)}...`;
+function formatTruncated(text: string): string {
+  return text.length <= MAX_SHOWN_LENGTH ? text : `${text.slice(0, MAX_SHOWN_LENGTH)}...`;
 }
 
-function makeFault(message: string, hint = ''): ValueCheck {
+function makeProblem(message: string, hint = ''): ValueCheck {
   return { fault: { message, hint } };
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -11,7 +11,7 @@
 export * from './target/common/executionLog.js';
 export * from './target/common/serviceTime.js';
 export * from './target/common/slotQueue.js';
-export * from './target/common/standInAnswer.js';
+export * from './target/common/standInResponse.js';
 export * from './target/common/targetConfig.js';
 export * from './target/node/targetControl.js';
 export * from './target/node/targetStandIn.js';
--- a/packages/standins/src/link/node/faultyLink.test.ts
+++ b/packages/standins/src/link/node/faultyLink.test.ts
@@ -61,10 +61,10 @@
     assert.equal(await exchange(socket, 'a'), 'A');
     await link.setFaults({ cutBackward: true });
     socket.write('b');
-    await waitUntil(() => received.length === 2 && link.getBytesSwallowed() === 1);
+    await waitUntil(() => received.length === 2 && link.getBytesDiscarded() === 1);
     await link.setFaults({ cutForward: true, cutBackward: false });
     socket.write('c');
-    await waitUntil(() => link.getBytesSwallowed() === 2);
+    await waitUntil(() => link.getBytesDiscarded() === 2);
     await link.setFaults({ cutForward: false });
     assert.equal(await exchange(socket, 'd'), 'D');
     assert.deepEqual(received, ['a', 'b', 'd']);
@@ -78,7 +78,7 @@
     assert.equal(await exchange(old, 'a'), 'A');
     link.markConnectionsSilent();
     old.write('b');
-    await waitUntil(() => link.getBytesSwallowed() === 1);
+    await waitUntil(() => link.getBytesDiscarded() === 1);
     const fresh = await open();
     assert.equal(await exchange(fresh, 'c'), 'C');
     assert.deepEqual(received, ['a', 'c']);
--- a/packages/standins/src/link/node/faultyLink.ts
+++ b/packages/standins/src/link/node/faultyLink.ts
@@ -9,7 +9,7 @@
 import { mergeFaults } from '../../control/common/faultSettings.js';
 
 const DEFAULT_HOST = '127.0.0.1';
-const END_CHECK = '\r\n';
+const RESET_PROBE = '\r\n';
 
 /** Faults in force, on connections that are open and those to come. */
 export interface ILinkFaults {
@@ -40,7 +40,7 @@
   readonly faults?: Partial<ILinkFaults>;
 }
 
-interface IPair {
+interface IRelayedConnection {
   readonly near: Socket;
   readonly far: Socket;
   isSilent: boolean;
@@ -57,11 +57,11 @@
  */
 export class FaultyLink implements IDisposable {
   private readonly options: IFaultyLinkOptions;
-  private readonly pairs = new Set<IPair>();
+  private readonly pairs = new Set<IRelayedConnection>();
   private readonly server: Server;
   private port = 0;
   private faults: ILinkFaults;
-  private bytesSwallowed = 0;
+  private bytesDiscarded = 0;
 
   constructor(options: IFaultyLinkOptions) {
     this.options = options;
@@ -89,8 +89,8 @@
   }
 
   /** Bytes that a cut or a silence kept from arriving. */
-  getBytesSwallowed(): number {
-    return this.bytesSwallowed;
+  getBytesDiscarded(): number {
+    return this.bytesDiscarded;
   }
 
   /** Changes the faults in part. */
@@ -141,7 +141,7 @@
   private acceptConnection(near: Socket): void {
     const [host, port] = parseAddress(this.options.to);
     const far = connect({ host, port, allowHalfOpen: true });
-    const pair: IPair = { near, far, isSilent: false };
+    const pair: IRelayedConnection = { near, far, isSilent: false };
     this.pairs.add(pair);
     this.forwardBytes(pair, near, far, () => this.faults.cutForward);
     this.forwardBytes(pair, far, near, () => this.faults.cutBackward);
@@ -152,7 +152,7 @@
       // libuv reports a reset that arrives together with data as an orderly end. Passed on as one,
       // it would make an answer that broke off look whole. A reset connection takes no byte; one
       // that ended in order does, and servers skip an empty line.
-      far.write(END_CHECK, (error) => {
+      far.write(RESET_PROBE, (error) => {
         if (error) this.forwardReset(pair, near, () => this.faults.cutBackward);
         else this.forwardEnd(pair, near, () => this.faults.cutBackward);
       });
@@ -160,7 +160,12 @@
   }
 
   /** Copies one direction. */
-  private forwardBytes(pair: IPair, from: Socket, to: Socket, isCut: () => boolean): void {
+  private forwardBytes(
+    pair: IRelayedConnection,
+    from: Socket,
+    to: Socket,
+    isCut: () => boolean,
+  ): void {
     from.setNoDelay(true);
     from.on('data', (chunk) => {
       this.forwardLater(pair, to, isCut, chunk.length, () => {
@@ -177,24 +182,24 @@
     });
   }
 
-  private forwardEnd(pair: IPair, to: Socket, isCut: () => boolean): void {
+  private forwardEnd(pair: IRelayedConnection, to: Socket, isCut: () => boolean): void {
     this.forwardLater(pair, to, isCut, 0, () => to.end());
   }
 
-  private forwardReset(pair: IPair, to: Socket, isCut: () => boolean): void {
+  private forwardReset(pair: IRelayedConnection, to: Socket, isCut: () => boolean): void {
     this.forwardLater(pair, to, isCut, 0, () => to.resetAndDestroy());
   }
 
   /** A cut is asked for anew with each piece, so that it acts at once. */
   private forwardLater(
-    pair: IPair,
+    pair: IRelayedConnection,
     to: Socket,
     isCut: () => boolean,
     byteCount: number,
     act: () => void,
   ): void {
     this.runAfterDelay(() => {
-      if (pair.isSilent || isCut()) this.bytesSwallowed += byteCount;
+      if (pair.isSilent || isCut()) this.bytesDiscarded += byteCount;
       else if (!to.destroyed) act();
     });
   }
--- a/packages/standins/src/metadata/common/metadataRows.ts
+++ b/packages/standins/src/metadata/common/metadataRows.ts
@@ -41,7 +41,7 @@
   private rows = new Map<string, IMetadataRow>();
   private history: IMetadataRow[] = [];
   /** Changes up to this version are forgotten. */
-  private forgotten = 0;
+  private discardedVersion = 0;
   private currentVersion = 0;
   private currentEra = 1;
 
@@ -78,14 +78,14 @@
 
   /** Changes of a table after a version; undefined when they are forgotten, or the version isn't there yet. */
   listChanges(table: string, after: number): readonly IMetadataRow[] | undefined {
-    if (after < this.forgotten || after > this.currentVersion) return undefined;
+    if (after < this.discardedVersion || after > this.currentVersion) return undefined;
     return this.history.filter((row) => row.table === table && row.ver > after);
   }
 
   /** Forgets all changes until now. */
   clearHistory(): void {
     this.history = [];
-    this.forgotten = this.currentVersion;
+    this.discardedVersion = this.currentVersion;
   }
 
   /** A copy of the rows as they are now. */
--- a/packages/standins/src/metadata/common/metadataTexts.ts
+++ b/packages/standins/src/metadata/common/metadataTexts.ts
@@ -102,7 +102,7 @@
  * Entries as other writers might leave them: no JSON, no object, fields missing, of another type or
  * with a value that nobody knows. None of them names a target to use.
  */
-export const FOREIGN_TARGET_TEXTS: readonly string[] = [
+export const INVALID_TARGET_TEXTS: readonly string[] = [
   '',
   '{"address":',
   '[]',
--- a/packages/standins/src/metadata/node/metadataStandIn.ts
+++ b/packages/standins/src/metadata/node/metadataStandIn.ts
@@ -12,12 +12,12 @@
   /** 503: nothing was done. */
   Busy: 'busy',
   /** 429. */
-  Limited: 'limited',
+  RateLimited: 'limited',
   Reset: 'reset',
   /** Nothing is done and nothing answered. */
-  Silent: 'silent',
+  NoResponse: 'silent',
   /** Calls are done, and their answers lost. */
-  LostAnswers: 'lost-answers',
+  LostResponses: 'lost-answers',
   /** Bytes that are no JSON. */
   Garbled: 'garbled',
 } as const;
@@ -44,7 +44,7 @@
   readonly rows = new MetadataRows();
   fault: MetadataFault = MetadataFault.None;
   /** Rows in one answer, at most. */
-  pageRows = MAX_ROWS;
+  maxPageRows = MAX_ROWS;
   /** Calls by path. */
   readonly calls = new Map<string, number>();
   private waiters: (() => void)[] = [];
@@ -103,7 +103,7 @@
     const url = new URL(request.url ?? '/', 'http://store');
     this.calls.set(url.pathname, (this.calls.get(url.pathname) ?? 0) + 1);
     response.setHeader('store-era', String(this.rows.era));
-    if (this.isSpoilt(request, response)) return;
+    if (this.applyFault(request, response)) return;
     switch (url.pathname) {
       case '/rows-tx':
         this.handleTransaction((await readJson(request)) as IMetadataTransaction, response);
@@ -120,23 +120,23 @@
   }
 
   /** Whether the fault in force is the whole answer. */
-  private isSpoilt(request: IncomingMessage, response: ServerResponse): boolean {
+  private applyFault(request: IncomingMessage, response: ServerResponse): boolean {
     switch (this.fault) {
       case MetadataFault.Busy:
         sendJson(response, BUSY, {});
         return true;
-      case MetadataFault.Limited:
+      case MetadataFault.RateLimited:
         sendJson(response, LIMITED, {});
         return true;
       case MetadataFault.Reset:
         request.socket.resetAndDestroy();
         return true;
-      case MetadataFault.Silent:
+      case MetadataFault.NoResponse:
         return true;
       case MetadataFault.Garbled:
         response.writeHead(OK).end('{"rows":[{"key":');
         return true;
-      case MetadataFault.LostAnswers:
+      case MetadataFault.LostResponses:
       case MetadataFault.None:
         return false;
     }
@@ -150,7 +150,7 @@
   private sendRows(query: URLSearchParams, response: ServerResponse): void {
     const table = query.get('table') ?? '';
     const rows = this.rows.list(table, query.get('part') ?? '', query.get('from') ?? '');
-    const page = rows.slice(0, this.pageRows);
+    const page = rows.slice(0, this.maxPageRows);
     this.send(response, OK, { rows: page, has_more: rows.length > page.length });
   }
 
@@ -187,7 +187,7 @@
   }
 
   private send(response: ServerResponse, status: number, body: object): void {
-    if (this.fault === MetadataFault.LostAnswers) return;
+    if (this.fault === MetadataFault.LostResponses) return;
     const now_s = performance.now() / MS_PER_S;
     sendJson(response, status, { ...body, ver: this.rows.version, now_s });
   }
--- a/packages/standins/src/platform/common/platformState.ts
+++ b/packages/standins/src/platform/common/platformState.ts
@@ -18,7 +18,7 @@
 }
 
 /** The answer to a request, which may yet be lost. */
-export interface IPlatformOutcome {
+export interface IPlatformResponse {
   readonly status: number;
   readonly bytes: Uint8Array;
 }
@@ -56,7 +56,7 @@
   }
 
   /** Carries out a request at `nowMs`. Of the faults, only staleness and lag matter here. */
-  execute(request: IPlatformRequest, faults: IPlatformFaults, nowMs: number): IPlatformOutcome {
+  execute(request: IPlatformRequest, faults: IPlatformFaults, nowMs: number): IPlatformResponse {
     const { method, url, body } = request;
     this.countPath(url);
     if (method === 'POST' && url === PlatformPath.Read) {
@@ -73,7 +73,7 @@
     }
     if (url.startsWith(`${PlatformPath.Objects}/`)) return this.executeObject(request);
     if (url.startsWith(`${PlatformPath.Objects}?`)) return this.executeObjectList(url);
-    return toJsonOutcome({ error: 'no such path' }, NOT_FOUND);
+    return toJsonResponse({ error: 'no such path' }, NOT_FOUND);
   }
 
   getRows(prefix: string): readonly ITableRow[] {
@@ -88,51 +88,51 @@
     this.vms.set(vms, nowMs);
   }
 
-  private executeRead(body: Buffer, instantMs: number): IPlatformOutcome {
+  private executeRead(body: Buffer, instantMs: number): IPlatformResponse {
     const { keys } = parseJson(body) as IReadBody;
     const rows = this.table.read(keys, instantMs);
     return this.countRead({ rows }, rows.length);
   }
 
-  private executeScan(body: Buffer, instantMs: number): IPlatformOutcome {
+  private executeScan(body: Buffer, instantMs: number): IPlatformResponse {
     const rows = this.table.scan(parseJson(body) as IScanOptions, instantMs);
     return this.countRead({ rows }, rows.length);
   }
 
-  private executeTransact(body: Buffer, faults: IPlatformFaults, nowMs: number): IPlatformOutcome {
+  private executeTransact(body: Buffer, faults: IPlatformFaults, nowMs: number): IPlatformResponse {
     const { conditions, writes } = parseJson(body) as ITableTransaction;
     const checked = faults.ignoreConditions ? [] : conditions;
     const result = this.table.transact({ conditions: checked, writes }, nowMs);
     this.counters.writes += 1;
     if (result.committed) this.counters.rowsWritten += writes.length;
     else this.counters.conflicts += 1;
-    return toJsonOutcome(result);
+    return toJsonResponse(result);
   }
 
-  private executeObject({ method, url, body }: IPlatformRequest): IPlatformOutcome {
+  private executeObject({ method, url, body }: IPlatformRequest): IPlatformResponse {
     const key = decodeURIComponent(url.slice(PlatformPath.Objects.length + 1));
     if (method === 'PUT') {
       this.objects.set(key, body);
       this.counters.writes += 1;
-      return toJsonOutcome({});
+      return toJsonResponse({});
     }
     const bytes = this.objects.get(key);
     this.counters.reads += 1;
     return bytes === undefined
-      ? toJsonOutcome({ error: 'no such object' }, NOT_FOUND)
+      ? toJsonResponse({ error: 'no such object' }, NOT_FOUND)
       : { status: OK, bytes };
   }
 
-  private executeObjectList(url: string): IPlatformOutcome {
+  private executeObjectList(url: string): IPlatformResponse {
     const prefix = new URL(url, 'http://platform').searchParams.get('prefix') ?? '';
     const found = [...this.objects.keys()].filter((key) => key.startsWith(prefix));
     return this.countRead({ keys: found.sort().slice(0, MAX_OBJECT_KEYS) }, 0);
   }
 
-  private countRead(value: unknown, rows: number): IPlatformOutcome {
+  private countRead(value: unknown, rows: number): IPlatformResponse {
     this.counters.reads += 1;
     this.counters.rowsRead += rows;
-    return toJsonOutcome(value);
+    return toJsonResponse(value);
   }
 
   private countPath(url: string): void {
@@ -145,6 +145,6 @@
   return JSON.parse(body.toString('utf8')) as unknown;
 }
 
-function toJsonOutcome(value: unknown, status = OK): IPlatformOutcome {
+function toJsonResponse(value: unknown, status = OK): IPlatformResponse {
   return { status, bytes: Buffer.from(JSON.stringify(value)) };
 }
--- a/packages/standins/src/platform/node/platformStandIn.ts
+++ b/packages/standins/src/platform/node/platformStandIn.ts
@@ -10,11 +10,11 @@
 import { PlatformPath } from '@parsleymux/store';
 import { mergeFaults } from '../../control/common/faultSettings.js';
 import { readBody, sendBytes, sendJson } from '../../server/node/httpBody.js';
-import { encodePacked } from '../../server/node/packedBody.js';
+import { encodeCompressed } from '../../server/node/compressedBody.js';
 import { LoopbackServer } from '../../server/node/loopbackServer.js';
 import type { IPlatformCounters, IPlatformFaults } from '../common/platformFaults.js';
 import { NO_PLATFORM_FAULTS, PlatformOutage } from '../common/platformFaults.js';
-import type { IPlatformOutcome } from '../common/platformState.js';
+import type { IPlatformResponse } from '../common/platformState.js';
 import { PlatformState } from '../common/platformState.js';
 import { TokenBucket } from '../common/tokenBucket.js';
 import { handlePlatformControl } from './platformControl.js';
@@ -156,7 +156,7 @@
       await this.clock.sleep(this.faults.delayMs, this.stopping.signal);
     }
     const now = this.clock.getMonotonicTime();
-    this.sendOutcome(
+    this.sendResponse(
       response,
       this.state.execute({ method, url, body }, this.faults, now),
       isWrite,
@@ -171,7 +171,11 @@
       : this.readBucket.take(this.faults.readsPerSecond, now);
   }
 
-  private sendOutcome(response: ServerResponse, outcome: IPlatformOutcome, isWrite: boolean): void {
+  private sendResponse(
+    response: ServerResponse,
+    outcome: IPlatformResponse,
+    isWrite: boolean,
+  ): void {
     const { counters } = this.state;
     if (this.faults.oneWay) {
       counters.answersLost += 1;
@@ -183,7 +187,7 @@
       response.destroy();
       return;
     }
-    const { bytes, headers } = encodePacked(response.req, outcome.bytes);
+    const { bytes, headers } = encodeCompressed(response.req, outcome.bytes);
     counters.bytesSent += bytes.length;
     sendBytes(response, outcome.status, bytes, { 'content-type': 'application/json', ...headers });
   }
--- a/packages/standins/src/target/common/executionLog.ts
+++ b/packages/standins/src/target/common/executionLog.ts
@@ -25,7 +25,7 @@
 }
 
 /** An answer as kept for look-ups. */
-export interface IKeptAnswer {
+export interface IRecordedResponse {
   readonly status: number;
   readonly body: Uint8Array;
 }
@@ -33,7 +33,7 @@
 interface IKeyRecord {
   count: number;
   waiting: number;
-  answer: IKeptAnswer | undefined;
+  answer: IRecordedResponse | undefined;
 }
 
 /** What a look-up finds. */
@@ -42,12 +42,12 @@
   readonly count: number;
   /** Requests with this key that are queued and may yet begin. */
   readonly waiting: number;
-  readonly answer: IKeptAnswer | undefined;
+  readonly answer: IRecordedResponse | undefined;
 }
 
 /** A running execution, to be ended once. */
 export interface IExecutionHandle {
-  finish(answer: IKeptAnswer): void;
+  finish(answer: IRecordedResponse): void;
   stop(): void;
 }
 
--- a/packages/standins/src/target/common/slotQueue.ts
+++ b/packages/standins/src/target/common/slotQueue.ts
@@ -5,7 +5,7 @@
 }
 
 /** What became of a wish for a slot. */
-export const SlotOutcome = { Acquired: 'acquired', Full: 'full', GaveUp: 'gave-up' } as const;
+export const SlotOutcome = { Acquired: 'acquired', Full: 'full', Aborted: 'gave-up' } as const;
 
 export type SlotOutcome = (typeof SlotOutcome)[keyof typeof SlotOutcome];
 
@@ -30,15 +30,15 @@
   }
 
   /** Waits for a slot until `signal` aborts. Every acquired slot must be released. */
-  async take(signal: AbortSignal): Promise<SlotOutcome> {
-    if (signal.aborted) return SlotOutcome.GaveUp;
+  async waitForSlot(signal: AbortSignal): Promise<SlotOutcome> {
+    if (signal.aborted) return SlotOutcome.Aborted;
     if (this.running < this.slots) {
       this.running += 1;
       return SlotOutcome.Acquired;
     }
     if (this.waiters.length >= this.queueLimit) return SlotOutcome.Full;
     const hasSlot = await this.waitForTurn(signal);
-    return hasSlot ? SlotOutcome.Acquired : SlotOutcome.GaveUp;
+    return hasSlot ? SlotOutcome.Acquired : SlotOutcome.Aborted;
   }
 
   release(): void {
--- a/packages/standins/src/target/common/standInAnswer.ts
+++ b/packages/standins/src/target/common/standInResponse.ts
@@ -4,7 +4,7 @@
 const CHECKSUM_LENGTH = 16;
 
 /** What an answer says of the request that it belongs to. */
-export interface IAnswerContent {
+export interface IResponseContent {
   readonly member: string;
   readonly service: string;
   readonly target: string;
@@ -17,13 +17,13 @@
 }
 
 /** What a caller expects of its answer. */
-export type ExpectedAnswer = Pick<
-  IAnswerContent,
+export type ExpectedResponse = Pick<
+  IResponseContent,
   'member' | 'service' | 'requestId' | 'method' | 'path' | 'requestChecksum'
 >;
 
 /** How an answer falls short. */
-export const AnswerFault = {
+export const ResponseFault = {
   None: 'none',
   /** Cut short or altered. */
   Partial: 'partial',
@@ -31,7 +31,7 @@
   Foreign: 'foreign',
 } as const;
 
-export type AnswerFault = (typeof AnswerFault)[keyof typeof AnswerFault];
+export type ResponseFault = (typeof ResponseFault)[keyof typeof ResponseFault];
 
 /**
  * Checksum of bytes, for comparison only.
@@ -49,7 +49,7 @@
  * @example
  * const body = encodeAnswer(content);
  */
-export function encodeAnswer(content: IAnswerContent): Buffer {
+export function encodeResponseContent(content: IResponseContent): Buffer {
   const checksum = computeChecksum(JSON.stringify(content));
   return Buffer.from(JSON.stringify({ ...content, checksum }));
 }
@@ -60,17 +60,17 @@
  * @example
  * if (verifyAnswer(bytes, expected) !== AnswerFault.None) report();
  */
-export function verifyAnswer(body: Uint8Array, expected: ExpectedAnswer): AnswerFault {
-  const content = parseAnswer(body);
-  if (content === undefined) return AnswerFault.Partial;
+export function verifyResponse(body: Uint8Array, expected: ExpectedResponse): ResponseFault {
+  const content = parseResponse(body);
+  if (content === undefined) return ResponseFault.Partial;
   const fields = Object.entries(expected);
-  const isOwn = fields.every(([name, value]) => content[name as keyof ExpectedAnswer] === value);
-  return isOwn ? AnswerFault.None : AnswerFault.Foreign;
+  const isOwn = fields.every(([name, value]) => content[name as keyof ExpectedResponse] === value);
+  return isOwn ? ResponseFault.None : ResponseFault.Foreign;
 }
 
-function parseAnswer(body: Uint8Array): IAnswerContent | undefined {
+function parseResponse(body: Uint8Array): IResponseContent | undefined {
   try {
-    const parsed = JSON.parse(Buffer.from(body).toString('utf8')) as IAnswerContent & {
+    const parsed = JSON.parse(Buffer.from(body).toString('utf8')) as IResponseContent & {
       readonly checksum: string;
     };
     const { checksum, ...content } = parsed;
--- a/packages/standins/src/target/node/exchange.ts
+++ b/packages/standins/src/target/node/exchange.ts
@@ -24,7 +24,7 @@
   private readonly abort = new AbortController();
   private readonly timer: NodeJS.Timeout | undefined;
   private receivedBody: Buffer = NO_BYTES;
-  private callerGone = false;
+  private callerDisconnected = false;
 
   constructor(
     request: IncomingMessage,
@@ -38,7 +38,7 @@
     this.socket = request.socket;
     this.timer = this.startTimeout(getHeader(request, 'parsleymux-timeout-ms'));
     response.once('close', () => {
-      this.callerGone = !response.writableFinished;
+      this.callerDisconnected = !response.writableFinished;
       this.abort.abort(new Error('the caller is gone'));
     });
   }
@@ -51,8 +51,8 @@
     this.receivedBody = body;
   }
 
-  isCallerGone(): boolean {
-    return this.callerGone;
+  isCallerDisconnected(): boolean {
+    return this.callerDisconnected;
   }
 
   /** Announces the whole body, sends half of it, and closes the connection. */
--- a/packages/standins/src/target/node/targetProbes.ts
+++ b/packages/standins/src/target/node/targetProbes.ts
@@ -2,7 +2,7 @@
 import type { ExecutionLog } from '../common/executionLog.js';
 import type { ITargetFaults } from '../common/targetConfig.js';
 import type { Exchange } from './exchange.js';
-import type { MutableTargetCounters, TargetReplies } from './targetReplies.js';
+import type { MutableTargetCounters, TargetResponder } from './targetResponder.js';
 
 const OK = 200;
 const NOT_FOUND = 404;
@@ -12,7 +12,7 @@
 
 /** Options of {@link TargetProbes}. */
 export interface ITargetProbesOptions {
-  readonly replies: TargetReplies;
+  readonly responder: TargetResponder;
   readonly counters: MutableTargetCounters;
   readonly executions: ExecutionLog;
   readonly slots: number;
@@ -39,7 +39,7 @@
   }
 
   private sendHealth(exchange: Exchange): void {
-    const { counters, getFaults, replies } = this.options;
+    const { counters, getFaults, responder: replies } = this.options;
     counters.probes += 1;
     const { health, draining } = getFaults();
     const isRed = health === 'red' || (health === 'auto' && draining);
@@ -47,7 +47,7 @@
   }
 
   private sendLoad(exchange: Exchange): void {
-    const { counters, getFaults, getRunning, replies, slots } = this.options;
+    const { counters, getFaults, getRunning, responder: replies, slots } = this.options;
     counters.probes += 1;
     const { claimedLoad } = getFaults();
     const running = claimedLoad < 0 ? getRunning() : claimedLoad;
@@ -55,10 +55,10 @@
   }
 
   private sendLookUp(exchange: Exchange): void {
-    const { executions, replies } = this.options;
+    const { executions, responder: replies } = this.options;
     const found = executions.find(decodeURIComponent(exchange.path.slice(LOOK_UP_PREFIX.length)));
     if (found.answer !== undefined) {
-      replies.sendAnswer(exchange, OK, found.answer.body);
+      replies.sendResponse(exchange, OK, found.answer.body);
       return;
     }
     const isOpen = found.count > 0 || found.waiting > 0;
--- a/packages/standins/src/target/node/targetReplies.ts
+++ b/packages/standins/src/target/node/targetResponder.ts
@@ -10,8 +10,8 @@
   -readonly [K in keyof ITargetCounters]: ITargetCounters[K];
 };
 
-/** Options of {@link TargetReplies}. */
-export interface ITargetRepliesOptions {
+/** Options of {@link TargetResponder}. */
+export interface ITargetResponderOptions {
   readonly random: RandomSource;
   readonly counters: MutableTargetCounters;
   /** Connections on which nothing is sent any more. */
@@ -25,20 +25,20 @@
  * @example
  * replies.sendAnswer(exchange, 200, encodeAnswer(content));
  */
-export class TargetReplies {
-  constructor(private readonly options: ITargetRepliesOptions) {}
+export class TargetResponder {
+  constructor(private readonly options: ITargetResponderOptions) {}
 
   /** Sends the answer to executed work, unless a fault keeps it back or cuts it. */
-  sendAnswer(exchange: Exchange, status: number, body: Uint8Array): void {
+  sendResponse(exchange: Exchange, status: number, body: Uint8Array): void {
     const isTruncated = this.options.random.getFloat() < this.options.getFaults().truncateShare;
     if (!isTruncated) {
-      if (this.isAnswerable(exchange)) {
+      if (this.isResponsePossible(exchange)) {
         sendBytes(exchange.response, status, body, this.makeHeaders());
       }
       return;
     }
     this.options.counters.truncated += 1;
-    if (this.isAnswerable(exchange)) exchange.sendTruncated(status, body, this.makeHeaders());
+    if (this.isResponsePossible(exchange)) exchange.sendTruncated(status, body, this.makeHeaders());
   }
 
   /** Sends any other answer. */
@@ -48,14 +48,14 @@
     value: unknown,
     headers: Readonly<Record<string, string>> = {},
   ): void {
-    if (!this.isAnswerable(exchange)) return;
+    if (!this.isResponsePossible(exchange)) return;
     sendJson(exchange.response, status, value, { ...this.makeHeaders(), ...headers });
   }
 
-  private isAnswerable(exchange: Exchange): boolean {
+  private isResponsePossible(exchange: Exchange): boolean {
     const isSilent =
       this.options.getFaults().oneWay || this.options.silentSockets.has(exchange.socket);
-    return !isSilent && !exchange.isCallerGone();
+    return !isSilent && !exchange.isCallerDisconnected();
   }
 
   private makeHeaders(): Readonly<Record<string, string>> {
--- a/packages/standins/src/target/node/targetStandIn.test.ts
+++ b/packages/standins/src/target/node/targetStandIn.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ManualClock } from '@parsleymux/base';
 import { Pool } from 'undici';
-import { AnswerFault, computeChecksum, verifyAnswer } from '../common/standInAnswer.js';
+import { ResponseFault, computeChecksum, verifyResponse } from '../common/standInResponse.js';
 import type { ITargetStandInOptions } from './targetStandIn.js';
 import { TargetStandIn } from './targetStandIn.js';
 
@@ -59,9 +59,9 @@
       path: '/jobs',
       requestChecksum: computeChecksum('work'),
     };
-    assert.equal(verifyAnswer(body, expected), AnswerFault.None);
-    assert.equal(verifyAnswer(body, { ...expected, requestId: 'r2' }), AnswerFault.Foreign);
-    assert.equal(verifyAnswer(body.subarray(0, 40), expected), AnswerFault.Partial);
+    assert.equal(verifyResponse(body, expected), ResponseFault.None);
+    assert.equal(verifyResponse(body, { ...expected, requestId: 'r2' }), ResponseFault.Foreign);
+    assert.equal(verifyResponse(body.subarray(0, 40), expected), ResponseFault.Partial);
     const found = await pool.request({ method: 'GET', path: '/lookup/key-r1' });
     assert.deepEqual(await found.body.bytes(), body);
     const missing = await pool.request({ method: 'GET', path: '/lookup/key-r2' });
--- a/packages/standins/src/target/node/targetStandIn.ts
+++ b/packages/standins/src/target/node/targetStandIn.ts
@@ -19,14 +19,14 @@
 import { ExecutionLog } from '../common/executionLog.js';
 import { sampleServiceTime } from '../common/serviceTime.js';
 import { SlotOutcome, SlotQueue } from '../common/slotQueue.js';
-import { computeChecksum, encodeAnswer } from '../common/standInAnswer.js';
+import { computeChecksum, encodeResponseContent } from '../common/standInResponse.js';
 import type { ITargetConfig, ITargetCounters, ITargetFaults } from '../common/targetConfig.js';
 import { DEFAULT_TARGET_CONFIG, NO_TARGET_FAULTS } from '../common/targetConfig.js';
 import { Exchange } from './exchange.js';
 import { handleTargetControl } from './targetControl.js';
 import { TargetProbes } from './targetProbes.js';
-import type { MutableTargetCounters } from './targetReplies.js';
-import { TargetReplies } from './targetReplies.js';
+import type { MutableTargetCounters } from './targetResponder.js';
+import { TargetResponder } from './targetResponder.js';
 
 const OK = 200;
 const FAILED = 500;
@@ -64,7 +64,7 @@
   private readonly control: LoopbackServer;
   private readonly queue: SlotQueue;
   private readonly silentSockets = new WeakSet<Socket>();
-  private readonly replies: TargetReplies;
+  private readonly replies: TargetResponder;
   private readonly probes: TargetProbes;
   private readonly counters: MutableTargetCounters = {
     executed: 0,
@@ -92,7 +92,7 @@
     this.clock = clock ?? new SystemClock();
     this.random = new SeededRandom(this.config.seed);
     this.queue = new SlotQueue(this.config.slots, this.config.queueLimit);
-    this.replies = new TargetReplies({
+    this.replies = new TargetResponder({
       random: this.random,
       counters: this.counters,
       silentSockets: this.silentSockets,
@@ -177,7 +177,7 @@
 
   private createProbes(): TargetProbes {
     return new TargetProbes({
-      replies: this.replies,
+      responder: this.replies,
       counters: this.counters,
       executions: this.executions,
       slots: this.config.slots,
@@ -214,10 +214,10 @@
       return;
     }
     this.executions.addWaiting(exchange.key, 1);
-    const slot = await this.queue.take(exchange.signal);
+    const slot = await this.queue.waitForSlot(exchange.signal);
     this.executions.addWaiting(exchange.key, -1);
     if (slot === SlotOutcome.Full) this.refuse(exchange, UNAVAILABLE);
-    if (slot === SlotOutcome.GaveUp) this.refuse(exchange, TIMED_OUT);
+    if (slot === SlotOutcome.Aborted) this.refuse(exchange, TIMED_OUT);
     if (slot !== SlotOutcome.Acquired) return;
     try {
       await this.execute(exchange);
@@ -240,7 +240,7 @@
       return;
     }
     const status = this.random.getFloat() < this.faults.failShare ? FAILED : OK;
-    const body = this.makeAnswer(exchange);
+    const body = this.makeResponseBody(exchange);
     execution.finish({ status, body });
     this.counters.finished += 1;
     if (status === FAILED) this.counters.failed += 1;
@@ -249,7 +249,7 @@
       return;
     }
     const isForeign = this.random.getFloat() < this.faults.foreignShare;
-    this.replies.sendAnswer(exchange, status, isForeign ? (this.lastBody ?? body) : body);
+    this.replies.sendResponse(exchange, status, isForeign ? (this.lastBody ?? body) : body);
     this.lastBody = body;
   }
 
@@ -260,8 +260,8 @@
     return factor * sampleServiceTime(this.random, meanServiceMs, serviceSigma);
   }
 
-  private makeAnswer(exchange: Exchange): Buffer {
-    return encodeAnswer({
+  private makeResponseBody(exchange: Exchange): Buffer {
+    return encodeResponseContent({
       member: this.config.member,
       service: this.config.service,
       target: this.getAddress(),
@@ -280,7 +280,7 @@
   }
 
   private sendStopped(exchange: Exchange): void {
-    if (exchange.isCallerGone()) {
+    if (exchange.isCallerDisconnected()) {
       this.counters.cancelled += 1;
       return;
     }
