--- a/packages/base/src/clock/common/clock.ts
+++ b/packages/base/src/clock/common/clock.ts
@@ -1,4 +1,4 @@
-/** Time as an injected service, so that replays and tests run on a clock of their own. */
+/** Injectable source of time, so that replays and tests can control the clock. */
 import type { IDisposable } from '../../lifecycle/common/disposable.js';
 
 /** Reads time and schedules work. All durations and instants are in milliseconds. */
--- a/packages/base/src/clock/common/instant.ts
+++ b/packages/base/src/clock/common/instant.ts
@@ -1,15 +1,17 @@
-/** Moments that are measured by two clocks, for leases that must not outlive a suspension. */
+/** Instants on both clocks of a machine, for leases that must expire during a suspension. */
 import type { Clock } from './clock.js';
 
-/** One moment as both clocks of a machine showed it, in ms. */
+/** One instant as read from the monotonic clock and the wall clock, in ms. */
 export interface IInstant {
-  /** Stands still while the machine is suspended. */
+  /** Does not advance while the machine is suspended. */
   readonly monotonicMs: number;
-  /** Counts a suspension, but may step. */
+  /** Includes suspensions, but may be set forwards or backwards. */
   readonly wallMs: number;
 }
 
 /**
+ * Reads both clocks.
+ *
  * @example
  * const sentAt = readInstant(clock);
  */
@@ -18,8 +20,8 @@
 }
 
 /**
- * Time since `instant` by the clock that shows more, in ms. It is too short only for a machine that was
- * suspended and whose time of day was set back meanwhile.
+ * Returns the time since `instant` in ms, from the clock that shows more. The result is too short only
+ * if the machine was suspended and its wall clock was also set back.
  *
  * @example
  * if (measureElapsedMs(clock, lease.startedAt) >= LEASE_MS) refuse();
@@ -28,17 +30,17 @@
   return Math.max(clock.getMonotonicTime() - monotonicMs, clock.getWallTime() - wallMs);
 }
 
-/** The moment `ms` before `instant`. */
+/** Returns the instant `ms` before the given one. */
 export function computeEarlierInstant({ monotonicMs, wallMs }: IInstant, ms: number): IInstant {
   return { monotonicMs: monotonicMs - ms, wallMs: wallMs - ms };
 }
 
 /**
- * The moment since which less time has passed. Compared by what has passed and not field by field: after
- * a step of the time of day, a later moment may have the earlier time of day.
+ * Returns the instant since which less time has elapsed. Elapsed times are compared rather than fields,
+ * because a later instant can have the smaller wall time after the wall clock was set back.
  *
  * @example
- * proof = pickLater(clock, proof, next);
+ * proof = pickLaterInstant(clock, proof, next);
  */
 export function pickLaterInstant(clock: Clock, left: IInstant, right: IInstant): IInstant {
   return measureElapsedMs(clock, left) < measureElapsedMs(clock, right) ? left : right;
--- a/packages/base/src/clock/common/manualClock.test.ts
+++ b/packages/base/src/clock/common/manualClock.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ManualClock } from './manualClock.js';
 
-test('timers fire in order of due time, and a resolved sleep runs before the next timer', async () => {
+test('timers fire in order of due time, and continuations of a sleep run before the next timer', async () => {
   const clock = new ManualClock();
   const seen: string[] = [];
   clock.startTimer(20, () => seen.push('timer 20'));
@@ -16,7 +16,7 @@
   assert.equal(clock.getMonotonicTime(), 30);
 });
 
-test('a sleep that is aborted rejects at once and its timer does not fire', async () => {
+test('an aborted sleep rejects immediately and its timer does not fire', async () => {
   const clock = new ManualClock();
   const abort = new AbortController();
   const sleeper = clock.sleep(10, abort.signal);
--- a/packages/base/src/clock/common/manualClock.ts
+++ b/packages/base/src/clock/common/manualClock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until it is advanced. Replays and tests run on it. */
+/** A clock that advances only on request, for replays and tests. */
 import type { IDisposable } from '../../lifecycle/common/disposable.js';
 import { toDisposable } from '../../lifecycle/common/disposable.js';
 import { Clock } from './clock.js';
@@ -17,8 +17,8 @@
 }
 
 /**
- * Runs timers in order of due time, then of creation, letting every promise that a timer
- * resolved run to rest before the next timer fires.
+ * Runs timers in order of due time, then of creation. Promise continuations that a timer triggers
+ * complete before the next timer fires.
  *
  * @example
  * const clock = new ManualClock();
@@ -58,12 +58,12 @@
     });
   }
 
-  /** Advances by `durationMs`, firing what falls due on the way. */
+  /** Advances by `durationMs` and fires the timers that become due. */
   async advanceBy(durationMs: number): Promise<void> {
     await this.advanceTo(this.nowMs + durationMs);
   }
 
-  /** Advances to the monotonic instant `instantMs`, firing what falls due on the way. */
+  /** Advances to the monotonic instant `instantMs` and fires the timers that become due. */
   async advanceTo(instantMs: number): Promise<void> {
     await waitForMicrotasks();
     for (;;) {
@@ -113,7 +113,7 @@
   return left.dueMs < right.dueMs || (left.dueMs === right.dueMs && left.sequence < right.sequence);
 }
 
-/** Lets promise chains settle: immediates run only after the microtask queue has drained. */
+/** Waits until pending promise chains settle: immediates run after the microtask queue is empty. */
 function waitForMicrotasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/base/src/clock/node/systemClock.ts
+++ b/packages/base/src/clock/node/systemClock.ts
@@ -1,10 +1,10 @@
-/** The machine's own clock. */
+/** The operating system's clock. */
 import { Clock } from '../common/clock.js';
 import type { IDisposable } from '../../lifecycle/common/disposable.js';
 import { toDisposable } from '../../lifecycle/common/disposable.js';
 
 /**
- * Reads the operating system's clocks.
+ * A clock on the operating system's wall clock, monotonic clock and timers.
  *
  * @example
  * const clock = new SystemClock();
--- a/packages/base/src/error/common/muxError.ts
+++ b/packages/base/src/error/common/muxError.ts
@@ -1,4 +1,4 @@
-/** The typed error of the project: a numbered result, whether the request ran, and a cause. */
+/** The project's error type: a result code, whether the request was executed, and a cause. */
 import VError from 'verror';
 import type { ResultCode } from '../../result/common/resultCode.js';
 import { RunState } from '../../result/common/resultCode.js';
@@ -6,16 +6,16 @@
 /** Options of a {@link MuxError}. */
 export interface IMuxErrorOptions {
   readonly code: ResultCode;
-  /** Sentence for people; names nothing that belongs to another member. */
+  /** Human-readable sentence; must not contain data of other members. */
   readonly message: string;
   readonly runState: RunState;
   readonly cause?: unknown;
-  /** Milliseconds after which asking again makes sense. Absent when asking again is of no use. */
+  /** Milliseconds after which the caller may retry. Absent when a retry cannot succeed. */
   readonly retryAfterMs?: number;
 }
 
 /**
- * An error that can be answered to a caller as it is.
+ * An error that can be sent to a caller without translation.
  *
  * @example
  * throw new MuxError({ code: ResultCode.QueueFull, message: 'queue is full', runState: RunState.NotRun });
@@ -24,7 +24,7 @@
   readonly code: ResultCode;
   readonly runState: RunState;
   readonly retryAfterMs: number | undefined;
-  /** The message alone; `message` goes on with those of the causes, which callers must not see. */
+  /** The message without the causes' messages that `message` appends; callers must not see those. */
   readonly summary: string;
 
   constructor(options: IMuxErrorOptions) {
@@ -38,8 +38,9 @@
   }
 
   /**
-   * The same refusal for a request that somebody may have executed: an earlier attempt, or a node
-   * that fell silent with it. "Not run" of the last attempt alone would be false of the request.
+   * Returns the same error with the run state `MayHaveRun` in place of `NotRun`. For a request
+   * that an earlier attempt, or a node that stopped responding, may have executed: the last
+   * attempt did not run, but that does not hold for the whole request.
    */
   toMayHaveRun(): MuxError {
     if (this.runState !== RunState.NotRun) return this;
--- a/packages/base/src/event/common/event.ts
+++ b/packages/base/src/event/common/event.ts
@@ -1,8 +1,8 @@
-/** Typed events, named `onDidX` by the class that offers them. */
+/** Typed events. Classes expose them as members named `onDidX`. */
 import type { IDisposable } from '../../lifecycle/common/disposable.js';
 import { toDisposable } from '../../lifecycle/common/disposable.js';
 
-/** Subscribes a listener; disposing of the result ends the subscription. */
+/** Subscribes a listener; disposing of the result unsubscribes it. */
 export type Event<T> = (listener: (value: T) => void) => IDisposable;
 
 /**
@@ -17,7 +17,7 @@
 export class Emitter<T> implements IDisposable {
   private readonly listeners = new Set<(value: T) => void>();
 
-  /** Subscribes to what is fired. */
+  /** Subscribes to the fired values. */
   readonly onDidFire: Event<T> = (listener) => {
     this.listeners.add(listener);
     return toDisposable(() => {
--- a/packages/base/src/hash/common/hasher.ts
+++ b/packages/base/src/hash/common/hasher.ts
@@ -1,10 +1,10 @@
-/** A fast hash for placement; not for anything that must resist an adversary. */
+/** A fast non-cryptographic hash for placement. It does not resist chosen inputs. */
 import xxhash from 'xxhash-wasm';
 
 const api = await xxhash();
 
 /**
- * 32-bit xxHash of `text`, as an unsigned integer.
+ * Returns the 32-bit xxHash of `text` as an unsigned integer.
  *
  * @example
  * hashToInteger('booking@north', 7);
--- a/packages/base/src/http/node/listener.ts
+++ b/packages/base/src/http/node/listener.ts
@@ -1,10 +1,10 @@
-/** Opening and closing of HTTP servers on addresses from the settings. */
+/** Opens and closes HTTP servers on addresses from the settings. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { MuxError } from '../../error/common/muxError.js';
 import { ResultCode, RunState } from '../../result/common/resultCode.js';
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface IEndpoint {
   readonly host: string;
   readonly port: number;
@@ -23,7 +23,9 @@
 }
 
 /**
- * Listens and resolves with the address in use, its port chosen by the system when it was 0.
+ * Listens on `address` and resolves with the bound address. Port 0 lets the operating system choose.
+ *
+ * @throws MuxError with code ConnectionFailed when the address cannot be bound.
  *
  * @example
  * const address = await listenOn(server, '127.0.0.1:0'); // '127.0.0.1:40123'
@@ -66,11 +68,11 @@
 }
 
 /**
- * Stops listening and cuts the connections that are open. For ports whose clients keep connections
- * for long: waiting for their end would hold the process for the whole keep-alive time.
+ * Stops listening and closes all open connections. For ports whose clients hold connections open:
+ * waiting for them would delay the shutdown by the whole keep-alive timeout.
  *
  * @example
- * await endServer(server);
+ * await closeServerImmediately(server);
  */
 export async function closeServerImmediately(server: Server): Promise<void> {
   const closed = closeServer(server);
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,4 +1,4 @@
-/** Services that every other package builds on. */
+/** Basic services that all other packages use. */
 export * from './clock/common/clock.js';
 export * from './clock/common/durations.js';
 export * from './clock/common/instant.js';
--- a/packages/base/src/invariant/common/invariantRegistry.ts
+++ b/packages/base/src/invariant/common/invariantRegistry.ts
@@ -1,11 +1,11 @@
 /**
- * Invariants are checked in every run, not only in tests. A violation is counted and reported,
- * and the program goes on: a proxy that exits on a broken invariant would turn one member's
- * fault into everyone's outage. The count is a metric that must stay at zero.
+ * Invariants that are checked in production as well as in tests. A violation is counted and
+ * reported, and the process keeps running: exiting would turn a fault that affects one member
+ * into an outage for all members. The count is a metric that must stay at zero.
  */
 import { Emitter } from '../../event/common/event.js';
 
-/** Names of the invariants, as they appear in metrics and reports. */
+/** Names of the invariants in metrics and reports. */
 export const InvariantName = {
   CapacityFloor: 'capacity_floor',
   CompleteResponse: 'whole_answer',
@@ -19,7 +19,7 @@
 
 export type InvariantName = (typeof InvariantName)[keyof typeof InvariantName];
 
-/** One violation. `detail` names internal state only, never the content of a request. */
+/** One violation. `detail` contains internal state only, never the content of a request. */
 export interface IInvariantViolation {
   readonly name: InvariantName;
   readonly detail: string;
@@ -39,7 +39,7 @@
   /** Fires on every violation. */
   readonly onDidViolate = this.didViolate.onDidFire;
 
-  /** Records that `name` was checked, and a violation when `holds` is false. Returns `holds`. */
+  /** Records a check of `name`, and a violation when `holds` is false. Returns `holds`. */
   check(name: InvariantName, holds: boolean, describe: () => string): boolean {
     this.checks.set(name, (this.checks.get(name) ?? 0) + 1);
     if (holds) return true;
@@ -48,12 +48,12 @@
     return false;
   }
 
-  /** Times that `name` was checked. */
+  /** Returns how often `name` was checked. */
   getCheckCount(name: InvariantName): number {
     return this.checks.get(name) ?? 0;
   }
 
-  /** Times that `name` did not hold. */
+  /** Returns how often `name` was violated. */
   getViolationCount(name: InvariantName): number {
     return this.violations.get(name) ?? 0;
   }
--- a/packages/base/src/lifecycle/common/disposable.ts
+++ b/packages/base/src/lifecycle/common/disposable.ts
@@ -1,16 +1,16 @@
 /**
- * Ownership of resources: whoever opens something registers its close in a
- * {@link DisposableStore}, and the store closes everything once, last opened first.
+ * Ownership of resources: code that opens a resource registers it in a {@link DisposableStore},
+ * which closes each resource once, in reverse order of registration.
  */
 
 /** Something that holds a resource until it is disposed of. */
 export interface IDisposable {
-  /** Releases the resource. Calling it again does nothing. */
+  /** Releases the resource. Further calls have no effect. */
   dispose(): void | Promise<void>;
 }
 
 /**
- * Wraps a close function so that it runs at most once.
+ * Wraps a function as a disposable that calls it at most once.
  *
  * @example
  * const timer = toDisposable(() => clearTimeout(handle));
@@ -38,7 +38,7 @@
   private readonly items: IDisposable[] = [];
   private isDisposed = false;
 
-  /** Registers `item` and returns it. An item added after the store closed is closed at once. */
+  /** Registers `item` and returns it. An item added to a disposed store is disposed of immediately. */
   add<T extends IDisposable>(item: T): T {
     if (this.isDisposed) {
       void item.dispose();
--- a/packages/base/src/lifecycle/common/joinedSignal.test.ts
+++ b/packages/base/src/lifecycle/common/joinedSignal.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { JoinedSignal } from './joinedSignal.js';
 
-test('a joined signal aborts with the first of its sources, and with its reason', () => {
+test('a joined signal aborts with the reason of the first aborted source', () => {
   const sources = [new AbortController(), new AbortController()];
   const joined = new JoinedSignal(sources.map(({ signal }) => signal));
   assert.equal(joined.signal.aborted, false);
@@ -14,9 +14,9 @@
   assert.equal(late.signal.reason, reason);
 });
 
-test('what was let go leaves nothing in a source that lives on', () => {
-  // Symptom: the memory of a node that does nothing grows by megabytes a day. Sequence: a loop
-  // joins its own signal with a limit for each call. Cause: the joined signals stay registered.
+test('a disposed signal leaves no listener on its sources', () => {
+  // Guards against a leak of megabytes a day in an idle node: a loop joins its signal with a
+  // timeout for each call, and the joined signals stay registered on the loop's signal.
   const source = new AbortController();
   const joined = new JoinedSignal([source.signal, new AbortController().signal]);
   assert.equal(getEventListeners(source.signal, 'abort').length, 1);
@@ -26,9 +26,9 @@
   assert.equal(joined.signal.aborted, false);
 });
 
-test('many calls at once under one signal bring no warning of forgotten listeners', async () => {
-  // Symptom: MaxListenersExceededWarning in a node's log. Sequence: a loop tells many peers at
-  // once. Cause: each call listens to the loop's signal, and Node takes more than ten for a leak.
+test('many concurrent joined signals on one source cause no MaxListenersExceededWarning', async () => {
+  // A loop that sends to many peers concurrently adds a listener to its signal for each call, and
+  // Node reports more than ten listeners as a possible leak.
   const warnings: Error[] = [];
   const onWarning = (warning: Error): number => warnings.push(warning);
   process.on('warning', onWarning);
--- a/packages/base/src/lifecycle/common/joinedSignal.ts
+++ b/packages/base/src/lifecycle/common/joinedSignal.ts
@@ -1,14 +1,14 @@
-/** A signal that aborts with any of several, and that can be let go. */
+/** A disposable signal that aborts when any of several sources aborts. */
 import { setMaxListeners } from 'node:events';
 import type { IDisposable } from './disposable.js';
 
-/** Node's word for no bound. */
+/** Disables the listener limit in `setMaxListeners`. */
 const UNBOUNDED = 0;
 
 /**
- * Aborts when one of its sources does, until it is disposed of. `AbortSignal.any` leaves an entry
- * in each source for as long as that lives (Node 20), seen as memory that grows with every round
- * of a loop that runs under one signal; this takes its listeners back.
+ * Aborts when one of its sources aborts, until it is disposed of. `AbortSignal.any` leaves an entry
+ * in each source for the source's lifetime (Node 20), so a loop under one long-lived signal leaks
+ * memory with every iteration. This class removes its listeners on disposal.
  *
  * @example
  * const joined = new JoinedSignal([signal, wakeUp.signal]);
@@ -18,7 +18,7 @@
   private readonly abort = new AbortController();
 
   constructor(private readonly sources: readonly AbortSignal[]) {
-    // Node warns of many listeners because they may have been forgotten; these are taken back.
+    // Node warns about many listeners as a possible leak; these are removed on disposal.
     setMaxListeners(UNBOUNDED, ...sources);
     for (const source of sources) source.addEventListener('abort', this.onAbort);
     this.onAbort();
--- a/packages/base/src/log/node/logger.ts
+++ b/packages/base/src/log/node/logger.ts
@@ -1,26 +1,26 @@
-/** Structured logs. A line is written only when some state changes; what recurs is a counter. */
+/** Structured logs. Only state changes are logged; recurring events are counted in metrics. */
 import type { ConsolaInstance } from 'consola';
 import { createConsola } from 'consola';
 
 /** Options of {@link createLogger}. */
 export interface ILoggerOptions {
-  /** Write one JSON object a line instead of text for people. Default false. */
+  /** Write one JSON object per line instead of human-readable text. Default false. */
   readonly json?: boolean;
-  /** Fields that every line carries. */
+  /** Fields that are added to every line. */
   readonly fields?: Readonly<Record<string, string>>;
   /** Lowest severity that is written. Default 'info'. */
   readonly level?: LogLevel;
-  /** Where JSON lines go; `isImportant` is true of warnings and errors. Default: standard error. */
+  /** Writes a JSON line; `isImportant` is true for warnings and errors. Default: standard error. */
   readonly writeLine?: (line: string, isImportant: boolean) => void;
 }
 
-/** Severity of a line, gravest first. */
+/** Severity of a line, most severe first. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
-/** The part of the logger that components use. */
+/** The subset of consola's methods that components use. */
 export type Logger = Pick<ConsolaInstance, 'info' | 'warn' | 'error' | 'debug'>;
 
-/** Below every level that consola knows. */
+/** Lower than every consola level, so that nothing is written. */
 const SILENT_LEVEL = -999;
 
 const CONSOLA_LEVELS: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
@@ -38,7 +38,7 @@
   const writeLine = options.writeLine ?? writeToStderr;
   return createConsola({
     level,
-    // Lines that are alike speak of different requests; none may be left out for being repeated.
+    // Identical lines concern different requests, so consola must not suppress repeated lines.
     throttle: 0,
     reporters: [
       {
@@ -58,7 +58,7 @@
 }
 
 /**
- * A logger that writes nothing, for tests and replays.
+ * Creates a logger that writes nothing, for tests and replays.
  *
  * @example
  * const node = new MuxNode({ ...options, log: createSilentLogger() });
--- a/packages/base/src/random/common/randomSource.test.ts
+++ b/packages/base/src/random/common/randomSource.test.ts
@@ -4,10 +4,9 @@
 
 const SEEDS = 1000;
 
-test('the first numbers of neighbouring seeds are spread evenly', () => {
-  // Symptom: nodes that start together poll together, whatever their seed. Sequence: each process
-  // seeds its generator and takes its first jitter. Cause: the generator's first output is next to
-  // 1 for every seed.
+test('the first numbers of adjacent seeds are uniformly distributed', () => {
+  // Guards against nodes that start together and poll in lockstep: without warm-up steps, the
+  // generator's first output, which is the first jitter of a process, is close to 1 for every seed.
   for (const skipped of [0, 1, 2]) {
     const buckets = Array<number>(10).fill(0);
     for (let seed = 0; seed < SEEDS; seed += 1) {
--- a/packages/base/src/random/common/randomSource.ts
+++ b/packages/base/src/random/common/randomSource.ts
@@ -1,37 +1,38 @@
-/** Randomness as an injected service, so that every run can be repeated from its seed. */
+/** Injectable source of random numbers, so that every run can be reproduced from its seed. */
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Uniform random numbers. */
+/** A source of uniformly distributed random numbers. */
 export abstract class RandomSource {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   abstract getFloat(): number;
 
-  /** An integer in [0, `bound`). */
+  /** Returns an integer in [0, `bound`). */
   getInteger(bound: number): number {
     return Math.floor(this.getFloat() * bound);
   }
 
-  /** An exponentially distributed number with mean `mean`. */
+  /** Returns an exponentially distributed number with mean `mean`. */
   getExponential(mean: number): number {
     return -mean * Math.log(1 - this.getFloat());
   }
 
-  /** `delayMs` spread uniformly over ±`share`, so that peers that start together drift apart. */
+  /** Varies `delayMs` uniformly by ±`share`, so that peers that start together desynchronize. */
   getJittered(delayMs: number, share = 0.2): number {
     return delayMs * (1 - share + 2 * share * this.getFloat());
   }
 }
 
 /**
- * The generator starts from a state of nearly all zeros or ones, so its first numbers hardly depend
- * on the seed: every process would begin with the same jitter, seen as a burst of polls when a
- * whole fleet starts at once. By this many steps the seed has reached every bit.
+ * Outputs that are discarded after seeding. The generator's initial state is nearly all zeros or
+ * ones, so its first outputs hardly depend on the seed: all processes would start with the same
+ * jitter, and a fleet that starts at once would poll in a burst. After 64 steps the seed affects
+ * every bit of the state.
  */
 const WARM_UP_STEPS = 64;
 
 /**
- * Numbers that follow from a seed.
+ * A deterministic generator: equal seeds yield equal sequences.
  *
  * @example
  * const random = new SeededRandom(42);
--- a/packages/base/src/result/common/resultCode.ts
+++ b/packages/base/src/result/common/resultCode.ts
@@ -1,12 +1,12 @@
 /**
- * The numbered results that callers and operators see. docs/RESULT-CODES.md lists the same
- * table; a test keeps the two alike. A number is never given a new meaning.
+ * Numbered result codes for callers and operators. docs/RESULT-CODES.md is generated from the
+ * same table, and a test checks that both agree. Numbers are never reused for another meaning.
  *
- * 1xxx request refused for what it is; 2xxx refused for load or state; 3xxx target failures;
+ * 1xxx invalid requests; 2xxx rejections due to load or node state; 3xxx target failures;
  * 4xxx idempotency; 5xxx administration; 6xxx settings and command line; 9xxx internal.
  */
 
-/** Whether the request that a result speaks of reached the point of being executed. */
+/** Whether the request that a result refers to was executed. */
 export const RunState = {
   /** No target has executed the request, and none will. */
   NotRun: 'not-run',
@@ -18,7 +18,7 @@
 
 export type RunState = (typeof RunState)[keyof typeof RunState];
 
-/** Numbered results. */
+/** Result codes by name. Names and numbers appear in responses, logs and metrics. */
 export const ResultCode = {
   Ok: 0,
   MalformedRequest: 1001,
--- a/packages/base/src/result/common/resultTable.test.ts
+++ b/packages/base/src/result/common/resultTable.test.ts
@@ -5,7 +5,7 @@
 import { getResultInfo, listResultInfos } from './resultTable.js';
 import { formatRetryAfter, getDefaultRetryAfterMs } from './retryAfter.js';
 
-test('every code has one row, and a number stands for one result only', () => {
+test('every code has exactly one row, and numbers are unique', () => {
   const codes = Object.values(ResultCode);
   assert.equal(new Set(codes).size, codes.length);
   assert.deepEqual(
@@ -14,14 +14,14 @@
   );
 });
 
-test('a result that tells callers to come back after Retry-After always has a wait', () => {
+test('every result whose action mentions Retry-After has a default retry delay', () => {
   for (const info of listResultInfos()) {
     if (!info.action.includes('Retry-After')) continue;
     assert.ok(getDefaultRetryAfterMs(info.code) !== undefined, info.name);
   }
 });
 
-test('statuses 429 and 503 always tell when to come back, but between nodes', () => {
+test('every 429 and 503 result for callers has a default retry delay', () => {
   for (const info of listResultInfos()) {
     if (info.httpStatus !== 503 && info.httpStatus !== 429) continue;
     if (info.code === ResultCode.PeerBehind) continue;
@@ -29,7 +29,7 @@
   }
 });
 
-test('the wait is rounded up to whole seconds', () => {
+test('the Retry-After header is rounded up to whole seconds', () => {
   const make = (retryAfterMs?: number) =>
     new MuxError({
       code: ResultCode.QueueFull,
@@ -42,7 +42,7 @@
   assert.equal(formatRetryAfter(make(1001)), '2');
 });
 
-test('a number of a newer version has a row that claims nothing', () => {
+test('an unknown code yields a generic row with the run state may-have-run', () => {
   const info = getResultInfo(8888 as ResultCode);
   assert.equal(info.runState, RunState.MayHaveRun);
   assert.equal(info.httpStatus, 500);
--- a/packages/base/src/result/common/resultTable.ts
+++ b/packages/base/src/result/common/resultTable.ts
@@ -1,4 +1,4 @@
-/** What each numbered result means, for answers, metrics and docs/RESULT-CODES.md. */
+/** Meaning of each result code, for responses, metrics and docs/RESULT-CODES.md. */
 import type { ResultCode } from './resultCode.js';
 import { ResultCode as Code, RunState } from './resultCode.js';
 
@@ -6,9 +6,9 @@
 export interface IResultInfo {
   readonly code: ResultCode;
   readonly name: string;
-  /** Status of HTTP that the result is answered with. */
+  /** HTTP status of the response. */
   readonly httpStatus: number;
-  /** The run state that the result usually comes with; the answer's own header decides. */
+  /** The usual run state; the header of the individual response takes precedence. */
   readonly runState: RunState;
   readonly meaning: string;
   /** What the receiver should do. */
@@ -22,121 +22,131 @@
 const { NotRun, MayHaveRun, Ran } = RunState;
 
 const ROWS: Readonly<Record<ResultName, Row>> = {
-  Ok: [200, Ran, 'A target answered; the status is its own.', 'Nothing.'],
-  MalformedRequest: [400, NotRun, 'The request is not valid HTTP/1.1.', 'Mend the client.'],
+  Ok: [200, Ran, 'A target responded; the status is that of its response.', 'Nothing.'],
+  MalformedRequest: [400, NotRun, 'The request is not valid HTTP/1.1.', 'Fix the client.'],
   HeadersTooLarge: [431, NotRun, 'The header fields exceed the node limit.', 'Send less.'],
   BodyTooLarge: [413, NotRun, 'The body exceeds the node limit.', 'Send less.'],
   UnknownHost: [404, NotRun, 'No member serves this host name.', 'Check the host name.'],
   UnknownRoute: [404, NotRun, 'The host has no route for this path.', 'Check the path.'],
   MethodNotAllowed: [405, NotRun, 'No route on this path takes the method.', 'Check the method.'],
-  DeadlinePassed: [504, NotRun, 'The deadline passed before dispatch.', 'Ask again.'],
-  MalformedDeadline: [400, NotRun, 'The timeout header is not a number of ms.', 'Mend the client.'],
-  CallerGone: [499, MayHaveRun, 'The caller hung up; counted, never received.', 'Nothing.'],
+  DeadlinePassed: [504, NotRun, 'The deadline passed before dispatch.', 'Retry.'],
+  MalformedDeadline: [400, NotRun, 'The timeout header is not a number of ms.', 'Fix the client.'],
+  CallerGone: [499, MayHaveRun, 'The caller disconnected; counted, never sent.', 'Nothing.'],
   RequestTimeout: [
     408,
     NotRun,
-    'The request did not arrive whole in time.',
-    'Send it again, faster.',
-  ],
-  KeyMissing: [401, NotRun, 'The route needs a key and none came.', 'Send a key.'],
-  SeveralKeys: [401, NotRun, 'More than one key came.', 'Send one key.'],
-  UnknownScheme: [401, NotRun, 'The credentials are of another scheme.', 'Mend the client.'],
-  MalformedKey: [401, NotRun, 'The key is empty, too long or no token.', 'Check the key.'],
-  UnknownKey: [401, NotRun, 'No tenant holds the key, or it was withdrawn.', 'Check the key.'],
-  QueueFull: [503, NotRun, 'The queue of the service is full.', 'Come back after Retry-After.'],
+    'The request was not received completely in time.',
+    'Send it again without delays.',
+  ],
+  KeyMissing: [401, NotRun, 'The route requires a key and none was sent.', 'Send a key.'],
+  SeveralKeys: [401, NotRun, 'More than one key was sent.', 'Send one key.'],
+  UnknownScheme: [401, NotRun, 'The credentials are of another scheme.', 'Fix the client.'],
+  MalformedKey: [401, NotRun, 'The key is empty, too long or not a token.', 'Check the key.'],
+  UnknownKey: [401, NotRun, 'The key belongs to no tenant, or it was revoked.', 'Check the key.'],
+  QueueFull: [
+    503,
+    NotRun,
+    'The queue of the service is full.',
+    'Retry after the delay in Retry-After.',
+  ],
   QueueTimeout: [
     503,
     NotRun,
     'The request could not finish in time.',
-    'Come back after Retry-After.',
+    'Retry after the delay in Retry-After.',
   ],
   NoTarget: [
     503,
     NotRun,
     'No target of the service may take work.',
-    'Come back after Retry-After.',
+    'Retry after the delay in Retry-After.',
   ],
-  NodeLeaving: [503, NotRun, 'The node is leaving the fleet.', 'Ask again; another node answers.'],
+  NodeLeaving: [503, NotRun, 'The node is shutting down.', 'Retry; another node responds.'],
   NodeIsolated: [
     503,
     NotRun,
-    'The node is cut off from the fleet.',
-    'Ask again; another node answers.',
+    'The node is partitioned from the fleet.',
+    'Retry; another node responds.',
   ],
-  NotReady: [503, NotRun, 'The node does not know its configuration yet.', 'Ask again shortly.'],
+  NotReady: [503, NotRun, 'The node has not received its configuration yet.', 'Retry shortly.'],
   TooManyConnections: [
     503,
     NotRun,
-    'A limit on connections is reached.',
-    'Come back after Retry-After.',
+    'A limit on connections has been reached.',
+    'Retry after the delay in Retry-After.',
   ],
   MemberLimit: [
     503,
     NotRun,
-    'The member uses its whole share of the node.',
-    'Come back after Retry-After.',
+    'The member uses its full share of the node.',
+    'Retry after the delay in Retry-After.',
   ],
   RetryBudgetSpent: [
     503,
     NotRun,
     'The retries that the service allows are used up.',
-    'Come back after Retry-After.',
+    'Retry after the delay in Retry-After.',
   ],
   RequestQuarantined: [
     503,
     NotRun,
-    'Targets crashed one after the other while they ran this same request.',
-    'Mend the request or the target, or come back after Retry-After.',
+    'Several targets crashed in turn while they ran this request.',
+    'Fix the request or the target, or retry after the delay in Retry-After.',
   ],
   KeysOutdated: [
     503,
     NotRun,
-    'The node cannot show that its list of keys is recent enough.',
-    'Ask again after Retry-After; another node may answer.',
+    'The node cannot verify that its list of keys is recent enough.',
+    'Retry after the delay in Retry-After; another node may respond.',
   ],
   QuotaExceeded: [
     429,
     NotRun,
     'The tenant sends more than its quota.',
-    'Come back after Retry-After.',
+    'Retry after the delay in Retry-After.',
   ],
-  TargetUnreachable: [502, NotRun, 'No connection to a target could be made.', 'Ask again.'],
+  TargetUnreachable: [502, NotRun, 'No connection to a target could be made.', 'Retry.'],
   TargetFailed: [
     502,
     MayHaveRun,
-    'The connection broke before the answer was whole.',
-    'Idempotent: ask again. Otherwise ask again with the same key.',
+    'The connection broke before the response was complete.',
+    'Idempotent: retry. Otherwise retry with the same key.',
   ],
   TargetTimeout: [
     504,
     MayHaveRun,
-    'The target did not answer in time.',
-    'Idempotent: ask again. Otherwise ask again with the same key.',
+    'The target did not respond in time.',
+    'Idempotent: retry. Otherwise retry with the same key.',
   ],
   AnswerTruncated: [
     502,
     MayHaveRun,
-    'The target cut its answer short.',
-    'Idempotent: ask again. Otherwise ask again with the same key.',
+    'The response of the target was truncated.',
+    'Idempotent: retry. Otherwise retry with the same key.',
+  ],
+  TargetShed: [
+    503,
+    NotRun,
+    'The targets shed the request.',
+    'Retry after the delay in Retry-After.',
   ],
-  TargetShed: [503, NotRun, 'The targets shed the request.', 'Come back after Retry-After.'],
   AnswerTooLarge: [
     502,
     MayHaveRun,
-    'The answer exceeds the limit and the route does not stream.',
-    'Ask for less, or let the member change the route.',
+    'The response exceeds the limit and the route does not stream.',
+    'Request less, or have the member change the route.',
   ],
   PeerUnreachable: [
     502,
     MayHaveRun,
-    'No home of the service answered.',
-    'Ask again with the same key.',
+    'No home of the service responded.',
+    'Retry with the same key.',
   ],
   PeerBehind: [
     503,
     NotRun,
     'Between nodes: the home has an older configuration.',
-    'Never seen by callers.',
+    'Never sent to callers.',
   ],
   IdempotencyKeyMissing: [
     400,
@@ -153,52 +163,52 @@
   ClaimStoreUnavailable: [
     503,
     NotRun,
-    'Claims cannot be kept: the platform is out. Earlier requests with this key are not ruled out.',
-    'Come back after Retry-After with the same key.',
+    'Claims cannot be stored: the platform is unavailable. An earlier request with this key may have run.',
+    'Retry with the same key after the delay in Retry-After.',
   ],
   OutcomeUnknown: [
     409,
     MayHaveRun,
-    'A request with this key may have run; nobody knows.',
-    'Do not use a new key; ask the member.',
+    'A request with this key may have run; its outcome is unknown.',
+    'Do not use a new key; contact the member.',
   ],
   StillRunning: [
     409,
     MayHaveRun,
     'A request with this key is running.',
-    'Come back after Retry-After with the same key.',
+    'Retry with the same key after the delay in Retry-After.',
   ],
   IdempotencyKeyMalformed: [
     400,
     NotRun,
-    'The key is too long or has other than visible ASCII.',
-    'Mend the client.',
+    'The key is too long or contains characters other than visible ASCII.',
+    'Fix the client.',
   ],
   OutcomeSettled: [
     409,
     Ran,
-    'An operator settled the outcome: it ran; the answer is not known.',
+    'An operator settled the outcome: the request ran; its response is unknown.',
     'Nothing.',
   ],
   AnswerNotKept: [
     502,
     Ran,
-    'The request ran; its answer could not be kept.',
+    'The request ran; its response could not be stored.',
     'Do not send it again with another key.',
   ],
   IdempotencyKeyExpired: [
     409,
     MayHaveRun,
-    'The key tells that it is older than records are kept, and no record is left.',
-    'Do not use a new key; ask the member.',
+    'The key is older than the retention of claim records, and no record is left.',
+    'Do not use a new key; contact the member.',
   ],
   Unauthenticated: [401, NotRun, 'No valid operator key.', 'Send a key.'],
   Forbidden: [403, NotRun, 'The key does not allow this.', 'Use a key of the member.'],
   MalformedIntent: [
     400,
     NotRun,
-    'The intent breaks a rule; each problem is named.',
-    'Mend the intent.',
+    'The intent violates a rule; each problem is listed.',
+    'Fix the intent.',
   ],
   PlanNotFound: [404, NotRun, 'The member has no such plan.', 'Check the identifier.'],
   PlanStale: [
@@ -210,8 +220,8 @@
   FloorWouldBreak: [
     409,
     NotRun,
-    'The plan would leave less than the floor.',
-    'Follow the arithmetic in the message.',
+    'The plan would leave fewer slots than the floor.',
+    'See the slot counts in the message.',
   ],
   HostTaken: [409, NotRun, 'The host name belongs to another member.', 'Choose another host name.'],
   TargetAddressTaken: [
@@ -223,8 +233,8 @@
   StoreUnavailable: [
     503,
     MayHaveRun,
-    'The platform did not answer.',
-    'Ask again; confirming twice is harmless.',
+    'The platform did not respond.',
+    'Retry; confirming twice is harmless.',
   ],
   PlanAlreadyDecided: [
     409,
@@ -235,30 +245,30 @@
   LimitExceeded: [
     429,
     NotRun,
-    'A limit of the member is reached.',
-    'Come back later or ask for less.',
+    'A limit of the member has been reached.',
+    'Retry later or request less.',
   ],
-  NotFound: [404, NotRun, 'There is no such thing.', 'Check the name.'],
+  NotFound: [404, NotRun, 'The resource does not exist.', 'Check the name.'],
   ClaimNotSettleable: [
     409,
     NotRun,
-    'The claim has an outcome, or its claimer is alive.',
+    'The claim has an outcome, or the node that holds it is running.',
     'Look at the claim.',
   ],
   SettingsInvalid: [
     500,
     NotRun,
-    'A settings file breaks a rule.',
-    'Mend the file; each problem is named.',
+    'A settings file violates a rule.',
+    'Fix the file; each problem is listed.',
   ],
-  UsageError: [400, NotRun, 'A command was used wrongly.', 'Read its help.'],
+  UsageError: [400, NotRun, 'A command was used incorrectly.', 'See its help.'],
   ConnectionFailed: [
     502,
     NotRun,
     'An address could not be opened or reached.',
-    'Check address and port.',
+    'Check the address and port.',
   ],
-  Internal: [500, MayHaveRun, 'A fault of the program; counted and logged.', 'Report it.'],
+  Internal: [500, MayHaveRun, 'An internal error; counted and logged.', 'Report it.'],
 };
 
 const INFO_BY_CODE: ReadonlyMap<ResultCode, IResultInfo> = new Map(
@@ -274,13 +284,13 @@
   name: 'Unknown',
   httpStatus: 500,
   runState: RunState.MayHaveRun,
-  meaning: 'A number that this version does not know.',
+  meaning: 'A code that is unknown to this version.',
   action: 'Report it.',
 };
 
 /**
- * The row of a code. A number of a newer version gets a row of its own instead of an error, for
- * nodes of two versions serve side by side while a fleet is replaced.
+ * Returns the row of a code. An unknown number yields a generic row instead of an error, because
+ * nodes of two versions run side by side during a rolling upgrade.
  *
  * @example
  * getResultInfo(ResultCode.QueueFull).httpStatus; // 503
@@ -290,7 +300,7 @@
 }
 
 /**
- * Every row in the order of its number.
+ * Returns all rows, ordered by code.
  *
  * @example
  * const names = listResultInfos().map(({ code, name }) => `${code} ${name}`);
--- a/packages/base/src/result/common/retryAfter.ts
+++ b/packages/base/src/result/common/retryAfter.ts
@@ -1,11 +1,11 @@
-/** When a refused caller should come back. */
+/** Delay after which a rejected caller should retry. */
 import type { MuxError } from '../../error/common/muxError.js';
 import { MS_PER_SECOND } from '../../clock/common/durations.js';
 import { ResultCode } from './resultCode.js';
 
 /**
- * Wait that is named when the refusal itself estimates none, in ms. Short where another node
- * answers at once, longer where the cause is unlikely to pass within a second.
+ * Delay in ms that is sent when the error itself has none. Short where another node can respond
+ * immediately, longer where the cause is unlikely to end within a second.
  */
 const DEFAULT_RETRY_AFTER_MS: ReadonlyMap<ResultCode, number> = new Map<ResultCode, number>([
   [ResultCode.QueueFull, 1000],
@@ -35,8 +35,8 @@
 ]);
 
 /**
- * The wait that a result is answered with when the refusal names none; undefined when coming
- * back by itself changes nothing.
+ * Returns the delay in ms that is sent when the error itself has none; undefined when a retry
+ * without further changes cannot succeed.
  *
  * @example
  * getDefaultRetryAfterMs(ResultCode.QueueFull); // 1000
@@ -46,8 +46,8 @@
 }
 
 /**
- * The wait to name with a refusal, in ms; undefined when none is to be named. The refusal's own
- * estimate goes first.
+ * Returns the delay to send with an error, in ms; undefined when none is sent. The error's own
+ * estimate takes precedence over the default.
  *
  * @example
  * getRetryAfterMs(error); // 1500
@@ -58,9 +58,9 @@
 }
 
 /**
- * The value of the Retry-After header for a refusal, in whole seconds of at least 1; undefined
- * when the header is to be left out. Rounded up: a caller that comes back too early is refused
- * again and adds to the load that made the refusal necessary.
+ * Returns the value of the Retry-After header for an error, in whole seconds and at least 1;
+ * undefined when the header is omitted. Rounded up, because a caller that retries too early is
+ * rejected again and adds to the load that caused the rejection.
  *
  * @example
  * formatRetryAfter(error); // '2'
--- a/packages/schema/src/rules/common/checkMessageText.test.ts
+++ b/packages/schema/src/rules/common/checkMessageText.test.ts
@@ -26,7 +26,7 @@
   return [];
 }
 
-test('defaults are filled in, also in messages that the file leaves out', () => {
+test('defaults are filled in, including those of absent messages', () => {
   const settings = parseSettings(VALID, 'node.jsonc');
   assert.equal(settings.timing?.configPollMs, 2000);
   assert.equal(settings.limits?.requestBodyBytes, 1048576);
@@ -34,7 +34,7 @@
   assert.equal(settings.security?.callerTls, undefined);
 });
 
-test('every problem is told at once, each with file, place, field and hint', () => {
+test('all problems are reported together, each with file, position, field and hint', () => {
   const text = VALID.replace('"north"', '"North!"').replace(
     '"platformUrl": "http://127.0.0.1:7900",',
     '"timming": {},\n  "timing": { "configPollMs": 10, "vmListPollMs": "fast" },\n  "logging": [],',
@@ -55,29 +55,28 @@
   assert.equal(problems[3]?.message, 'must be at least 50 ms, is 10');
 });
 
-test('syntax errors name their place', () => {
+test('syntax errors report their position', () => {
   const problems = collectProblems(() => parseSettings('{\n  "failureDomain" "north"\n}', 'x'));
   assert.ok(problems[0]);
   assert.equal(problems[0].line, 2);
   assert.match(problems[0].message, /colon expected/i);
 });
 
-test('an empty text, a bare value and a field given twice are refused', () => {
+test('an empty text, a non-object value and a duplicate field are rejected', () => {
   assert.equal(collectProblems(() => parseSettings('', 'x')).length, 1);
   assert.match(collectProblems(() => parseSettings('7', 'x'))[0]?.message ?? '', /object/);
   const twice = VALID.replace('"failureDomain": "north",', '$&\n$&');
   assert.equal(collectProblems(() => parseSettings(twice, 'x'))[0]?.message, 'is given twice');
 });
 
-test('a text nested too deeply for the stack is refused', () => {
-  // Symptom: the process that reads an intent ends with a stack overflow.
-  // Sequence: an operator's client sends a few hundred thousand opening brackets.
-  // Cause: the parser recurses for each bracket.
+test('a text that is nested too deeply for the stack is rejected', () => {
+  // The parser recurses for each bracket, so an intent of a few hundred thousand opening brackets
+  // must not crash the process with a stack overflow.
   const problems = collectProblems(() => parseSettings('['.repeat(300_000), 'x'));
   assert.ok(problems.length > 0);
 });
 
-test('intents: lists, enums in both forms, required fields of elements', () => {
+test('intents support lists, long and short enum names, and required fields of list elements', () => {
   const text = `{
     "member": "dobrescu",
     "services": [
--- a/packages/schema/src/rules/common/checkMessageText.ts
+++ b/packages/schema/src/rules/common/checkMessageText.ts
@@ -1,4 +1,4 @@
-/** Reads a message of the schema from JSON with comments. */
+/** Parses a schema message from JSON with comments. */
 import type { DescMessage, MessageShape } from '@bufbuild/protobuf';
 import { fromJson } from '@bufbuild/protobuf';
 import type { Node, ParseError } from 'jsonc-parser';
@@ -9,10 +9,10 @@
 import { SettingsError } from './settingsError.js';
 
 /**
- * Reads a message from JSON with comments and trailing commas, checks every field against the
+ * Parses a message from JSON with comments and trailing commas, checks every field against the
  * schema's rules and fills in the defaults.
  *
- * @throws SettingsError with every problem that was found.
+ * @throws SettingsError that lists all problems.
  *
  * @example
  * const intent = checkMessageText(IntentSchema, text, 'intent.jsonc');
@@ -35,14 +35,14 @@
   const errors: ParseError[] = [];
   const root = parseTreeSafely(text, errors);
   if (root !== undefined && errors.length === 0) return root;
-  const faults = errors.length > 0 ? errors : [undefined];
+  const reported = errors.length > 0 ? errors : [undefined];
   throw new SettingsError(
     fileName,
-    faults.map((error) => makeSyntaxProblem(error, fileName, lines)),
+    reported.map((error) => makeSyntaxProblem(error, fileName, lines)),
   );
 }
 
-/** The parser recurses for each bracket, so a text of brackets only would exhaust the stack. */
+/** The parser recurses for each bracket, so deeply nested text can overflow the stack. */
 function parseTreeSafely(text: string, errors: ParseError[]): Node | undefined {
   try {
     return parseTree(text, errors, { allowTrailingComma: true });
--- a/packages/schema/src/rules/common/fieldRules.ts
+++ b/packages/schema/src/rules/common/fieldRules.ts
@@ -1,29 +1,29 @@
-/** Reads the constraints that the schema gives its fields. */
+/** Reads the constraints that the schema declares for its fields. */
 import type { DescField, DescMessage } from '@bufbuild/protobuf';
 import { getOption } from '@bufbuild/protobuf';
 import type { JsonValue } from '@bufbuild/protobuf';
 import type { FieldRule } from '../../gen/parsleymux/options/v1/options_pb.js';
 import { rule } from '../../gen/parsleymux/options/v1/options_pb.js';
 
-/** Reading an option decodes it anew each time, which took most of the time of a check. */
+/** Cached, because `getOption` decodes the option on each call, which dominated the cost of a check. */
 const rules = new WeakMap<DescField, FieldRule>();
 
 /**
- * The rule of a field; one without constraints when the schema gives none.
+ * Returns the rule of a field; a rule without constraints when the schema declares none.
  *
  * @example
  * getFieldRule(LimitsSchema.field.headerBytes).unit; // 'bytes'
  */
 export function getFieldRule(field: DescField): FieldRule {
-  const known = rules.get(field);
-  if (known !== undefined) return known;
-  const found = getOption(field, rule);
-  rules.set(field, found);
-  return found;
+  const cached = rules.get(field);
+  if (cached !== undefined) return cached;
+  const decoded = getOption(field, rule);
+  rules.set(field, decoded);
+  return decoded;
 }
 
 /**
- * The value that an absent field takes, or undefined when the schema names none.
+ * Returns the default of a field, or undefined when the schema declares none.
  *
  * @example
  * getDefaultValue(LimitsSchema.field.headerBytes); // 16384
@@ -34,9 +34,9 @@
 }
 
 /**
- * Whether an absent message field stands for a message of defaults. It does when nothing in that
- * message is required: `timing` left out means every default of `timing`, but `callerTls` left
- * out means no TLS, because a certificate has no default.
+ * Whether an absent message field is replaced by a message of defaults. This is so when no field of
+ * that message is required: an absent `timing` gets all defaults of `timing`, but an absent
+ * `callerTls` means no TLS, because a certificate has no default.
  *
  * @example
  * hasDefaultsWhenAbsent(TlsFilesSchema); // false
--- a/packages/schema/src/rules/common/lineIndex.ts
+++ b/packages/schema/src/rules/common/lineIndex.ts
@@ -1,8 +1,8 @@
-/** Turns offsets in a text into lines and columns. */
+/** Converts offsets in a text to lines and columns. */
 import type { ITextPosition } from './settingsError.js';
 
 /**
- * The line starts of one text.
+ * The offsets at which the lines of one text start.
  *
  * @example
  * new LineIndex('{\n  "a": 1}').getPosition(4); // { line: 2, column: 3 }
@@ -18,7 +18,7 @@
     this.starts = starts;
   }
 
-  /** The place of `offset`, counted in UTF-16 units as editors do. */
+  /** Returns the position of `offset`, in UTF-16 code units as editors count them. */
   getPosition(offset: number): ITextPosition {
     let low = 0;
     let high = this.starts.length - 1;
--- a/packages/schema/src/rules/common/nearestName.ts
+++ b/packages/schema/src/rules/common/nearestName.ts
@@ -1,11 +1,11 @@
 /** Suggestions for misspelled names. */
 import { closest, distance } from 'fastest-levenshtein';
 
-/** A name is suggested when at most this share of it would have to change. */
+/** Maximum edit distance of a suggested name, as a share of the longer name's length. */
 const MAX_CHANGED_SHARE = 0.5;
 
 /**
- * The name that `text` was probably meant to be; undefined when none is near.
+ * Returns the name that is most similar to `text`; undefined when none is similar enough.
  *
  * @example
  * findNearest('timming', ['limits', 'timing']); // 'timing'
@@ -19,7 +19,7 @@
   return folded.get(nearest);
 }
 
-/** Case, dashes and underscores are what people most often get wrong. */
+/** Ignores case, dashes and underscores, the most frequent differences in misspelled names. */
 function formatNormalized(name: string): string {
   return name.toLowerCase().replaceAll(/[-_]/g, '');
 }
--- a/packages/schema/src/rules/common/ruleChecker.ts
+++ b/packages/schema/src/rules/common/ruleChecker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a parsed JSON text against a message of the schema, by reflection, and fills in defaults.
- * All problems are collected, so that whoever wrote the file mends it in one go.
+ * Checks parsed JSON against a schema message by reflection, and fills in defaults. All problems
+ * are collected, so that the author can fix the file in one pass.
  */
 import type { DescField, DescMessage, JsonObject, JsonValue } from '@bufbuild/protobuf';
 import type { Node } from 'jsonc-parser';
@@ -19,7 +19,7 @@
 }
 
 /**
- * Walks one text; use a new one for each.
+ * Checks one text; create a new instance for each text.
  *
  * @example
  * const checker = new RuleChecker({ fileName: 'node.jsonc', lines: new LineIndex(text) });
@@ -35,14 +35,14 @@
     this.lines = options.lines;
   }
 
-  /** What was found so far, in the order of the text. */
+  /** Returns the problems found so far, ordered by position. */
   getProblems(): readonly IFieldProblem[] {
     return [...this.problems].sort((left, right) => {
       return left.line - right.line || left.column - right.column;
     });
   }
 
-  /** Checks an object against a message; the result is what the protobuf JSON reader takes. */
+  /** Checks an object against a message; returns the object as the protobuf JSON reader expects it. */
   checkMessage(message: DescMessage, node: Node, path: string): JsonObject {
     if (node.type !== 'object') {
       this.addProblem(node, path, {
@@ -127,7 +127,7 @@
     const value: unknown = getNodeValue(node);
     const isTooLong =
       typeof value === 'string' && rule.maxLength > 0 && Buffer.byteLength(value) > rule.maxLength;
-    if (isTooLong) return { fault: { message: `is longer than ${rule.maxLength} bytes` } };
+    if (isTooLong) return { problem: { message: `is longer than ${rule.maxLength} bytes` } };
     return checkScalar(value, field.scalar, rule);
   }
 
@@ -170,14 +170,14 @@
   }
 
   private resolveValue(check: ValueCheck, node: Node, path: string): JsonValue | undefined {
-    if (check.fault === undefined) return check.value;
-    this.addProblem(node, path, check.fault);
+    if (check.problem === undefined) return check.value;
+    this.addProblem(node, path, check.problem);
     return undefined;
   }
 
-  private addProblem(node: Node, field: string, fault: IValueProblem): void {
+  private addProblem(node: Node, field: string, problem: IValueProblem): void {
     const position = this.lines.getPosition(node.offset);
-    const { message, hint = '' } = fault;
+    const { message, hint = '' } = problem;
     this.problems.push({ file: this.fileName, ...position, field, message, hint });
   }
 }
--- a/packages/schema/src/rules/common/settingsError.ts
+++ b/packages/schema/src/rules/common/settingsError.ts
@@ -1,24 +1,24 @@
-/** What is wrong with a file that people wrote, told so that they can mend it in one go. */
+/** Problems of a hand-written file, reported together so that all can be fixed at once. */
 import VError from 'verror';
 
-/** A place in a text; both numbers start at 1. */
+/** A position in a text; both numbers start at 1. */
 export interface ITextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** One fault of one field. */
+/** A problem with one field. */
 export interface IFieldProblem extends ITextPosition {
   readonly file: string;
   /** Path of the field, such as `timing.configPollMs` or `services[2].name`. Empty for the whole file. */
   readonly field: string;
   readonly message: string;
-  /** How to mend it. Empty when the message says all. */
+  /** How to fix it. Empty when the message is sufficient. */
   readonly hint: string;
 }
 
 /**
- * Writes a problem on one line, in the form that editors recognize as a link.
+ * Formats a problem on one line, in the form that editors recognize as a link.
  *
  * @example
  * formatProblem(problem); // node.jsonc:3:5: timing.configPollMs: must be at least 50 ms, is 10
@@ -31,14 +31,14 @@
 }
 
 /**
- * A settings or intent file that was refused. Its message has one line for each problem.
+ * Thrown for an invalid settings or intent file. The message has one line per problem.
  *
  * @example
  * throw new SettingsError('node.jsonc', problems);
  */
 export class SettingsError extends VError {
   readonly file: string;
-  /** In the order of their places in the text; never empty. */
+  /** Ordered by position in the text; never empty. */
   readonly problems: readonly IFieldProblem[];
 
   constructor(file: string, problems: readonly IFieldProblem[]) {
--- a/packages/schema/src/rules/common/stringFormat.test.ts
+++ b/packages/schema/src/rules/common/stringFormat.test.ts
@@ -3,7 +3,7 @@
 import { StringFormat } from '../../gen/parsleymux/options/v1/options_pb.js';
 import { hasFormat } from './stringFormat.js';
 
-test('addresses are IP numbers in full with a port that exists', () => {
+test('addresses are complete IP addresses with a valid port', () => {
   for (const text of ['127.0.0.1:0', '10.1.2.3:65535', '[::1]:80', '[fd00::1:2]:7002']) {
     assert.ok(hasFormat(text, StringFormat.ADDRESS), text);
   }
@@ -22,7 +22,7 @@
   }
 });
 
-test('URLs are http or https', () => {
+test('URLs use http or https', () => {
   assert.ok(hasFormat('https://127.0.0.1:7900/base', StringFormat.URL));
   for (const text of ['ftp://127.0.0.1', '127.0.0.1:7900', 'http://', 'http://[']) {
     assert.ok(!hasFormat(text, StringFormat.URL), text);
--- a/packages/schema/src/rules/common/stringFormat.ts
+++ b/packages/schema/src/rules/common/stringFormat.ts
@@ -1,11 +1,11 @@
-/** Forms of strings that a regular expression does not say well. */
+/** String formats that are impractical to express as regular expressions. */
 import { StringFormat } from '../../gen/parsleymux/options/v1/options_pb.js';
 
 const MAX_PORT = 65_535;
 const ADDRESS = /^(\[[0-9a-fA-F:.]+\]|[0-9.]+):([0-9]{1,5})$/;
 
 /**
- * Whether `text` has the form that a field's rule asks for.
+ * Whether `text` has the format that a field's rule requires.
  *
  * @example
  * hasFormat('127.0.0.1:70000', StringFormat.ADDRESS); // false
@@ -25,7 +25,7 @@
   const [, host = '', port = ''] = ADDRESS.exec(text) ?? [];
   if (host === '' || Number(port) > MAX_PORT) return false;
   const hostname = parseHostname(host);
-  // The URL parser completes short forms such as 127.1; an address must be written in full.
+  // The URL parser expands short forms such as 127.1; addresses must be written in full.
   return host.startsWith('[') ? hostname !== undefined : hostname === host;
 }
 
--- a/packages/schema/src/rules/common/valueCheck.ts
+++ b/packages/schema/src/rules/common/valueCheck.ts
@@ -1,20 +1,20 @@
-/** Checks single values against the type and the rule of their field. */
+/** Checks single values against the type and rule of their field. */
 import type { DescEnum, DescEnumValue, JsonValue } from '@bufbuild/protobuf';
 import { ScalarType } from '@bufbuild/protobuf';
 import type { FieldRule } from '../../gen/parsleymux/options/v1/options_pb.js';
 import { findNearest } from './nearestName.js';
 import { hasFormat } from './stringFormat.js';
 
-/** A fault without its place. */
+/** A problem without its position. */
 export interface IValueProblem {
   readonly message: string;
   readonly hint?: string;
 }
 
-/** The value in the form that the protobuf JSON reader takes, or what is wrong with it. */
+/** The value as the protobuf JSON reader expects it, or the problem with it. */
 export type ValueCheck =
-  | { readonly value: JsonValue; readonly fault?: undefined }
-  | { readonly value?: undefined; readonly fault: IValueProblem };
+  | { readonly value: JsonValue; readonly problem?: undefined }
+  | { readonly value?: undefined; readonly problem: IValueProblem };
 
 interface INumberType {
   readonly name: string;
@@ -25,7 +25,7 @@
 
 const UINT32_MAX = 4294967295;
 const INT32_MAX = 2147483647;
-/** Larger whole numbers can't be told apart in JSON. */
+/** Larger integers cannot be represented exactly in JSON numbers. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 const NUMBER_TYPES: ReadonlyMap<ScalarType, INumberType> = new Map([
@@ -45,10 +45,10 @@
 const INTEGER_PATTERN = /^-?[0-9]{1,16}$/;
 
 /**
- * Checks a number, string or truth value.
+ * Checks a number, string or boolean.
  *
  * @example
- * checkScalar(10, ScalarType.UINT32, rule).fault; // { message: 'must be at least 50 ms, is 10' }
+ * checkScalar(10, ScalarType.UINT32, rule).problem; // { message: 'must be at least 50 ms, is 10' }
  */
 export function checkScalar(value: unknown, type: ScalarType, rule: FieldRule): ValueCheck {
   if (type === ScalarType.BOOL) return checkBoolean(value, rule);
@@ -59,7 +59,7 @@
 }
 
 /**
- * Checks the name of an enum value, in full or in its short form in lower case.
+ * Checks the name of an enum value: the full name, or the short name in lower case.
  *
  * @example
  * checkEnum('fast', DetectionPreferenceSchema, rule).value; // 'DETECTION_PREFERENCE_FAST'
@@ -80,7 +80,7 @@
 }
 
 /**
- * The short form of an enum value's name, as people write it in files.
+ * Returns the short name of an enum value, as used in settings files.
  *
  * @example
  * formatEnumName(TargetStateSchema, TargetStateSchema.value[2]); // 'draining'
@@ -92,7 +92,7 @@
 }
 
 /**
- * Names a value's JSON type, and the value itself when it is short.
+ * Describes a value by its JSON type, together with the value itself for scalars.
  *
  * @example
  * describeValue({}); // 'an object'
@@ -138,7 +138,7 @@
   return { value };
 }
 
-/** 64-bit numbers are written as strings by the protobuf JSON writer, so both forms are read. */
+/** The protobuf JSON writer writes 64-bit integers as strings, so both forms are accepted. */
 function toNumber(value: unknown, type: ScalarType): unknown {
   if (!INT64_TYPES.has(type) || typeof value !== 'string') return value;
   return INTEGER_PATTERN.test(value) ? Number(value) : value;
@@ -151,5 +151,5 @@
 }
 
 function makeProblem(message: string, hint = ''): ValueCheck {
-  return { fault: { message, hint } };
+  return { problem: { message, hint } };
 }
--- a/packages/schema/src/settings/common/parseSettings.ts
+++ b/packages/schema/src/settings/common/parseSettings.ts
@@ -1,12 +1,12 @@
-/** Reads the settings of a node. */
+/** Parses a node's settings file. */
 import type { NodeSettings } from '../../gen/parsleymux/settings/v1/settings_pb.js';
 import { NodeSettingsSchema } from '../../gen/parsleymux/settings/v1/settings_pb.js';
 import { checkMessageText } from '../../rules/common/checkMessageText.js';
 
 /**
- * Reads a settings file; every field that it leaves out has its default.
+ * Parses the text of a settings file. Absent fields get their defaults.
  *
- * @throws SettingsError with every problem that was found.
+ * @throws SettingsError that lists all problems.
  *
  * @example
  * const settings = parseSettings(await readFile(path, 'utf8'), path);
