--- a/packages/standins/src/control/common/faultSettings.ts
+++ b/packages/standins/src/control/common/faultSettings.ts
@@ -1,9 +1,9 @@
-/** Faults as plain settings that a test or a control request replaces in part. */
+/** Faults as plain settings that tests and control requests update in part. */
 import VError from 'verror';
 
 /**
- * `current` with the fields of `patch`. Throws on a field that `current` does not have: a
- * misspelt fault would otherwise inject nothing, and the run that relied on it would pass.
+ * Returns `current` with the fields of `patch` replaced. Throws on a field that `current` does not
+ * have: otherwise, a misspelled fault would inject nothing and a test that relies on it would pass.
  *
  * @example
  * const faults = mergeFaults({ delayMs: 0 }, { delayMs: 500 });
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform, the targets and the network between, for tests and the lab. */
+/** Stand-ins for the platform, the targets and the network between them, for tests and the lab. */
 export * from './control/common/faultSettings.js';
 export * from './link/node/faultyLink.js';
 export * from './metadata/common/metadataRows.js';
--- a/packages/standins/src/link/node/faultyLink.test.ts
+++ b/packages/standins/src/link/node/faultyLink.test.ts
@@ -5,15 +5,15 @@
 import { test } from 'node:test';
 import { FaultyLink } from './faultyLink.js';
 
-interface IParties {
+interface ILinkFixture {
   readonly link: FaultyLink;
   readonly received: string[];
   readonly accepted: Socket[];
   readonly open: () => Promise<Socket>;
 }
 
-/** A server that echoes in upper case, with a link before it. */
-async function withLink(use: (parties: IParties) => Promise<void>): Promise<void> {
+/** Runs `use` with a link to a server that echoes in upper case. */
+async function withLink(use: (fixture: ILinkFixture) => Promise<void>): Promise<void> {
   const received: string[] = [];
   const accepted: Socket[] = [];
   const server = createServer((socket) => {
@@ -46,16 +46,16 @@
 }
 
 async function exchange(socket: Socket, text: string): Promise<string> {
-  const answer = once(socket, 'data') as Promise<[Buffer]>;
+  const response = once(socket, 'data') as Promise<[Buffer]>;
   socket.write(text);
-  return (await answer)[0].toString();
+  return (await response)[0].toString();
 }
 
 async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('each direction can be cut by itself while the connection stays open', async () => {
+test('each direction can be cut separately while the connection stays open', async () => {
   await withLink(async ({ link, received, open }) => {
     const socket = await open();
     assert.equal(await exchange(socket, 'a'), 'A');
@@ -72,23 +72,23 @@
   });
 });
 
-test('silenced connections stay open and mute while new ones work; a reset ends them all', async () => {
+test('silenced connections stay open and new ones work; a reset closes all of them', async () => {
   await withLink(async ({ link, received, accepted, open }) => {
     const old = await open();
     assert.equal(await exchange(old, 'a'), 'A');
     link.markConnectionsSilent();
     old.write('b');
     await waitUntil(() => link.getBytesDiscarded() === 1);
-    const fresh = await open();
-    assert.equal(await exchange(fresh, 'c'), 'C');
+    const newer = await open();
+    assert.equal(await exchange(newer, 'c'), 'C');
     assert.deepEqual(received, ['a', 'c']);
     link.resetConnections();
-    await waitUntil(() => old.destroyed && fresh.destroyed);
+    await waitUntil(() => old.destroyed && newer.destroyed);
     await waitUntil(() => accepted.every((socket) => socket.destroyed));
   });
 });
 
-test('a refusing link refuses new connections, keeps open ones, and comes back on its port', async () => {
+test('a refusing link refuses new connections, keeps open ones, and reopens on its port', async () => {
   await withLink(async ({ link, open }) => {
     const socket = await open();
     assert.equal(await exchange(socket, 'a'), 'A');
@@ -102,7 +102,7 @@
   });
 });
 
-test('a close on one side reaches the other', async () => {
+test('a close on one side is forwarded to the other', async () => {
   await withLink(async ({ link, accepted, open }) => {
     const socket = await open();
     assert.equal(await exchange(socket, 'a'), 'A');
@@ -112,10 +112,9 @@
   });
 });
 
-test('a reset that arrives together with data stays a reset behind the link', async () => {
-  // Symptom: an answer without a length that its target broke off looks whole. Sequence: the target
-  // writes half of it and resets the connection at once. Cause: libuv reports such a reset as an
-  // orderly end, and the link passed on what was reported.
+test('a reset that arrives together with data is forwarded as a reset', async () => {
+  // Guards against a truncated response without a length that looks complete: the target writes half
+  // of it and resets the connection immediately, which libuv reports as an orderly end.
   await withLink(async ({ accepted, link }) => {
     for (let round = 0; round < 30; round += 1) {
       const port = Number(link.getAddress().split(':')[1]);
@@ -126,7 +125,7 @@
         socket.once('error', () => {
           resolve('reset');
         });
-        // The test's own end of the connection is told the same way: only a write shows it.
+        // On the test's side, libuv also reports an orderly end; only a write detects the reset.
         socket.once('end', () => {
           socket.write('\r\n', (error) => {
             resolve(error ? 'reset' : 'ended');
@@ -134,7 +133,7 @@
         });
       });
       socket.resume();
-      server.write('half an answer', () => server.resetAndDestroy());
+      server.write('half a response', () => server.resetAndDestroy());
       assert.equal(await outcome, 'reset', `round ${round}`);
       socket.destroy();
     }
--- a/packages/standins/src/link/node/faultyLink.ts
+++ b/packages/standins/src/link/node/faultyLink.ts
@@ -1,7 +1,6 @@
 /**
- * A TCP relay between two parties, with the faults of a network between them. Cutting one
- * direction swallows its bytes and leaves both connections open, as a one-way partition does:
- * neither end sees a close or a reset.
+ * A TCP relay that injects network faults. Cutting one direction discards its bytes and leaves both
+ * connections open, as a one-way partition does: neither end receives a close or a reset.
  */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
@@ -11,19 +10,19 @@
 const DEFAULT_HOST = '127.0.0.1';
 const RESET_PROBE = '\r\n';
 
-/** Faults in force, on connections that are open and those to come. */
+/** Active faults, for existing and new connections. */
 export interface ILinkFaults {
-  /** Swallow what goes from the connecting party to the other. */
+  /** Discard bytes from the client to the server. */
   readonly cutForward: boolean;
-  /** Swallow what comes back. */
+  /** Discard bytes from the server to the client. */
   readonly cutBackward: boolean;
   /** Delay in each direction, in ms. */
   readonly delayMs: number;
-  /** Refuse further connections; those that are open go on. */
+  /** Refuse new connections; existing ones are unaffected. */
   readonly refuse: boolean;
 }
 
-/** A link that carries everything at once. */
+/** No faults and no delay. */
 export const NO_LINK_FAULTS: ILinkFaults = {
   cutForward: false,
   cutBackward: false,
@@ -33,7 +32,7 @@
 
 /** Options of a {@link FaultyLink}. */
 export interface IFaultyLinkOptions {
-  /** IP number and port to relay to. */
+  /** IP address and port to relay to. */
   readonly to: string;
   /** Address within 127.0.0.0/8. Default 127.0.0.1. */
   readonly host?: string;
@@ -41,13 +40,13 @@
 }
 
 interface IRelayedConnection {
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly client: Socket;
+  readonly upstream: Socket;
   isSilent: boolean;
 }
 
 /**
- * A relay of one address.
+ * A relay to one address.
  *
  * @example
  * const link = new FaultyLink({ to: '127.0.0.1:9000' });
@@ -57,7 +56,7 @@
  */
 export class FaultyLink implements IDisposable {
   private readonly options: IFaultyLinkOptions;
-  private readonly pairs = new Set<IRelayedConnection>();
+  private readonly connections = new Set<IRelayedConnection>();
   private readonly server: Server;
   private port = 0;
   private faults: ILinkFaults;
@@ -66,8 +65,8 @@
   constructor(options: IFaultyLinkOptions) {
     this.options = options;
     this.faults = { ...NO_LINK_FAULTS, ...options.faults };
-    this.server = createServer({ allowHalfOpen: true }, (near) => {
-      this.acceptConnection(near);
+    this.server = createServer({ allowHalfOpen: true }, (client) => {
+      this.acceptConnection(client);
     });
   }
 
@@ -75,7 +74,7 @@
     if (!this.faults.refuse) await this.listen();
   }
 
-  /** IP number and port to connect to. */
+  /** IP address and port to connect to. */
   getAddress(): string {
     return `${this.options.host ?? DEFAULT_HOST}:${this.port}`;
   }
@@ -85,43 +84,43 @@
   }
 
   getConnectionCount(): number {
-    return this.pairs.size;
+    return this.connections.size;
   }
 
-  /** Bytes that a cut or a silence kept from arriving. */
+  /** Number of bytes discarded by cuts and on silenced connections. */
   getBytesDiscarded(): number {
     return this.bytesDiscarded;
   }
 
-  /** Changes the faults in part. */
+  /** Replaces the given faults. */
   async setFaults(patch: Partial<ILinkFaults>): Promise<void> {
     this.faults = mergeFaults(this.faults, patch);
     if (this.faults.refuse) this.stopListening();
     else if (!this.server.listening) await this.listen();
   }
 
-  /** Swallows whatever the open connections carry from now on; later ones work. */
+  /** Permanently discards all further bytes of the open connections; new connections work. */
   markConnectionsSilent(): void {
-    for (const pair of this.pairs) pair.isSilent = true;
+    for (const connection of this.connections) connection.isSilent = true;
   }
 
   /** Resets every open connection at both ends. */
   resetConnections(): void {
-    for (const { near, far } of this.pairs) {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    for (const { client, upstream } of this.connections) {
+      client.resetAndDestroy();
+      upstream.resetAndDestroy();
     }
   }
 
   dispose(): void {
     this.stopListening();
-    for (const { near, far } of this.pairs) {
-      near.destroy();
-      far.destroy();
+    for (const { client, upstream } of this.connections) {
+      client.destroy();
+      upstream.destroy();
     }
   }
 
-  /** On the former port when there was one, since the other party knows no other. */
+  /** Listens on the previous port, if any, because clients know no other. */
   private async listen(): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -133,84 +132,84 @@
     this.port = (this.server.address() as AddressInfo).port;
   }
 
-  /** Connections that are open go on; a server that waited for their end would wait for ever. */
+  /** Open connections continue, so the close event is not awaited: it occurs only after they end. */
   private stopListening(): void {
     if (this.server.listening) this.server.close();
   }
 
-  private acceptConnection(near: Socket): void {
+  private acceptConnection(client: Socket): void {
     const [host, port] = parseAddress(this.options.to);
-    const far = connect({ host, port, allowHalfOpen: true });
-    const pair: IRelayedConnection = { near, far, isSilent: false };
-    this.pairs.add(pair);
-    this.forwardBytes(pair, near, far, () => this.faults.cutForward);
-    this.forwardBytes(pair, far, near, () => this.faults.cutBackward);
-    near.on('end', () => {
-      this.forwardEnd(pair, far, () => this.faults.cutForward);
+    const upstream = connect({ host, port, allowHalfOpen: true });
+    const connection: IRelayedConnection = { client, upstream, isSilent: false };
+    this.connections.add(connection);
+    this.forwardBytes(connection, client, upstream, () => this.faults.cutForward);
+    this.forwardBytes(connection, upstream, client, () => this.faults.cutBackward);
+    client.on('end', () => {
+      this.forwardEnd(connection, upstream, () => this.faults.cutForward);
     });
-    far.on('end', () => {
-      // libuv reports a reset that arrives together with data as an orderly end. Passed on as one,
-      // it would make an answer that broke off look whole. A reset connection takes no byte; one
-      // that ended in order does, and servers skip an empty line.
-      far.write(RESET_PROBE, (error) => {
-        if (error) this.forwardReset(pair, near, () => this.faults.cutBackward);
-        else this.forwardEnd(pair, near, () => this.faults.cutBackward);
+    upstream.on('end', () => {
+      // libuv reports a reset that arrives together with data as an orderly end. Forwarding that end
+      // would make a truncated response look complete. A write tells the two apart: it fails on a
+      // reset connection and succeeds after an orderly end, and servers skip an empty line.
+      upstream.write(RESET_PROBE, (error) => {
+        if (error) this.forwardReset(connection, client, () => this.faults.cutBackward);
+        else this.forwardEnd(connection, client, () => this.faults.cutBackward);
       });
     });
   }
 
-  /** Copies one direction. */
+  /** Forwards one direction of a connection. */
   private forwardBytes(
-    pair: IRelayedConnection,
+    connection: IRelayedConnection,
     from: Socket,
     to: Socket,
     isCut: () => boolean,
   ): void {
     from.setNoDelay(true);
     from.on('data', (chunk) => {
-      this.forwardLater(pair, to, isCut, chunk.length, () => {
+      this.forwardLater(connection, to, isCut, chunk.length, () => {
         writeWithBackPressure(from, to, chunk);
       });
     });
     from.on('error', () => {
-      this.forwardReset(pair, to, isCut);
+      this.forwardReset(connection, to, isCut);
     });
     from.on('close', () => {
-      // A cut hides the end of one side from the other, which then waits as on a real network.
-      if (!pair.isSilent && !isCut()) to.destroySoon();
-      if (to.destroyed) this.pairs.delete(pair);
+      // A cut hides the close from the other side, which keeps waiting as on a real network.
+      if (!connection.isSilent && !isCut()) to.destroySoon();
+      if (to.destroyed) this.connections.delete(connection);
     });
   }
 
-  private forwardEnd(pair: IRelayedConnection, to: Socket, isCut: () => boolean): void {
-    this.forwardLater(pair, to, isCut, 0, () => to.end());
+  private forwardEnd(connection: IRelayedConnection, to: Socket, isCut: () => boolean): void {
+    this.forwardLater(connection, to, isCut, 0, () => to.end());
   }
 
-  private forwardReset(pair: IRelayedConnection, to: Socket, isCut: () => boolean): void {
-    this.forwardLater(pair, to, isCut, 0, () => to.resetAndDestroy());
+  private forwardReset(connection: IRelayedConnection, to: Socket, isCut: () => boolean): void {
+    this.forwardLater(connection, to, isCut, 0, () => to.resetAndDestroy());
   }
 
-  /** A cut is asked for anew with each piece, so that it acts at once. */
+  /** Checks for a cut with each chunk, so that a new cut takes effect immediately. */
   private forwardLater(
-    pair: IRelayedConnection,
+    connection: IRelayedConnection,
     to: Socket,
     isCut: () => boolean,
     byteCount: number,
-    act: () => void,
+    callback: () => void,
   ): void {
     this.runAfterDelay(() => {
-      if (pair.isSilent || isCut()) this.bytesDiscarded += byteCount;
-      else if (!to.destroyed) act();
+      if (connection.isSilent || isCut()) this.bytesDiscarded += byteCount;
+      else if (!to.destroyed) callback();
     });
   }
 
-  private runAfterDelay(act: () => void): void {
-    if (this.faults.delayMs === 0) act();
-    else setTimeout(act, this.faults.delayMs);
+  private runAfterDelay(callback: () => void): void {
+    if (this.faults.delayMs === 0) callback();
+    else setTimeout(callback, this.faults.delayMs);
   }
 }
 
-/** Stops reading while the receiver is slow, so that a slow reader does not fill our memory. */
+/** Pauses reading while the receiver's buffer is full, which bounds memory use. */
 function writeWithBackPressure(from: Socket, to: Socket, chunk: Buffer): void {
   if (to.write(chunk)) return;
   from.pause();
--- a/packages/standins/src/metadata/common/metadataRows.ts
+++ b/packages/standins/src/metadata/common/metadataRows.ts
@@ -1,6 +1,6 @@
-/** Rows of a metadata store: one counter of versions over all tables, and a history of changes. */
+/** Rows of a metadata store, with one version counter for all tables and a history of changes. */
 
-/** A row, or with no value the mark of a dropped one. */
+/** A row. Without a value, it marks a deleted row. */
 export interface IMetadataRow {
   readonly table: string;
   readonly part: string;
@@ -10,7 +10,7 @@
   readonly ver: number;
 }
 
-/** Names a row, with the version that it must have; 0: it must not exist. */
+/** The version that a row must have; 0: the row must not exist. */
 export interface IMetadataCondition {
   readonly table: string;
   readonly part: string;
@@ -18,13 +18,13 @@
   readonly ver: number;
 }
 
-/** The rows as they were at one version. */
+/** A snapshot of the rows at one version. */
 export interface IMetadataCopy {
   readonly rows: ReadonlyMap<string, IMetadataRow>;
   readonly version: number;
 }
 
-/** One transaction. */
+/** Conditions, writes and deletions that are applied atomically. */
 export interface IMetadataTransaction {
   readonly expect_rev: readonly IMetadataCondition[];
   readonly puts: readonly Omit<IMetadataRow, 'ver'>[];
@@ -40,12 +40,12 @@
 export class MetadataRows {
   private rows = new Map<string, IMetadataRow>();
   private history: IMetadataRow[] = [];
-  /** Changes up to this version are forgotten. */
+  /** Changes up to this version are no longer in the history. */
   private discardedVersion = 0;
   private currentVersion = 0;
   private currentEra = 1;
 
-  /** Rises each time that the rows come back from a copy. */
+  /** Store epoch: incremented each time the rows are restored from a copy. */
   get era(): number {
     return this.currentEra;
   }
@@ -54,7 +54,7 @@
     return this.currentVersion;
   }
 
-  /** False when a condition does not hold; nothing was done then. */
+  /** Applies a transaction. Returns false, and changes nothing, if a condition does not hold. */
   transact(transaction: IMetadataTransaction): boolean {
     const holds = transaction.expect_rev.every((condition) => {
       return (this.rows.get(formatKey(condition))?.ver ?? 0) === condition.ver;
@@ -69,31 +69,34 @@
     return true;
   }
 
-  /** Rows of a part in the order of their keys, beginning with `from`. */
+  /** Returns the rows of a part with keys from `from` on, ordered by key. */
   list(table: string, part: string, from: string): readonly IMetadataRow[] {
     return [...this.rows.values()]
       .filter((row) => row.table === table && row.part === part && row.key >= from)
       .sort((left, right) => (left.key < right.key ? -1 : 1));
   }
 
-  /** Changes of a table after a version; undefined when they are forgotten, or the version isn't there yet. */
+  /**
+   * Returns the changes of a table after a version; undefined when the history no longer has them, or
+   * when the version does not exist yet.
+   */
   listChanges(table: string, after: number): readonly IMetadataRow[] | undefined {
     if (after < this.discardedVersion || after > this.currentVersion) return undefined;
     return this.history.filter((row) => row.table === table && row.ver > after);
   }
 
-  /** Forgets all changes until now. */
+  /** Discards all changes so far. */
   clearHistory(): void {
     this.history = [];
     this.discardedVersion = this.currentVersion;
   }
 
-  /** A copy of the rows as they are now. */
+  /** Returns a snapshot of the current rows. */
   copy(): IMetadataCopy {
     return { rows: new Map(this.rows), version: this.currentVersion };
   }
 
-  /** Comes back from a copy: what was written since is gone, and its versions are given out again. */
+  /** Restores a snapshot: later writes are lost, and their versions are assigned again. */
   restore({ rows, version }: IMetadataCopy): void {
     this.rows = new Map(rows);
     this.currentVersion = version;
--- a/packages/standins/src/metadata/common/metadataTexts.ts
+++ b/packages/standins/src/metadata/common/metadataTexts.ts
@@ -1,6 +1,6 @@
-/** What an operator and targets write into the metadata store, in the published form. */
+/** Configuration and target entries as written to the metadata store, in the published format. */
 
-/** A route as an operator writes it. */
+/** A route in the operator's configuration. */
 export interface IMetadataRoute {
   readonly name: string;
   readonly host: string;
@@ -12,7 +12,7 @@
   readonly service: string;
 }
 
-/** A target's entry. */
+/** The entry of a target. */
 export interface IMetadataTarget {
   readonly address: string;
   readonly service: string;
@@ -20,7 +20,7 @@
   readonly slots: number;
   /** Default false. */
   readonly isDraining?: boolean;
-  /** When it started, in ms of Unix time. Default: it doesn't say. */
+  /** Start time, in ms since the Unix epoch. Default: not reported. */
   readonly bornMs?: number;
 }
 
@@ -32,7 +32,7 @@
 };
 
 /**
- * The newest configuration, whole.
+ * Returns the text of a complete configuration.
  *
  * @example
  * store.put('op', 'config', makeConfigText(3, routes, ['booking']));
@@ -75,7 +75,7 @@
 }
 
 /**
- * The entry that a target keeps of itself.
+ * Returns the text of the entry that a target writes about itself.
  *
  * @example
  * store.put('servers', 'i-1', makeTargetText({ address, service: 'booking', failureDomain: 'north', slots: 4 }));
@@ -99,8 +99,8 @@
 }
 
 /**
- * Entries as other writers might leave them: no JSON, no object, fields missing, of another type or
- * with a value that nobody knows. None of them names a target to use.
+ * Invalid entries as other writers might leave them: not JSON, not an object, with missing fields,
+ * fields of another type or unknown values. None of them identifies a usable target.
  */
 export const INVALID_TARGET_TEXTS: readonly string[] = [
   '',
--- a/packages/standins/src/metadata/node/metadataStandIn.ts
+++ b/packages/standins/src/metadata/node/metadataStandIn.ts
@@ -1,4 +1,4 @@
-/** A metadata store on loopback that speaks the published protocol and misbehaves on demand. */
+/** A metadata store on loopback that implements the published protocol and injects faults on request. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
 import { readJson, sendJson } from '../../server/node/httpBody.js';
@@ -6,19 +6,20 @@
 import type { IMetadataCopy, IMetadataTransaction } from '../common/metadataRows.js';
 import { MetadataRows } from '../common/metadataRows.js';
 
-/** How every call is answered. */
+/** The fault that applies to all calls. */
 export const MetadataFault = {
   None: 'none',
-  /** 503: nothing was done. */
+  /** Calls are rejected with 503 and not executed. */
   Busy: 'busy',
-  /** 429. */
+  /** Calls are rejected with 429 and not executed. */
   RateLimited: 'limited',
+  /** Connections are reset; calls are not executed. */
   Reset: 'reset',
-  /** Nothing is done and nothing answered. */
+  /** Calls are neither executed nor answered. */
   NoResponse: 'silent',
-  /** Calls are done, and their answers lost. */
+  /** Calls are executed, but no response is sent. */
   LostResponses: 'lost-answers',
-  /** Bytes that are no JSON. */
+  /** Responses contain invalid JSON. */
   Garbled: 'garbled',
 } as const;
 
@@ -34,7 +35,7 @@
 const MS_PER_S = 1000;
 
 /**
- * A store with its listener.
+ * A metadata store with its HTTP listener.
  *
  * @example
  * const store = await MetadataStandIn.open();
@@ -43,9 +44,9 @@
 export class MetadataStandIn implements IDisposable {
   readonly rows = new MetadataRows();
   fault: MetadataFault = MetadataFault.None;
-  /** Rows in one answer, at most. */
+  /** Maximum number of rows per response. */
   maxPageRows = MAX_ROWS;
-  /** Calls by path. */
+  /** Number of calls by path. */
   readonly calls = new Map<string, number>();
   private waiters: (() => void)[] = [];
   private readonly server = new LoopbackServer({
@@ -62,7 +63,7 @@
     return this.server.getAddress();
   }
 
-  /** Writes a row as the operator or a target would. */
+  /** Writes a row on behalf of an operator or a target. */
   put(table: string, key: string, text: string): void {
     const value = Buffer.from(text).toString('base64');
     this.transact({ expect_rev: [], puts: [{ table, part: '', key, value }], remove: [] });
@@ -72,7 +73,7 @@
     this.transact({ expect_rev: [], puts: [], remove: [{ table, part: '', key }] });
   }
 
-  /** Comes back from a copy of its rows; reads that it holds are answered as of then. */
+  /** Restores the store from a copy of its rows; pending reads are answered from the restored rows. */
   restore(copy: IMetadataCopy): void {
     this.rows.restore(copy);
     this.notifyWaiters();
@@ -88,9 +89,9 @@
   }
 
   private transact(transaction: IMetadataTransaction): boolean {
-    const isDone = this.rows.transact(transaction);
+    const isCommitted = this.rows.transact(transaction);
     this.notifyWaiters();
-    return isDone;
+    return isCommitted;
   }
 
   private notifyWaiters(): void {
@@ -119,7 +120,7 @@
     }
   }
 
-  /** Whether the fault in force is the whole answer. */
+  /** Applies the active fault; returns true when the call needs no further handling. */
   private applyFault(request: IncomingMessage, response: ServerResponse): boolean {
     switch (this.fault) {
       case MetadataFault.Busy:
@@ -143,8 +144,8 @@
   }
 
   private handleTransaction(transaction: IMetadataTransaction, response: ServerResponse): void {
-    const isDone = this.transact(transaction);
-    this.send(response, isDone ? OK : CONFLICT, {});
+    const isCommitted = this.transact(transaction);
+    this.send(response, isCommitted ? OK : CONFLICT, {});
   }
 
   private sendRows(query: URLSearchParams, response: ServerResponse): void {
@@ -164,21 +165,21 @@
         this.send(response, HISTORY_LOST, {});
         return;
       }
-      const leftMs = endMs - performance.now();
-      if (changes.length > 0 || leftMs <= 0) {
+      const remainingMs = endMs - performance.now();
+      if (changes.length > 0 || remainingMs <= 0) {
         const rows = changes.map((row) =>
           row.value === undefined ? { ...row, tombstone: true } : row,
         );
         this.send(response, OK, { rows });
         return;
       }
-      await this.waitForChange(leftMs);
+      await this.waitForChange(remainingMs);
     }
   }
 
-  private waitForChange(limitMs: number): Promise<void> {
+  private waitForChange(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
-      const timer = setTimeout(resolve, limitMs);
+      const timer = setTimeout(resolve, timeoutMs);
       this.waiters.push(() => {
         clearTimeout(timer);
         resolve();
--- a/packages/standins/src/platform/common/keyIndex.ts
+++ b/packages/standins/src/platform/common/keyIndex.ts
@@ -1,7 +1,7 @@
 /**
- * Keys in order, for scans by prefix. Keys are grouped by their part up to the first slash, and
- * a group is sorted only when a scan asks for it: keeping one sorted array made each insert move
- * every later key, and a table of 200,000 claims slowed a transaction of 100 rows to 100 ms.
+ * An ordered index of keys for scans by prefix. Keys are grouped by their part up to the first slash,
+ * and a group is sorted only when a scan needs it. In a single sorted array, each insertion moves all
+ * later keys, which slows a transaction of 100 rows to 100 ms in a table of 200,000 claims.
  */
 
 interface IKeyGroup {
@@ -10,7 +10,7 @@
 }
 
 /**
- * Keys are added and never removed.
+ * An append-only index: keys are never removed.
  *
  * @example
  * const index = new KeyIndex();
@@ -20,7 +20,7 @@
 export class KeyIndex {
   private readonly groups = new Map<string, IKeyGroup>();
 
-  /** Adds a key that is not there yet. */
+  /** Adds a key, which must not be in the index yet. */
   add(key: string): void {
     const name = getGroupName(key);
     const group = this.groups.get(name) ?? { keys: [], isSorted: true };
@@ -30,7 +30,7 @@
     group.keys.push(key);
   }
 
-  /** Keys with the prefix that come after `after`, in order. */
+  /** Yields the keys with the prefix that are greater than `after`, in order. */
   *list(prefix: string, after: string): Generator<string> {
     const keys = prefix.includes('/') ? this.getSorted(getGroupName(prefix)) : this.getAll(prefix);
     const start = findIndex(keys, prefix > after ? prefix : after);
@@ -49,7 +49,7 @@
     return group.keys;
   }
 
-  /** A prefix without a slash may span groups, whose order is not that of their keys. */
+  /** A prefix without a slash can span several groups, so their keys are merged and sorted. */
   private getAll(prefix: string): readonly string[] {
     const keys = [...this.groups.values()].flatMap((group) => group.keys);
     return keys.filter((key) => key.startsWith(prefix)).sort();
@@ -60,7 +60,7 @@
   return key.slice(0, key.indexOf('/') + 1);
 }
 
-/** Index of the first key that is not before `wanted`. */
+/** Returns the index of the first key that is greater than or equal to `wanted`. */
 function findIndex(keys: readonly string[], wanted: string): number {
   let low = 0;
   let high = keys.length;
--- a/packages/standins/src/platform/common/laggedValue.ts
+++ b/packages/standins/src/platform/common/laggedValue.ts
@@ -1,4 +1,4 @@
-/** A value that can be read as it was some time ago. */
+/** A value that can be read as of an earlier instant. */
 
 interface ITimedValue<T> {
   readonly sinceMs: number;
@@ -6,7 +6,7 @@
 }
 
 /**
- * Keeps what is needed to answer reads that lag by at most `historyMs`.
+ * Keeps the history that is needed for reads that lag by at most `historyMs`.
  *
  * @example
  * const list = new LaggedValue<readonly string[]>([], 0);
@@ -29,7 +29,7 @@
     while ((this.values[1]?.sinceMs ?? Infinity) <= nowMs - this.historyMs) this.values.shift();
   }
 
-  /** The value as of `instantMs`; the oldest one known for an instant before it. */
+  /** Returns the value as of `instantMs`, or the oldest known value for earlier instants. */
   get(instantMs: number): T {
     const found = this.values.findLast(({ sinceMs }) => sinceMs <= instantMs) ?? this.values[0];
     if (found === undefined) throw new RangeError('a lagged value always has a first value');
--- a/packages/standins/src/platform/common/platformFaults.ts
+++ b/packages/standins/src/platform/common/platformFaults.ts
@@ -1,44 +1,44 @@
-/** What the platform stand-in can be told to do wrong, and what it counts. */
+/** Injectable faults and counters of the platform stand-in. */
 
-/** How the platform is down. */
+/** Kind of outage. */
 export const PlatformOutage = {
   None: 'none',
   /** The port is closed: connections are refused and open ones are reset. */
   Refused: 'refused',
-  /** Every request is answered 503, nothing done. */
+  /** Every request is rejected with 503 and not executed. */
   Unavailable: 'unavailable',
 } as const;
 
 export type PlatformOutage = (typeof PlatformOutage)[keyof typeof PlatformOutage];
 
-/** Faults in force. */
+/** Active faults. */
 export interface IPlatformFaults {
   readonly outage: PlatformOutage;
   /**
-   * Wait before a request takes effect, in ms. It takes effect even when its sender gave up
-   * meanwhile, as a request does that waits in a slow server's queue.
+   * Delay before a request takes effect, in ms. It takes effect even if its sender disconnects
+   * meanwhile, as with a request in the queue of a slow server.
    */
   readonly delayMs: number;
-  /** Requests take effect and are never answered; their connections stay open. */
+  /** Requests take effect, but no response is sent; their connections stay open. */
   readonly oneWay: boolean;
-  /** This many further writes take effect, and their connections are then reset. */
+  /** Number of further writes that take effect and whose connections are then closed without a response. */
   readonly loseNextAnswers: number;
-  /** Reads and scans of the table show it as it was this long ago, in ms; at most 60000. */
+  /** Staleness of reads and scans of the table, in ms; at most 60000. */
   readonly staleMs: number;
-  /** Reads, scans, object reads and VM lists allowed a second; 0: no limit. Above it: 503. */
+  /** Maximum reads, scans, object reads and VM lists per second, above which 503 is sent; 0: no limit. */
   readonly readsPerSecond: number;
-  /** Transactions and object writes allowed a second; 0: no limit. Above it: 503. */
+  /** Maximum transactions and object writes per second, above which 503 is sent; 0: no limit. */
   readonly writesPerSecond: number;
   /**
-   * Transactions take effect whatever their conditions. No platform may do this; it is here so
-   * that a run that must fail can be shown to fail.
+   * Transactions take effect regardless of their conditions. This is not permitted behavior of a
+   * platform; it exists to show that checks detect violations.
    */
   readonly ignoreConditions: boolean;
-  /** How far the VM list lags, in ms. */
+  /** Lag of the VM list, in ms. */
   readonly vmLagMs: number;
 }
 
-/** A platform in good health; its VM list lags by a second. */
+/** No faults, except that the VM list lags by one second. */
 export const NO_PLATFORM_FAULTS: IPlatformFaults = {
   outage: PlatformOutage.None,
   delayMs: 0,
@@ -51,7 +51,7 @@
   vmLagMs: 1000,
 };
 
-/** Operations since the start. A transaction is one write, however many rows it has. */
+/** Counters since the start. A transaction counts as one write, regardless of its number of rows. */
 export interface IPlatformCounters {
   readonly reads: number;
   readonly writes: number;
@@ -59,12 +59,12 @@
   readonly rowsWritten: number;
   /** Transactions whose conditions failed. */
   readonly conflicts: number;
-  /** Requests answered 503. */
+  /** Requests rejected with 503. */
   readonly refused: number;
   readonly answersLost: number;
-  /** Bytes of request and answer bodies. */
+  /** Bytes of request bodies; `bytesSent`: of response bodies. */
   readonly bytesReceived: number;
   readonly bytesSent: number;
-  /** Requests by path; objects count as one path. */
+  /** Requests by path; all objects count as one path. */
   readonly byPath: Readonly<Record<string, number>>;
 }
--- a/packages/standins/src/platform/common/platformState.ts
+++ b/packages/standins/src/platform/common/platformState.ts
@@ -1,4 +1,4 @@
-/** The platform's table, objects and VM list, and the operations on them, apart from any faults. */
+/** The platform's table, objects and VM list, and the operations on them. */
 import type { IReadBody, IScanOptions, ITableRow, ITableTransaction, IVm } from '@parsleymux/store';
 import { PlatformPath } from '@parsleymux/store';
 import type { IPlatformCounters, IPlatformFaults } from './platformFaults.js';
@@ -9,7 +9,7 @@
 const NOT_FOUND = 404;
 const MAX_OBJECT_KEYS = 1000;
 
-/** One request as it came in. */
+/** One request as received. */
 export interface IPlatformRequest {
   readonly method: string;
   /** Path with query. */
@@ -17,7 +17,7 @@
   readonly body: Buffer;
 }
 
-/** The answer to a request, which may yet be lost. */
+/** The response to a request. A fault can prevent it from being sent. */
 export interface IPlatformResponse {
   readonly status: number;
   readonly bytes: Uint8Array;
@@ -28,7 +28,7 @@
 };
 
 /**
- * What the platform holds, in memory.
+ * The in-memory state of the platform.
  *
  * @example
  * const state = new PlatformState([], 0);
@@ -55,7 +55,7 @@
     this.vms = new LaggedValue(vms, nowMs);
   }
 
-  /** Carries out a request at `nowMs`. Of the faults, only staleness and lag matter here. */
+  /** Executes a request at `nowMs`. Applies only staleness, VM list lag and `ignoreConditions`. */
   execute(request: IPlatformRequest, faults: IPlatformFaults, nowMs: number): IPlatformResponse {
     const { method, url, body } = request;
     this.countPath(url);
--- a/packages/standins/src/platform/common/tokenBucket.ts
+++ b/packages/standins/src/platform/common/tokenBucket.ts
@@ -1,7 +1,7 @@
-/** A limit on operations a second. */
+/** Limits the rate of operations. */
 
 /**
- * Allows bursts of up to one second's worth.
+ * A token bucket that allows bursts of up to one second's operations.
  *
  * @example
  * const bucket = new TokenBucket();
@@ -11,7 +11,7 @@
   private tokens = Infinity;
   private lastMs = 0;
 
-  /** Takes one token at a rate of `perSecond`; 0 means no limit. */
+  /** Takes one token, at a refill rate of `perSecond`; 0: no limit. Returns false if none is available. */
   take(perSecond: number, nowMs: number): boolean {
     if (perSecond === 0) return true;
     const refilled = this.tokens + ((nowMs - this.lastMs) * perSecond) / 1000;
--- a/packages/standins/src/platform/common/versionedTable.test.ts
+++ b/packages/standins/src/platform/common/versionedTable.test.ts
@@ -4,7 +4,7 @@
 
 const put = (key: string, value: string | null) => ({ conditions: [], writes: [{ key, value }] });
 
-test('a transaction with one failed condition writes nothing and returns the row in the way', () => {
+test('a transaction with one failed condition writes nothing and returns the conflicting row', () => {
   const table = new VersionedTable();
   table.transact(put('a', '1'), 0);
   const result = table.transact(
@@ -24,10 +24,9 @@
   assert.deepEqual(table.read(['b'], 1), []);
 });
 
-// Symptom: a paused writer overwrites a row that is not the one it read.
-// Sequence: it reads version 1; the row is deleted and made again by another; it resumes and
-// writes on condition of version 1. Cause: versions that start again at 1 after a deletion.
-test('a row made again after a deletion has a version that no reader of the former row holds', () => {
+// Guards against a paused writer that overwrites another row than it read: it reads version 1, the
+// row is deleted and recreated, and its condition on version 1 holds if versions restart at 1.
+test('a recreated row has a higher version than the deleted row', () => {
   const table = new VersionedTable();
   table.transact(put('a', 'old'), 0);
   table.transact(put('a', null), 1);
@@ -40,7 +39,7 @@
   assert.deepEqual(table.read(['a'], 3), [{ key: 'a', value: 'new', version: 2 }]);
 });
 
-test('reads as of an earlier instant show values, versions and absences of that instant', () => {
+test('reads as of an earlier instant return the values, versions and absences of that instant', () => {
   const table = new VersionedTable();
   table.transact(put('a', '1'), 10);
   table.transact(put('a', '2'), 20);
@@ -49,7 +48,7 @@
   assert.equal(table.read(['a'], 20)[0]?.version, 2);
 });
 
-test('a scan returns the prefix in key order, after a key, up to a limit', () => {
+test('a scan returns rows with a prefix in key order, after a key and up to a limit', () => {
   const table = new VersionedTable();
   for (const key of ['p/3', 'q/1', 'p/1', 'p/2', 'o/9']) table.transact(put(key, key), 0);
   const keys = (rows: readonly { readonly key: string }[]) => rows.map((row) => row.key);
--- a/packages/standins/src/platform/common/versionedTable.ts
+++ b/packages/standins/src/platform/common/versionedTable.ts
@@ -1,10 +1,10 @@
 /**
- * The table's rows in memory, with the recent past of each so that stale reads can be served.
+ * An in-memory table with the recent history of each row, so that stale reads can be served.
  *
- * Versions: the first write of a key makes version 1, and every further write adds one. A key
- * that was deleted goes on counting: made again, its row has the version after the last one
- * that it ever had. Starting at 1 again would let a writer that read version 1 of the former
- * row, and then slept through the deletion, pass its condition against the new row.
+ * Versions: the first write of a key has version 1, and each further write adds one. Counting
+ * continues after a deletion: a recreated row gets the version after the last one of that key.
+ * Otherwise, a writer that read version 1 of the deleted row and was paused during the deletion
+ * could pass its condition against the recreated row.
  */
 import type {
   IScanOptions,
@@ -26,12 +26,12 @@
 
 /** Options of a {@link VersionedTable}. */
 export interface IVersionedTableOptions {
-  /** How far back reads may ask, in ms. Default 60000. */
+  /** Maximum age of the instant of a read, in ms. Default 60000. */
   readonly historyMs?: number;
 }
 
 /**
- * Rows, transactions, and reads as of an earlier instant.
+ * A table with conditional transactions and reads as of an earlier instant.
  *
  * @example
  * const table = new VersionedTable();
@@ -41,19 +41,19 @@
 export class VersionedTable {
   private readonly historyMs: number;
   private readonly states = new Map<string, IRowState[]>();
-  /** Every key that ever had a row. */
+  /** All keys, including those of deleted rows. */
   private readonly index = new KeyIndex();
 
   constructor(options: IVersionedTableOptions = {}) {
     this.historyMs = options.historyMs ?? DEFAULT_HISTORY_MS;
   }
 
-  /** Rows by key as of `instantMs`; absent ones are left out. */
+  /** Returns the rows of `keys` as of `instantMs`, without absent rows. */
   read(keys: readonly string[], instantMs: number): readonly ITableRow[] {
     return keys.flatMap((key) => this.getRow(key, instantMs) ?? []);
   }
 
-  /** Rows with a prefix as of `instantMs`. */
+  /** Returns the rows whose keys have a prefix, as of `instantMs`. */
   scan(options: IScanOptions, instantMs: number): readonly ITableRow[] {
     const limit = Math.min(options.limit ?? MAX_SCAN_ROWS, MAX_SCAN_ROWS);
     const rows: ITableRow[] = [];
@@ -65,7 +65,7 @@
     return rows;
   }
 
-  /** Writes all or nothing at `nowMs`. */
+  /** Applies all writes at `nowMs`, or none if a condition fails. */
   transact(transaction: ITableTransaction, nowMs: number): ITransactionResult {
     const failed = transaction.conditions.filter(({ key, version }) => {
       return (this.getRow(key, nowMs)?.version ?? 0) !== version;
--- a/packages/standins/src/platform/node/main.ts
+++ b/packages/standins/src/platform/node/main.ts
@@ -1,6 +1,7 @@
 /**
- * The platform stand-in as a process: `node main.js --config '{"faults": {"vmLagMs": 2000}}'`.
- * Prints `{"address", "control"}` once it listens; IPlatformStandInOptions gives the fields.
+ * Runs the platform stand-in as a process: `node main.js --config '{"faults": {"vmLagMs": 2000}}'`.
+ * Prints `{"address", "control"}` once it listens. The fields of the configuration are those of
+ * IPlatformStandInOptions.
  */
 import { disposeOnStop, parseConfigArgument, printReady } from '../../server/node/standInMain.js';
 import type { IPlatformStandInOptions } from './platformStandIn.js';
--- a/packages/standins/src/platform/node/platformControl.ts
+++ b/packages/standins/src/platform/node/platformControl.ts
@@ -1,9 +1,9 @@
 /**
  * The control interface of the platform stand-in:
  *
- * - `GET|POST|DELETE /control/faults`: read, change in part, clear IPlatformFaults
+ * - `GET|POST|DELETE /control/faults`: read, update in part, or clear IPlatformFaults
  * - `GET /control/counters` → IPlatformCounters
- * - `GET /control/rows?prefix=P` → rows as they truly are, whatever the faults
+ * - `GET /control/rows?prefix=P` → the current rows, regardless of faults
  * - `GET|PUT /control/vms` (one IVm), `DELETE /control/vms?address=A`
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -28,15 +28,15 @@
   response: ServerResponse,
 ): Promise<void> {
   try {
-    const answer = await executeControl(platform, request);
-    if (answer === undefined) sendJson(response, NOT_FOUND, { error: 'no such control' });
-    else sendJson(response, OK, answer);
+    const body = await executeControl(platform, request);
+    if (body === undefined) sendJson(response, NOT_FOUND, { error: 'no such control' });
+    else sendJson(response, OK, body);
   } catch (error) {
     sendJson(response, BAD_REQUEST, { error: String(error) });
   }
 }
 
-/** The answer to a control request, or undefined when there is no such control. */
+/** Returns the body of the response to a control request, or undefined for an unknown path. */
 async function executeControl(
   platform: PlatformStandIn,
   request: IncomingMessage,
--- a/packages/standins/src/platform/node/platformStandIn.test.ts
+++ b/packages/standins/src/platform/node/platformStandIn.test.ts
@@ -31,7 +31,7 @@
   return (error: unknown) => error instanceof PlatformError && error.failure === failure;
 }
 
-test('table, objects and list work through the client that nodes use', async () => {
+test('the table, objects and VM list work with the client that nodes use', async () => {
   await withPlatform({ faults: { vmLagMs: 0 } }, async (standIn, { table, objects, vms }) => {
     assert.equal((await table.transact(insert('a'))).committed, true);
     assert.equal((await table.transact(insert('a'))).committed, false);
@@ -49,9 +49,9 @@
   });
 });
 
-// Symptom: a writer is told nothing, yet its row is there. Sequence: the write takes effect, its
-// answer is lost. Cause: the connection breaks, or one direction of it is cut.
-test('a lost answer and a one-way cut leave the write in effect and its writer in the dark', async () => {
+// A write takes effect, but the writer cannot learn its outcome: the connection breaks before the
+// response, or the direction of the response is partitioned.
+test('after a lost response or a one-way cut, the write is applied and its outcome unknown', async () => {
   await withPlatform({ faults: { loseNextAnswers: 1 } }, async (standIn, { table }) => {
     await assert.rejects(table.transact(insert('a')), hasFailure(PlatformFailure.Unknown));
     assert.equal((await table.read(['a'])).length, 1);
@@ -62,23 +62,23 @@
   });
 });
 
-test('an outage refuses connections or answers 503, and control still works', async () => {
+test('an outage refuses connections or responds 503, while the control interface works', async () => {
   await withPlatform({}, async (standIn, { table }) => {
     await standIn.setFaults({ outage: 'refused' });
     await assert.rejects(table.transact(insert('a')), hasFailure(PlatformFailure.NotSent));
     const url = `http://${standIn.getControlAddress()}/control/faults`;
-    const answer = await request(url, { method: 'POST', body: '{"outage":"unavailable"}' });
-    await answer.body.dump();
+    const response = await request(url, { method: 'POST', body: '{"outage":"unavailable"}' });
+    await response.body.dump();
     await assert.rejects(table.transact(insert('a')), hasFailure(PlatformFailure.Refused));
-    const misspelt = await request(url, { method: 'POST', body: '{"outtage":"none"}' });
-    await misspelt.body.dump();
-    assert.equal(misspelt.statusCode, 400);
+    const misspelled = await request(url, { method: 'POST', body: '{"outtage":"none"}' });
+    await misspelled.body.dump();
+    assert.equal(misspelled.statusCode, 400);
     await standIn.clearFaults();
     assert.deepEqual(await table.read(['a']), []);
   });
 });
 
-test('stale reads and the lagging list show the past; transactions see the present', async () => {
+test('stale reads and the lagging VM list return old state; transactions use current state', async () => {
   const clock = new ManualClock();
   await withPlatform(
     { clock, faults: { staleMs: 500, vmLagMs: 2000 } },
@@ -98,7 +98,7 @@
   );
 });
 
-test('writes above the rate limit are refused with nothing done', async () => {
+test('writes above the rate limit are rejected and not applied', async () => {
   const clock = new ManualClock();
   await withPlatform({ clock, faults: { writesPerSecond: 2 } }, async (standIn, { table }) => {
     await table.transact(insert('a'));
@@ -110,7 +110,7 @@
   });
 });
 
-test('long answers are packed for clients that accept it, and arrive as they were', async () => {
+test('long responses are compressed for clients that accept it, and decoded without loss', async () => {
   const list = Array.from({ length: 2100 }, (_, index) => ({
     address: `10.${index % 7}.${index >> 8}.${index & 255}:7002`,
     failureDomain: `domain-${index % 10}`,
--- a/packages/standins/src/platform/node/platformStandIn.ts
+++ b/packages/standins/src/platform/node/platformStandIn.ts
@@ -1,7 +1,7 @@
 /**
- * Stands in for the platform: its table, object store and VM list over HTTP, with faults on
- * command. `/control/*` (platformControl.ts) is served on the service's own address and, so that
- * it can be reached while the service refuses connections, on a second one.
+ * Stands in for the platform: its table, object store and VM list over HTTP, with injectable faults.
+ * `/control/*` (platformControl.ts) is served on the service's address and on a second one, which
+ * stays reachable while the service refuses connections.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, IDisposable } from '@parsleymux/base';
@@ -34,7 +34,7 @@
 }
 
 /**
- * The platform in memory.
+ * An in-memory platform.
  *
  * @example
  * const platform = new PlatformStandIn();
@@ -68,24 +68,24 @@
     });
   }
 
-  /** Listens. A platform that is to refuse connections from the start opens its port shortly. */
+  /** Starts listening. With the initial outage `refused`, the port is open briefly before it is closed. */
   async start(): Promise<void> {
     await this.control.open();
     await this.service.open();
     await this.setFaults({});
   }
 
-  /** IP number and port of the service. */
+  /** IP address and port of the service. */
   getAddress(): string {
     return this.service.getAddress();
   }
 
-  /** Base URL of the service, as nodes take it. */
+  /** Base URL of the service, as used in node settings. */
   getUrl(): string {
     return `http://${this.getAddress()}`;
   }
 
-  /** IP number and port on which `/control/*` is served even during an outage. */
+  /** IP address and port on which `/control/*` is served even during an outage. */
   getControlAddress(): string {
     return this.control.getAddress();
   }
@@ -98,41 +98,41 @@
     return structuredClone(this.state.counters);
   }
 
-  /** Rows as they truly are, whatever the faults; at most 1000. */
+  /** Returns the current rows regardless of faults; at most 1000. */
   getRows(prefix: string): readonly ITableRow[] {
     return this.state.getRows(prefix);
   }
 
-  /** Changes the faults in part. */
+  /** Replaces the given faults. */
   async setFaults(patch: Partial<IPlatformFaults>): Promise<void> {
     this.faults = mergeFaults(this.faults, patch);
     if (this.faults.outage === PlatformOutage.Refused) await this.service.close();
     else await this.service.open();
   }
 
-  /** Ends every fault; the lag of the VM list is taken back to its default. */
+  /** Clears all faults; the lag of the VM list is reset to its default. */
   clearFaults(): Promise<void> {
     return this.setFaults(NO_PLATFORM_FAULTS);
   }
 
-  /** The list as it truly is. */
+  /** Returns the current VM list without lag. */
   getVms(): readonly IVm[] {
     return this.state.getVms();
   }
 
-  /** Adds a VM to the list, or replaces the entry of its address. */
+  /** Adds a VM to the list, or replaces the entry with its address. */
   registerVm(vm: IVm): void {
-    const others = this.getVms().filter(({ address }) => address !== vm.address);
-    this.state.setVms([...others, vm], this.clock.getMonotonicTime());
+    const otherVms = this.getVms().filter(({ address }) => address !== vm.address);
+    this.state.setVms([...otherVms, vm], this.clock.getMonotonicTime());
   }
 
   removeVm(address: string): void {
-    const left = this.getVms().filter((vm) => vm.address !== address);
-    this.state.setVms(left, this.clock.getMonotonicTime());
+    const remaining = this.getVms().filter((vm) => vm.address !== address);
+    this.state.setVms(remaining, this.clock.getMonotonicTime());
   }
 
   async dispose(): Promise<void> {
-    this.stopping.abort(new Error('the platform stand-in stops'));
+    this.stopping.abort(new Error('the platform stand-in is stopping'));
     await this.service.dispose();
     await this.control.dispose();
   }
@@ -173,7 +173,7 @@
 
   private sendResponse(
     response: ServerResponse,
-    outcome: IPlatformResponse,
+    result: IPlatformResponse,
     isWrite: boolean,
   ): void {
     const { counters } = this.state;
@@ -187,8 +187,8 @@
       response.destroy();
       return;
     }
-    const { bytes, headers } = encodeCompressed(response.req, outcome.bytes);
+    const { bytes, headers } = encodeCompressed(response.req, result.bytes);
     counters.bytesSent += bytes.length;
-    sendBytes(response, outcome.status, bytes, { 'content-type': 'application/json', ...headers });
+    sendBytes(response, result.status, bytes, { 'content-type': 'application/json', ...headers });
   }
 }
--- a/packages/standins/src/server/node/compressedBody.ts
+++ b/packages/standins/src/server/node/compressedBody.ts
@@ -1,21 +1,21 @@
-/** Answers packed by gzip for clients that accept it. */
+/** Compresses response bodies with gzip for clients that accept it. */
 import type { IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import { gzipSync } from 'node:zlib';
 
-/** Shorter answers are not worth the time that packing takes. */
+/** Compressing shorter bodies costs more time than it saves. */
 const MIN_COMPRESSED_BYTES = 1000;
 
-/** Bytes as they are sent, with the headers that say how. */
+/** The bytes to send and the headers that describe their encoding. */
 export interface ICompressedBody {
   readonly bytes: Uint8Array;
   readonly headers: OutgoingHttpHeaders;
 }
 
 /**
- * Packs `bytes` when they are long and the sender of `request` accepts it.
+ * Compresses `bytes` if they are at least 1000 bytes and the sender of `request` accepts gzip.
  *
  * @example
- * const { bytes, headers } = encodePacked(request, answer);
+ * const { bytes, headers } = encodeCompressed(request, body);
  */
 export function encodeCompressed(request: IncomingMessage, bytes: Uint8Array): ICompressedBody {
   const accepted = request.headers['accept-encoding'];
--- a/packages/standins/src/server/node/httpBody.ts
+++ b/packages/standins/src/server/node/httpBody.ts
@@ -1,11 +1,11 @@
-/** Bodies of the stand-ins' HTTP interfaces. */
+/** Reads and sends HTTP bodies of the stand-ins. */
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import VError from 'verror';
 
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 /**
- * Reads a whole body; rejects when the connection breaks first or 64 MiB are exceeded.
+ * Reads a complete body; rejects when the connection breaks or the body exceeds 64 MiB.
  *
  * @example
  * const bytes = await readBody(request);
@@ -23,7 +23,7 @@
 }
 
 /**
- * Reads a JSON body. An empty one counts as `{}`.
+ * Reads a JSON body. An empty body is read as `{}`.
  *
  * @example
  * const patch = (await readJson(request)) as Partial<ITargetFaults>;
@@ -34,7 +34,7 @@
 }
 
 /**
- * Answers with a JSON body of known length.
+ * Sends a response with a JSON body and a content-length.
  *
  * @example
  * sendJson(response, 404, { error: 'no such path' });
@@ -52,7 +52,7 @@
 }
 
 /**
- * Answers with bytes of known length.
+ * Sends a response with a body of bytes and a content-length.
  *
  * @example
  * sendBytes(response, 200, bytes, { 'content-type': 'text/plain' });
--- a/packages/standins/src/server/node/loopbackServer.ts
+++ b/packages/standins/src/server/node/loopbackServer.ts
@@ -1,4 +1,4 @@
-/** An HTTP listener on loopback that can be closed and opened again on the same port. */
+/** An HTTP server on loopback that can be closed and reopened on the same port. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -7,7 +7,7 @@
 
 const DEFAULT_HOST = '127.0.0.1';
 const INTERNAL_ERROR = 500;
-/** Longer than any caller keeps an idle connection, so that the caller decides when it ends. */
+/** Longer than any caller's idle timeout, so that the caller closes idle connections. */
 const KEEP_ALIVE_MS = 120_000;
 
 /** Options of a {@link LoopbackServer}. */
@@ -17,12 +17,12 @@
   /** Default 0: the operating system chooses. */
   readonly port?: number;
   readonly handle: (request: IncomingMessage, response: ServerResponse) => Promise<void>;
-  /** Returns false to close the connection at once. Default: every connection is accepted. */
+  /** Returns false to close the connection immediately. Default: every connection is accepted. */
   readonly acceptConnection?: (openConnections: number) => boolean;
 }
 
 /**
- * A listener with its connections.
+ * An HTTP server that tracks its open connections.
  *
  * @example
  * const server = new LoopbackServer({ handle: async (_, response) => void response.end() });
@@ -43,17 +43,17 @@
     this.port = options.port ?? 0;
   }
 
-  /** IP number and port. The port is known once the listener was opened. */
+  /** IP address and port. The port is valid after the first {@link open}. */
   getAddress(): string {
     return `${this.host}:${this.port}`;
   }
 
-  /** Connections that are open now. */
+  /** The open connections. */
   getSockets(): ReadonlySet<Socket> {
     return this.sockets;
   }
 
-  /** Starts to listen; on the former port after a {@link close}. */
+  /** Starts listening. After a {@link close}, the previous port is used again. */
   async open(): Promise<void> {
     if (this.server !== undefined) return;
     const server = createServer((request, response) => {
@@ -71,7 +71,7 @@
     this.port = (server.address() as AddressInfo).port;
   }
 
-  /** Stops to listen and drops every connection, so that further ones are refused. */
+  /** Stops listening and closes all connections; further connections are refused. */
   async close(): Promise<void> {
     const server = this.server;
     if (server === undefined) return;
--- a/packages/standins/src/server/node/standInMain.ts
+++ b/packages/standins/src/server/node/standInMain.ts
@@ -1,10 +1,10 @@
-/** What the stand-ins' programs have in common: configuration, the line that says ready, the end. */
+/** Shared by the stand-ins' programs: reading the configuration, reporting readiness, stopping. */
 import { fstatSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import type { IDisposable } from '@parsleymux/base';
 
 /**
- * Reads the JSON object of `--config`; `{}` when absent.
+ * Parses the JSON value of `--config`; `{}` when absent.
  *
  * @example
  * const config = parseConfigArgument(process.argv.slice(2)) as ITargetConfig;
@@ -15,7 +15,8 @@
 }
 
 /**
- * Prints the one line on standard output that tells the starter the addresses.
+ * Prints one line of JSON with the addresses to standard output, which reports readiness to the parent
+ * process.
  *
  * @example
  * printReady({ control: target.getControlAddress() });
@@ -25,9 +26,9 @@
 }
 
 /**
- * Disposes of the stand-in and ends the process on SIGTERM, on SIGINT, or when the starter's end
- * of standard input closes. A starter that is killed sends no signal; without watching the pipe,
- * the stand-in would stay behind for ever, holding its ports.
+ * Disposes of the stand-in and exits on SIGTERM, on SIGINT, or when the parent process closes
+ * standard input. A parent that is killed sends no signal; without watching the pipe, the stand-in
+ * would keep running and hold its ports.
  *
  * @example
  * disposeOnStop(target);
--- a/packages/standins/src/target/common/executionLog.ts
+++ b/packages/standins/src/target/common/executionLog.ts
@@ -1,19 +1,19 @@
 /**
- * What targets executed, by idempotency key and by request. Targets of one service share a log
- * as real ones share a database: otherwise a look-up at one target would deny what another ran.
+ * Executions of targets, by idempotency key and by request. Targets of one service share a log, as
+ * real ones share a database: otherwise a look-up at one target would miss executions of another.
  */
 
-/** What became of an execution. */
+/** State of an execution. */
 export const ExecutionState = {
   Running: 'running',
   Finished: 'finished',
-  /** Begun, then stopped by a cancellation or a timeout: its effect is anyone's guess. */
+  /** Stopped by a cancellation or a timeout after the start; whether it took effect is unknown. */
   Stopped: 'stopped',
 } as const;
 
 export type ExecutionState = (typeof ExecutionState)[keyof typeof ExecutionState];
 
-/** One begun execution. */
+/** One started execution. */
 export interface IExecution {
   readonly target: string;
   /** Empty when the request had no idempotency key. */
@@ -24,7 +24,7 @@
   readonly startedAtMs: number;
 }
 
-/** An answer as kept for look-ups. */
+/** A response that is recorded for look-ups. */
 export interface IRecordedResponse {
   readonly status: number;
   readonly body: Uint8Array;
@@ -33,26 +33,26 @@
 interface IKeyRecord {
   count: number;
   waiting: number;
-  answer: IRecordedResponse | undefined;
+  response: IRecordedResponse | undefined;
 }
 
-/** What a look-up finds. */
+/** Result of a look-up. */
 export interface IKeyLookUp {
-  /** Executions that began with this key. */
+  /** Number of started executions with this key. */
   readonly count: number;
-  /** Requests with this key that are queued and may yet begin. */
+  /** Number of queued requests with this key, which may still be executed. */
   readonly waiting: number;
-  readonly answer: IRecordedResponse | undefined;
+  readonly response: IRecordedResponse | undefined;
 }
 
-/** A running execution, to be ended once. */
+/** A running execution. Exactly one of its methods is called, once. */
 export interface IExecutionHandle {
-  finish(answer: IRecordedResponse): void;
+  finish(response: IRecordedResponse): void;
   stop(): void;
 }
 
 /**
- * Counts every execution at the moment it begins.
+ * Records and counts every execution when it starts.
  *
  * @example
  * const log = new ExecutionLog();
@@ -63,35 +63,35 @@
   private readonly keys = new Map<string, IKeyRecord>();
   private readonly executions: IExecution[] = [];
 
-  start(begun: Omit<IExecution, 'state'>): IExecutionHandle {
-    const index = this.executions.push({ ...begun, state: ExecutionState.Running }) - 1;
-    const record = this.ensureRecord(begun.key);
+  start(started: Omit<IExecution, 'state'>): IExecutionHandle {
+    const index = this.executions.push({ ...started, state: ExecutionState.Running }) - 1;
+    const record = this.ensureRecord(started.key);
     if (record !== undefined) record.count += 1;
-    const end = (state: ExecutionState) => {
-      this.executions[index] = { ...begun, state };
+    const setState = (state: ExecutionState) => {
+      this.executions[index] = { ...started, state };
     };
     return {
-      finish(answer) {
-        end(ExecutionState.Finished);
-        if (record !== undefined) record.answer ??= answer;
+      finish(response) {
+        setState(ExecutionState.Finished);
+        if (record !== undefined) record.response ??= response;
       },
       stop() {
-        end(ExecutionState.Stopped);
+        setState(ExecutionState.Stopped);
       },
     };
   }
 
-  /** Notes that a request with this key waits (+1) or no longer waits (-1) for a slot. */
+  /** Records that a request with this key waits (+1) or no longer waits (-1) for a slot. */
   addWaiting(key: string, change: 1 | -1): void {
     const record = this.ensureRecord(key);
     if (record !== undefined) record.waiting += change;
   }
 
   find(key: string): IKeyLookUp {
-    return this.keys.get(key) ?? { count: 0, waiting: 0, answer: undefined };
+    return this.keys.get(key) ?? { count: 0, waiting: 0, response: undefined };
   }
 
-  /** Every execution from index `after` on, in the order of their beginning. */
+  /** Returns the executions from index `after` on, in the order in which they started. */
   list(after = 0): readonly IExecution[] {
     return this.executions.slice(after);
   }
@@ -100,7 +100,7 @@
     if (key === '') return undefined;
     const found = this.keys.get(key);
     if (found !== undefined) return found;
-    const record: IKeyRecord = { count: 0, waiting: 0, answer: undefined };
+    const record: IKeyRecord = { count: 0, waiting: 0, response: undefined };
     this.keys.set(key, record);
     return record;
   }
--- a/packages/standins/src/target/common/serviceTime.ts
+++ b/packages/standins/src/target/common/serviceTime.ts
@@ -1,8 +1,9 @@
-/** Service times. */
+/** Samples service times. */
 import type { RandomSource } from '@parsleymux/base';
 
 /**
- * A log-normally distributed time with mean `meanMs`; `sigma` is the deviation of its logarithm.
+ * Returns a log-normally distributed time with mean `meanMs`; `sigma` is the standard deviation of its
+ * logarithm.
  *
  * @example
  * sampleServiceTime(new SeededRandom(1), 20, 0.5);
--- a/packages/standins/src/target/common/slotQueue.ts
+++ b/packages/standins/src/target/common/slotQueue.ts
@@ -1,20 +1,20 @@
-/** A target's slots, with first-in-first-out waiting. */
+/** A target's slots, with a FIFO queue of waiting requests. */
 
 interface IWaiter {
   readonly resume: (hasSlot: boolean) => void;
 }
 
-/** What became of a wish for a slot. */
+/** Result of waiting for a slot. */
 export const SlotOutcome = { Acquired: 'acquired', Full: 'full', Aborted: 'gave-up' } as const;
 
 export type SlotOutcome = (typeof SlotOutcome)[keyof typeof SlotOutcome];
 
 /**
- * At most `slots` holders and `queueLimit` waiters.
+ * Grants up to `slots` concurrent slots and queues up to `queueLimit` waiters.
  *
  * @example
  * const queue = new SlotQueue(4, 0);
- * if ((await queue.take(signal)) === SlotOutcome.Acquired) queue.release();
+ * if ((await queue.waitForSlot(signal)) === SlotOutcome.Acquired) queue.release();
  */
 export class SlotQueue {
   private readonly waiters: IWaiter[] = [];
@@ -29,7 +29,7 @@
     return this.running;
   }
 
-  /** Waits for a slot until `signal` aborts. Every acquired slot must be released. */
+  /** Waits for a slot until `signal` aborts. Each acquired slot must be released once. */
   async waitForSlot(signal: AbortSignal): Promise<SlotOutcome> {
     if (signal.aborted) return SlotOutcome.Aborted;
     if (this.running < this.slots) {
--- a/packages/standins/src/target/common/standInResponse.ts
+++ b/packages/standins/src/target/common/standInResponse.ts
@@ -1,9 +1,9 @@
-/** The body of a target stand-in's answer, by which a caller knows its own whole answer. */
+/** Response bodies of target stand-ins, which callers can verify to be complete and their own. */
 import { createHash } from 'node:crypto';
 
 const CHECKSUM_LENGTH = 16;
 
-/** What an answer says of the request that it belongs to. */
+/** Content of a response body, which identifies its request. */
 export interface IResponseContent {
   readonly member: string;
   readonly service: string;
@@ -16,25 +16,25 @@
   readonly filler: string;
 }
 
-/** What a caller expects of its answer. */
+/** The fields that a caller expects in the response to its request. */
 export type ExpectedResponse = Pick<
   IResponseContent,
   'member' | 'service' | 'requestId' | 'method' | 'path' | 'requestChecksum'
 >;
 
-/** How an answer falls short. */
+/** The result of verifying a response body. */
 export const ResponseFault = {
   None: 'none',
-  /** Cut short or altered. */
+  /** The body is truncated or altered. */
   Partial: 'partial',
-  /** Whole, but the answer to another request. */
+  /** The body is complete, but belongs to another request. */
   Foreign: 'foreign',
 } as const;
 
 export type ResponseFault = (typeof ResponseFault)[keyof typeof ResponseFault];
 
 /**
- * Checksum of bytes, for comparison only.
+ * Returns a truncated SHA-256 of `bytes`, for comparison only.
  *
  * @example
  * const requestChecksum = computeChecksum(body);
@@ -44,10 +44,10 @@
 }
 
 /**
- * The answer's body: the content as JSON, with its checksum as the last field.
+ * Encodes the content as JSON, with its checksum as the last field.
  *
  * @example
- * const body = encodeAnswer(content);
+ * const body = encodeResponseContent(content);
  */
 export function encodeResponseContent(content: IResponseContent): Buffer {
   const checksum = computeChecksum(JSON.stringify(content));
@@ -55,17 +55,17 @@
 }
 
 /**
- * Tells whether a body is the whole answer to the caller's own request.
+ * Checks whether a body is the complete response to the caller's own request.
  *
  * @example
- * if (verifyAnswer(bytes, expected) !== AnswerFault.None) report();
+ * if (verifyResponse(bytes, expected) !== ResponseFault.None) report();
  */
 export function verifyResponse(body: Uint8Array, expected: ExpectedResponse): ResponseFault {
   const content = parseResponse(body);
   if (content === undefined) return ResponseFault.Partial;
   const fields = Object.entries(expected);
-  const isOwn = fields.every(([name, value]) => content[name as keyof ExpectedResponse] === value);
-  return isOwn ? ResponseFault.None : ResponseFault.Foreign;
+  const isExpected = fields.every(([name, value]) => content[name as keyof ExpectedResponse] === value);
+  return isExpected ? ResponseFault.None : ResponseFault.Foreign;
 }
 
 function parseResponse(body: Uint8Array): IResponseContent | undefined {
--- a/packages/standins/src/target/common/targetConfig.ts
+++ b/packages/standins/src/target/common/targetConfig.ts
@@ -1,28 +1,28 @@
-/** How a target stand-in behaves when all is well, and what it can be told to do wrong. */
+/** Normal behavior of a target stand-in, and the faults that can be injected. */
 
-/** A target in good health. */
+/** Behavior of a target without faults. */
 export interface ITargetConfig {
   readonly member: string;
   readonly service: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Requests that wait for a slot; further ones are shed. 0: none wait. */
+  /** Maximum number of requests that wait for a slot; further ones are shed. */
   readonly queueLimit: number;
-  /** Connections that it accepts; further ones are closed at once. */
+  /** Maximum number of connections; further ones are closed immediately. */
   readonly maxConnections: number;
   /** Mean of the log-normal service time, in ms. */
   readonly meanServiceMs: number;
   /** Standard deviation of the service time's logarithm. */
   readonly serviceSigma: number;
-  /** For this long after the start, or after a recovery, work takes `coldFactor` as long, in ms. */
+  /** Time after a start or a recovery during which service times are multiplied by `coldFactor`, in ms. */
   readonly coldStartMs: number;
   readonly coldFactor: number;
-  /** Bytes of filler in each answer. */
+  /** Bytes of filler in each response. */
   readonly answerBytes: number;
   readonly seed: number;
 }
 
-/** Values of what a configuration leaves out. */
+/** Defaults of absent fields. */
 export const DEFAULT_TARGET_CONFIG: ITargetConfig = {
   member: 'member',
   service: 'service',
@@ -37,34 +37,34 @@
   seed: 1,
 };
 
-/** Faults in force. */
+/** Active faults. */
 export interface ITargetFaults {
   /** The port is closed: connections are refused and open ones are reset. */
   readonly down: boolean;
-  /** Finishes what runs and refuses new work, saying so. */
+  /** Running requests are finished; new ones are rejected as not run, with a header that reports draining. */
   readonly draining: boolean;
-  /** Work takes this many times as long. */
+  /** Factor by which service times are multiplied. */
   readonly slowFactor: number;
-  /** Share of executed work that is answered 500. */
+  /** Share of executed requests whose response is a 500. */
   readonly failShare: number;
-  /** Share of answers that are cut in the middle. */
+  /** Share of responses that are truncated in the middle of the body. */
   readonly truncateShare: number;
-  /** Work is executed and never answered, on every connection. */
+  /** Requests are executed, but no response is sent on any connection. */
   readonly oneWay: boolean;
   /**
-   * Share of executed work that is refused as not run. No target may do this, nor the next; they
-   * are here so that a run that must fail can be shown to fail.
+   * Share of executed requests that are rejected as not run. Neither this nor `foreignShare` is
+   * permitted behavior of a target; both exist to show that checks detect violations.
    */
   readonly falseNotRunShare: number;
-  /** Share of answers that are those of the request before. */
+  /** Share of responses that carry the body of the previous request's response. */
   readonly foreignShare: number;
-  /** `GET /health` answers 200 ("green"), 503 ("red"), or as "auto": red only while draining. */
+  /** Status of `GET /health`: 200 ("green"), 503 ("red"), or ("auto") 503 only while draining. */
   readonly health: 'green' | 'red' | 'auto';
-  /** What `GET /load` claims as running requests; -1 for the truth. */
+  /** Number of running requests that `GET /load` reports; -1: the actual number. */
   readonly claimedLoad: number;
 }
 
-/** A target that works, and whose probes tell the truth. */
+/** No faults, and accurate probe responses. */
 export const NO_TARGET_FAULTS: ITargetFaults = {
   down: false,
   draining: false,
@@ -78,24 +78,24 @@
   claimedLoad: -1,
 };
 
-/** What happened since the start. */
+/** Counters since the start. */
 export interface ITargetCounters {
-  /** Requests whose work began. */
+  /** Requests whose execution started. */
   readonly executed: number;
   readonly finished: number;
-  /** Work that was stopped because its caller went away. */
+  /** Executions that were stopped because the caller disconnected. */
   readonly cancelled: number;
-  /** Work that was stopped because its time ran out. */
+  /** Executions that were stopped by the request's timeout. */
   readonly timedOut: number;
-  /** Requests refused as not run: full, draining, or out of time before they began. */
+  /** Requests rejected as not run: queue full, draining, or timed out before execution. */
   readonly shed: number;
   readonly failed: number;
   readonly truncated: number;
-  /** Requests that came in over a silenced connection and were swallowed. */
+  /** Requests that were received on a silenced connection and discarded. */
   readonly swallowed: number;
   readonly probes: number;
   readonly connectionsRefused: number;
   readonly connectionsOpened: number;
-  /** Most requests that ran at the same instant. */
+  /** Maximum number of concurrently running requests so far. */
   readonly maxRunning: number;
 }
--- a/packages/standins/src/target/node/exchange.ts
+++ b/packages/standins/src/target/node/exchange.ts
@@ -1,4 +1,4 @@
-/** One request at a target stand-in, its time limit, and whether its caller is still there. */
+/** One request at a target stand-in, with its timeout and the state of its caller's connection. */
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import type { IDisposable } from '@parsleymux/base';
@@ -6,7 +6,7 @@
 const NO_BYTES = Buffer.alloc(0);
 
 /**
- * The request's signal aborts when its connection closes or its time runs out.
+ * A request and its response. Its signal aborts when the connection closes or the timeout expires.
  *
  * @example
  * const exchange = new Exchange(request, response);
@@ -39,7 +39,7 @@
     this.timer = this.startTimeout(getHeader(request, 'parsleymux-timeout-ms'));
     response.once('close', () => {
       this.callerDisconnected = !response.writableFinished;
-      this.abort.abort(new Error('the caller is gone'));
+      this.abort.abort(new Error('the caller disconnected'));
     });
   }
 
@@ -55,7 +55,7 @@
     return this.callerDisconnected;
   }
 
-  /** Announces the whole body, sends half of it, and closes the connection. */
+  /** Sends a content-length for the complete body, but only half of the body, and closes the connection. */
   sendTruncated(status: number, body: Uint8Array, headers: OutgoingHttpHeaders): void {
     this.response.writeHead(status, { 'content-length': body.length, ...headers });
     this.response.write(body.subarray(0, body.length >> 1), () => {
@@ -70,7 +70,7 @@
   private startTimeout(header: string): NodeJS.Timeout | undefined {
     if (header === '') return undefined;
     return setTimeout(() => {
-      this.abort.abort(new Error('the time is up'));
+      this.abort.abort(new Error('the timeout expired'));
     }, Number(header));
   }
 }
--- a/packages/standins/src/target/node/main.ts
+++ b/packages/standins/src/target/node/main.ts
@@ -1,8 +1,8 @@
 /**
- * Target stand-ins as one process: `node main.js --config '{"targets": [{"service": "booking"}]}'`.
+ * Runs target stand-ins in one process: `node main.js --config '{"targets": [{"service": "booking"}]}'`.
  * Each entry has the fields of ITargetStandInOptions that JSON can carry; entries of the same
- * member and service share their record of executions. Prints
- * `{"address", "targets": [{"member", "service", "address", "control"}]}` once all listen.
+ * member and service share their execution log. Prints
+ * `{"address", "targets": [{"member", "service", "address", "control"}]}` once all targets listen.
  */
 import { DisposableStore } from '@parsleymux/base';
 import { disposeOnStop, parseConfigArgument, printReady } from '../../server/node/standInMain.js';
--- a/packages/standins/src/target/node/targetControl.ts
+++ b/packages/standins/src/target/node/targetControl.ts
@@ -1,10 +1,10 @@
 /**
  * The control interface of a target stand-in:
  *
- * - `GET|POST|DELETE /control/faults`: read, change in part, clear ITargetFaults
- * - `POST /control/silence`: the connections open now go silent for good
- * - `GET /control/executions?after=N` → {@link IExecutionsBody}; targets of one process and
- *   service share them
+ * - `GET|POST|DELETE /control/faults`: read, update in part, or clear ITargetFaults
+ * - `POST /control/silence`: permanently silences the connections that are open
+ * - `GET /control/executions?after=N` → {@link IExecutionsBody}; shared by the targets of one process
+ *   and service
  * - `GET /control/counters` → ITargetCounters
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -17,7 +17,7 @@
 const BAD_REQUEST = 400;
 const NOT_FOUND = 404;
 
-/** Executions from the asked index on. */
+/** The executions from the requested index on. */
 export interface IExecutionsBody {
   readonly executions: readonly IExecution[];
 }
@@ -34,15 +34,15 @@
   response: ServerResponse,
 ): Promise<void> {
   try {
-    const answer = await executeControl(target, request);
-    if (answer === undefined) sendJson(response, NOT_FOUND, { error: 'no such control' });
-    else sendJson(response, OK, answer);
+    const body = await executeControl(target, request);
+    if (body === undefined) sendJson(response, NOT_FOUND, { error: 'no such control' });
+    else sendJson(response, OK, body);
   } catch (error) {
     sendJson(response, BAD_REQUEST, { error: String(error) });
   }
 }
 
-/** The answer to a control request, or undefined when there is no such control. */
+/** Returns the body of the response to a control request, or undefined for an unknown path. */
 async function executeControl(target: TargetStandIn, request: IncomingMessage): Promise<unknown> {
   const url = new URL(request.url ?? '/', 'http://control');
   switch (`${request.method ?? 'GET'} ${url.pathname}`) {
--- a/packages/standins/src/target/node/targetProbes.ts
+++ b/packages/standins/src/target/node/targetProbes.ts
@@ -1,4 +1,4 @@
-/** What a target stand-in answers beside real work: its health, its load, and look-ups of keys. */
+/** Serves the auxiliary paths of a target stand-in: health, load and look-ups of keys. */
 import type { ExecutionLog } from '../common/executionLog.js';
 import type { ITargetFaults } from '../common/targetConfig.js';
 import type { Exchange } from './exchange.js';
@@ -21,7 +21,7 @@
 }
 
 /**
- * Answers as the faults in force say, which may be untrue.
+ * Responds to probes. Active faults can make the reported health and load inaccurate.
  *
  * @example
  * if (!probes.handle(exchange)) await serve(exchange);
@@ -29,7 +29,7 @@
 export class TargetProbes {
   constructor(private readonly options: ITargetProbesOptions) {}
 
-  /** Returns false for a request that is none of these, which is left unanswered. */
+  /** Handles a probe or look-up. Returns false, and sends no response, for any other request. */
   handle(exchange: Exchange): boolean {
     if (exchange.path === '/health') this.sendHealth(exchange);
     else if (exchange.path === '/load') this.sendLoad(exchange);
@@ -39,29 +39,29 @@
   }
 
   private sendHealth(exchange: Exchange): void {
-    const { counters, getFaults, responder: replies } = this.options;
+    const { counters, getFaults, responder } = this.options;
     counters.probes += 1;
     const { health, draining } = getFaults();
     const isRed = health === 'red' || (health === 'auto' && draining);
-    replies.sendStatus(exchange, isRed ? UNAVAILABLE : OK, { healthy: !isRed });
+    responder.sendStatus(exchange, isRed ? UNAVAILABLE : OK, { healthy: !isRed });
   }
 
   private sendLoad(exchange: Exchange): void {
-    const { counters, getFaults, getRunning, responder: replies, slots } = this.options;
+    const { counters, getFaults, getRunning, responder, slots } = this.options;
     counters.probes += 1;
     const { claimedLoad } = getFaults();
     const running = claimedLoad < 0 ? getRunning() : claimedLoad;
-    replies.sendStatus(exchange, OK, { running, slots });
+    responder.sendStatus(exchange, OK, { running, slots });
   }
 
   private sendLookUp(exchange: Exchange): void {
-    const { executions, responder: replies } = this.options;
+    const { executions, responder } = this.options;
     const found = executions.find(decodeURIComponent(exchange.path.slice(LOOK_UP_PREFIX.length)));
-    if (found.answer !== undefined) {
-      replies.sendResponse(exchange, OK, found.answer.body);
+    if (found.response !== undefined) {
+      responder.sendResponse(exchange, OK, found.response.body);
       return;
     }
     const isOpen = found.count > 0 || found.waiting > 0;
-    replies.sendStatus(exchange, isOpen ? CONFLICT : NOT_FOUND, { executions: found.count });
+    responder.sendStatus(exchange, isOpen ? CONFLICT : NOT_FOUND, { executions: found.count });
   }
 }
--- a/packages/standins/src/target/node/targetResponder.ts
+++ b/packages/standins/src/target/node/targetResponder.ts
@@ -1,11 +1,11 @@
-/** The way back from a target stand-in to its caller, with the faults that answers can have. */
+/** Sends the responses of a target stand-in and applies the faults that affect responses. */
 import type { Socket } from 'node:net';
 import type { RandomSource } from '@parsleymux/base';
 import { sendBytes, sendJson } from '../../server/node/httpBody.js';
 import type { ITargetCounters, ITargetFaults } from '../common/targetConfig.js';
 import type { Exchange } from './exchange.js';
 
-/** The counters as their owner counts them up. */
+/** The counters in the form that the target updates. */
 export type MutableTargetCounters = {
   -readonly [K in keyof ITargetCounters]: ITargetCounters[K];
 };
@@ -14,21 +14,21 @@
 export interface ITargetResponderOptions {
   readonly random: RandomSource;
   readonly counters: MutableTargetCounters;
-  /** Connections on which nothing is sent any more. */
+  /** Connections on which no further responses are sent. */
   readonly silentSockets: WeakSet<Socket>;
   readonly getFaults: () => ITargetFaults;
 }
 
 /**
- * Sends answers as the faults in force allow.
+ * Sends responses subject to the active faults.
  *
  * @example
- * replies.sendAnswer(exchange, 200, encodeAnswer(content));
+ * responder.sendResponse(exchange, 200, encodeResponseContent(content));
  */
 export class TargetResponder {
   constructor(private readonly options: ITargetResponderOptions) {}
 
-  /** Sends the answer to executed work, unless a fault keeps it back or cuts it. */
+  /** Sends the response to an executed request, unless a fault suppresses or truncates it. */
   sendResponse(exchange: Exchange, status: number, body: Uint8Array): void {
     const isTruncated = this.options.random.getFloat() < this.options.getFaults().truncateShare;
     if (!isTruncated) {
@@ -41,7 +41,7 @@
     if (this.isResponsePossible(exchange)) exchange.sendTruncated(status, body, this.makeHeaders());
   }
 
-  /** Sends any other answer. */
+  /** Sends any other response, which is never truncated. */
   sendStatus(
     exchange: Exchange,
     status: number,
--- a/packages/standins/src/target/node/targetStandIn.test.ts
+++ b/packages/standins/src/target/node/targetStandIn.test.ts
@@ -6,9 +6,9 @@
 import type { ITargetStandInOptions } from './targetStandIn.js';
 import { TargetStandIn } from './targetStandIn.js';
 
-type Use = (target: TargetStandIn, pool: Pool, clock: ManualClock) => Promise<void>;
+type UseTarget = (target: TargetStandIn, pool: Pool, clock: ManualClock) => Promise<void>;
 
-async function withTarget(options: ITargetStandInOptions, use: Use): Promise<void> {
+async function withTarget(options: ITargetStandInOptions, use: UseTarget): Promise<void> {
   const clock = new ManualClock();
   const target = new TargetStandIn({ clock, serviceSigma: 0, meanServiceMs: 10, ...options });
   await target.start();
@@ -36,12 +36,12 @@
   });
 }
 
-/** Waits, without the wall clock, until the real sockets have brought about a condition. */
+/** Waits without the clock until socket events make the condition true. */
 async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('an answer is verifiable, counted by key, and found by look-up', async () => {
+test('a response is verifiable, counted by key, and found by look-up', async () => {
   await withTarget({ member: 'm', service: 's' }, async (target, pool, clock) => {
     const pending = send(pool, 'r1');
     await waitUntil(() => target.getRunning() === 1);
@@ -49,8 +49,8 @@
     assert.equal(early.statusCode, 409);
     await early.body.dump();
     await clock.advanceBy(10);
-    const answer = await pending;
-    const body = await answer.body.bytes();
+    const response = await pending;
+    const body = await response.body.bytes();
     const expected = {
       member: 'm',
       service: 's',
@@ -71,7 +71,7 @@
   });
 });
 
-test('work beyond slots and queue is shed as not run, and so is all work while draining', async () => {
+test('requests beyond slots and queue, or while draining, are rejected as not run', async () => {
   await withTarget({ slots: 1, queueLimit: 1 }, async (target, pool, clock) => {
     const first = send(pool, 'r1');
     await waitUntil(() => target.getRunning() === 1);
@@ -94,7 +94,7 @@
   });
 });
 
-test('a timeout before work begins is answered not run; a caller that leaves stops the work', async () => {
+test('a timeout in the queue is reported as not run; a disconnect stops the execution', async () => {
   await withTarget({ slots: 1, queueLimit: 4 }, async (target, pool) => {
     const abort = new AbortController();
     const running = send(pool, 'r1', {}, abort.signal);
@@ -114,10 +114,9 @@
   });
 });
 
-// Symptom: a caller waits for ever on a connection that looks open, while new ones work.
-// Sequence: the connection serves, something between the ends forgets it, a request goes out.
-// Cause: neither end is told; nothing that is sent on it arrives.
-test('a silenced connection swallows requests and runs none; a new one works', async () => {
+// Simulates a connection whose state a middlebox has dropped: neither end is notified, nothing
+// that is sent on it arrives, and its caller waits indefinitely while new connections work.
+test('requests on a silenced connection are discarded and not run, and new connections work', async () => {
   await withTarget({}, async (target, pool, clock) => {
     const single = new Pool(`http://${target.getAddress()}`, { connections: 1 });
     const first = send(single, 'r1');
@@ -139,7 +138,7 @@
   });
 });
 
-test('gray: slow, failing and truncated work while health stays green', async () => {
+test('responses can be slow, failed or truncated while the health probe stays green', async () => {
   await withTarget({}, async (target, pool, clock) => {
     await target.setFaults({ slowFactor: 5, failShare: 1, claimedLoad: 0 });
     const slow = send(pool, 'r1');
@@ -155,14 +154,14 @@
     assert.equal((await slow).statusCode, 500);
     await (await slow).body.dump();
     await target.setFaults({ slowFactor: 1, failShare: 0, truncateShare: 1 });
-    const cut = send(pool, 'r2');
+    const truncated = send(pool, 'r2');
     await waitUntil(() => target.getRunning() === 1);
     await clock.advanceBy(10);
-    await assert.rejects(async () => (await cut).body.bytes());
+    await assert.rejects(async () => (await truncated).body.bytes());
   });
 });
 
-test('connections beyond the limit are closed, and a target that is down refuses them', async () => {
+test('connections beyond the limit are closed, and a target that is down refuses connections', async () => {
   await withTarget({ maxConnections: 0 }, async (target, pool) => {
     await assert.rejects(send(pool, 'r1'));
     assert.ok(target.getCounters().connectionsRefused > 0);
--- a/packages/standins/src/target/node/targetStandIn.ts
+++ b/packages/standins/src/target/node/targetStandIn.ts
@@ -1,13 +1,13 @@
 /**
- * Stands in for one target. Apart from real work, under any path, it serves
+ * Stands in for one target. It executes requests under any path, except that it serves
  *
- * - `GET /health` and `GET /load`, which lag behind or mislead as told;
- * - `GET /lookup/KEY`: 200 with the recorded answer, 404 when the key never ran, 409 while its
- *   outcome is open;
+ * - `GET /health` and `GET /load`, which faults can make inaccurate;
+ * - `GET /lookup/KEY`: 200 with the recorded response, 404 when the key was never executed, 409
+ *   while its outcome is undecided;
  * - on a second address, `/control/*`: see targetControl.ts.
  *
- * Request headers: `idempotency-key`, `x-request-id`, `parsleymux-timeout-ms`. Answer headers:
- * `parsleymux-draining: true` while draining, `parsleymux-run-state: not-run` on refusals.
+ * Request headers: `idempotency-key`, `x-request-id`, `parsleymux-timeout-ms`. Response headers:
+ * `parsleymux-draining: true` while draining, `parsleymux-run-state: not-run` on rejections.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -38,16 +38,16 @@
 export interface ITargetStandInOptions extends Partial<ITargetConfig> {
   /** Address within 127.0.0.0/8. Default 127.0.0.1. */
   readonly host?: string;
-  /** Port for work. Default 0: the operating system chooses. */
+  /** Port for requests. Default 0: the operating system chooses. */
   readonly port?: number;
   readonly faults?: Partial<ITargetFaults>;
-  /** Shared by the targets of one service. Default: a log of its own. */
+  /** Shared by the targets of one service. Default: a new log. */
   readonly executions?: ExecutionLog;
   readonly clock?: Clock;
 }
 
 /**
- * A target with slots, service times and faults.
+ * A simulated target with slots, service times and faults.
  *
  * @example
  * const target = new TargetStandIn({ member: 'relinieri', service: 'booking', slots: 4 });
@@ -64,7 +64,7 @@
   private readonly control: LoopbackServer;
   private readonly queue: SlotQueue;
   private readonly silentSockets = new WeakSet<Socket>();
-  private readonly replies: TargetResponder;
+  private readonly responder: TargetResponder;
   private readonly probes: TargetProbes;
   private readonly counters: MutableTargetCounters = {
     executed: 0,
@@ -81,7 +81,7 @@
     maxRunning: 0,
   };
   private faults: ITargetFaults;
-  private warmAtMs = 0;
+  private coldUntilMs = 0;
   private lastBody: Uint8Array | undefined;
 
   constructor(options: ITargetStandInOptions = {}) {
@@ -92,7 +92,7 @@
     this.clock = clock ?? new SystemClock();
     this.random = new SeededRandom(this.config.seed);
     this.queue = new SlotQueue(this.config.slots, this.config.queueLimit);
-    this.replies = new TargetResponder({
+    this.responder = new TargetResponder({
       random: this.random,
       counters: this.counters,
       silentSockets: this.silentSockets,
@@ -112,18 +112,18 @@
   }
 
   async start(): Promise<void> {
-    this.warmAtMs = this.clock.getMonotonicTime() + this.config.coldStartMs;
+    this.coldUntilMs = this.clock.getMonotonicTime() + this.config.coldStartMs;
     await this.control.open();
     await this.service.open();
     await this.setFaults({});
   }
 
-  /** IP number and port for work. */
+  /** IP address and port for requests. */
   getAddress(): string {
     return this.service.getAddress();
   }
 
-  /** IP number and port of `/control/*`. */
+  /** IP address and port of `/control/*`. */
   getControlAddress(): string {
     return this.control.getAddress();
   }
@@ -140,30 +140,30 @@
     return this.queue.getRunning();
   }
 
-  /** Open connections for work. */
+  /** Number of open connections for requests. */
   getConnectionCount(): number {
     return this.service.getSockets().size;
   }
 
-  /** Changes the faults in part. A target that comes up again is cold. */
+  /** Replaces the given faults. A target that was down starts cold. */
   async setFaults(patch: Partial<ITargetFaults>): Promise<void> {
     const wasDown = this.faults.down;
     this.faults = mergeFaults(this.faults, patch);
     if (this.faults.down) await this.service.close();
     else await this.service.open();
     if (wasDown && !this.faults.down) {
-      this.warmAtMs = this.clock.getMonotonicTime() + this.config.coldStartMs;
+      this.coldUntilMs = this.clock.getMonotonicTime() + this.config.coldStartMs;
     }
   }
 
-  /** Ends every fault. Connections that were silenced stay silent: nothing brings those back. */
+  /** Clears all faults. Silenced connections stay silent. */
   clearFaults(): Promise<void> {
     return this.setFaults(NO_TARGET_FAULTS);
   }
 
   /**
-   * Makes every connection that is open now silent for good: it stays open, what comes in is
-   * never executed, and what would go out is never sent. New connections work.
+   * Permanently silences all open connections: they stay open, but requests on them are not
+   * executed and no response is sent. New connections work. Returns the number of connections.
    */
   markConnectionsSilent(): number {
     for (const socket of this.service.getSockets()) this.silentSockets.add(socket);
@@ -177,7 +177,7 @@
 
   private createProbes(): TargetProbes {
     return new TargetProbes({
-      responder: this.replies,
+      responder: this.responder,
       counters: this.counters,
       executions: this.executions,
       slots: this.config.slots,
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Real work: wait for a slot, execute, answer. */
+  /** Waits for a slot, executes the request and sends the response. */
   private async serve(exchange: Exchange): Promise<void> {
     if (this.faults.draining) {
       this.refuse(exchange, UNAVAILABLE);
@@ -249,13 +249,13 @@
       return;
     }
     const isForeign = this.random.getFloat() < this.faults.foreignShare;
-    this.replies.sendResponse(exchange, status, isForeign ? (this.lastBody ?? body) : body);
+    this.responder.sendResponse(exchange, status, isForeign ? (this.lastBody ?? body) : body);
     this.lastBody = body;
   }
 
   private getWorkMs(): number {
     const { meanServiceMs, serviceSigma, coldFactor } = this.config;
-    const isCold = this.clock.getMonotonicTime() < this.warmAtMs;
+    const isCold = this.clock.getMonotonicTime() < this.coldUntilMs;
     const factor = this.faults.slowFactor * (isCold ? coldFactor : 1);
     return factor * sampleServiceTime(this.random, meanServiceMs, serviceSigma);
   }
@@ -273,10 +273,10 @@
     });
   }
 
-  /** A refusal of work that has not begun. */
+  /** Rejects a request that has not been executed. */
   private refuse(exchange: Exchange, status: number): void {
     this.counters.shed += 1;
-    this.replies.sendStatus(exchange, status, { error: 'not run' }, NOT_RUN);
+    this.responder.sendStatus(exchange, status, { error: 'not run' }, NOT_RUN);
   }
 
   private sendStopped(exchange: Exchange): void {
@@ -285,6 +285,6 @@
       return;
     }
     this.counters.timedOut += 1;
-    this.replies.sendStatus(exchange, TIMED_OUT, { error: 'out of time while running' });
+    this.responder.sendStatus(exchange, TIMED_OUT, { error: 'out of time while running' });
   }
 }
