--- a/packages/claims/src/admin/common/claimAdmin.test.ts
+++ b/packages/claims/src/admin/common/claimAdmin.test.ts
@@ -3,7 +3,7 @@
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { ClaimOutcome } from '@parsleymux/schema';
 import { GroupCommitter } from '../../store/common/groupCommitter.js';
-import { assertRefused, ClaimWorld, readText } from '../../test/claimWorld.js';
+import { assertRefused, ClaimTestFleet, readText } from '../../test/claimTestFleet.js';
 import { TargetBehavior } from '../../test/fakeTarget.js';
 import type { ISettleRequest } from './claimAdmin.js';
 import { ClaimAdmin } from './claimAdmin.js';
@@ -17,7 +17,7 @@
   note: 'the truck arrived',
 };
 
-function makeAdmin(world: ClaimWorld, liveNodes: ReadonlySet<string>): ClaimAdmin {
+function makeAdmin(world: ClaimTestFleet, liveNodes: ReadonlySet<string>): ClaimAdmin {
   return new ClaimAdmin({
     committer: new GroupCommitter({ table: world.table, clock: world.clock }),
     clock: world.clock,
@@ -27,7 +27,7 @@
 }
 
 async function settle(
-  world: ClaimWorld,
+  world: ClaimTestFleet,
   admin: ClaimAdmin,
   request: ISettleRequest,
 ): Promise<string> {
@@ -40,9 +40,9 @@
 }
 
 test('an operator settles an unknown outcome as run, and every retry is told so', async () => {
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   world.addNode('a');
-  await world.execute('a', { behavior: TargetBehavior.FallSilent });
+  await world.execute('a', { behavior: TargetBehavior.ExecuteSilently });
   const admin = makeAdmin(world, new Set(['a']));
   assert.equal(await settle(world, admin, SETTLE_REQUEST), 'ran-not-kept by ioana');
   assertRefused(await world.execute('a'), ResultCode.OutcomeSettled, RunState.Ran);
@@ -50,13 +50,13 @@
     await settle(world, admin, SETTLE_REQUEST),
     `refused ${ResultCode.ClaimNotSettleable}`,
   );
-  world.assertPromises();
+  world.assertInvariants();
 });
 
 test("a claim is another member's own, and absent ones can't be settled", async () => {
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   world.addNode('a');
-  await world.execute('a', { behavior: TargetBehavior.FallSilent });
+  await world.execute('a', { behavior: TargetBehavior.ExecuteSilently });
   const admin = makeAdmin(world, new Set());
   const other = { ...SETTLE_REQUEST, member: 'south' };
   assert.equal(await settle(world, admin, other), `refused ${ResultCode.NotFound}`);
@@ -66,7 +66,7 @@
   // Symptom: a booking ran twice. Sequence: an operator called an unknown outcome not run while
   // the claimer was only paused or cut off; the key was run again, and the claimer went on.
   // Cause: a claimer that does not answer was taken for one that is gone.
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   world.addNode('a', { step: 4, pauseMs: undefined });
   world.addNode('b');
   world.send('a');
@@ -80,13 +80,13 @@
   assert.equal(await settle(world, adminOfLive, request), notSettleable, 'listed as live');
   assert.equal(await settle(world, admin, request), 'not-run by ioana');
   assert.equal(readText(await world.execute('b')), 'booked north/key-1 as 1 for caller-1');
-  world.assertPromises();
+  world.assertInvariants();
 });
 
 test('a claimer that is alive speaks for its claim', async () => {
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   world.addNode('a');
-  const first = world.send('a', { behavior: TargetBehavior.FallSilent });
+  const first = world.send('a', { behavior: TargetBehavior.ExecuteSilently });
   await world.clock.advanceBy(50);
   const settling = settle(world, makeAdmin(world, new Set()), SETTLE_REQUEST);
   assert.equal(await settling, `refused ${ResultCode.ClaimNotSettleable}`);
--- a/packages/claims/src/admin/common/claimAdmin.ts
+++ b/packages/claims/src/admin/common/claimAdmin.ts
@@ -12,7 +12,7 @@
 import type { GroupCommitter, IRowChange, IRowResult } from '../../store/common/groupCommitter.js';
 
 const HASHED_KEY = /^[0-9a-f]{64}$/;
-const QUESTION_MS = 1000;
+const LOOK_UP_TIMEOUT_MS = 1000;
 const DEFAULT_MIN_AGE_MS = 900_000;
 const STORE_RETRY_MS = 2000;
 
@@ -93,7 +93,7 @@
     if (claim.state !== ClaimState.Running) {
       throw refuseSettling(`its outcome is known: ${claim.state}`);
     }
-    const isGone = await this.isClaimerGone(request.member, hashed, claim, signal);
+    const isGone = await this.isClaimerTerminated(request.member, hashed, claim, signal);
     if (!isGone) throw refuseSettling(`node ${claim.claimer} still answers for it, or may`);
     const ageMs = this.options.clock.getWallTime() - claim.claimedAtMs;
     if (request.outcome === ClaimOutcome.NOT_RUN && ageMs < this.minAgeMs) {
@@ -102,7 +102,7 @@
   }
 
   /** The process at the claimer's address never had the attempt, or the VM is listed no more. */
-  private async isClaimerGone(
+  private async isClaimerTerminated(
     member: string,
     claimKey: string,
     claim: IClaim,
@@ -110,10 +110,10 @@
   ): Promise<boolean> {
     const { peer, isLive } = this.options;
     const question = { member, claimKey, attemptToken: claim.token, waitMs: 0 };
-    const limit = AbortSignal.any([signal, AbortSignal.timeout(QUESTION_MS)]);
+    const limit = AbortSignal.any([signal, AbortSignal.timeout(LOOK_UP_TIMEOUT_MS)]);
     try {
-      const said = await peer.lookUp(claim.claimer, question, limit);
-      return said.state === ClaimLookUp.UNKNOWN;
+      const lookUpResponse = await peer.lookUp(claim.claimer, question, limit);
+      return lookUpResponse.state === ClaimLookUp.UNKNOWN;
     } catch {
       return !isLive(claim.claimer);
     }
@@ -149,7 +149,7 @@
 
   private async commit(change: IRowChange): Promise<IRowResult> {
     try {
-      return await this.commitTwice(change);
+      return await this.commitWithRetry(change);
     } catch (error) {
       if (!(error instanceof PlatformError)) throw error;
       throw new MuxError({
@@ -162,7 +162,7 @@
     }
   }
 
-  private async commitTwice(change: IRowChange): Promise<IRowResult> {
+  private async commitWithRetry(change: IRowChange): Promise<IRowResult> {
     try {
       return await this.options.committer.commit(change);
     } catch (error) {
--- a/packages/claims/src/attempt/common/attemptRegistry.ts
+++ b/packages/claims/src/attempt/common/attemptRegistry.ts
@@ -5,7 +5,7 @@
  */
 import type { InvariantRegistry, MuxError } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
-import type { IWholeAnswer } from '../../claim/common/answerCodec.js';
+import type { ICompleteResponse } from '../../claim/common/responseCodec.js';
 
 /** How an attempt ended. */
 export const AttemptEnd = {
@@ -22,7 +22,7 @@
 export interface IAttemptOutcome {
   readonly end: AttemptEnd;
   /** Present when finished. */
-  readonly answer?: IWholeAnswer;
+  readonly response?: ICompleteResponse;
   /** What the first caller was told instead of an answer. */
   readonly error?: MuxError;
 }
@@ -82,11 +82,11 @@
    * Ends the attempt. `isProved` says that the home vouched for what `end` claims; without it
    * an attempt that was dispatched must never be given out as not run.
    */
-  end(outcome: IAttemptOutcome, isProved: boolean): void {
+  end(outcome: IAttemptOutcome, isConfirmed: boolean): void {
     if (outcome.end === AttemptEnd.NotRun) {
       this.invariants.check(
         InvariantName.TruthfulRefusal,
-        this.dispatches === 0 || isProved,
+        this.dispatches === 0 || isConfirmed,
         () => `attempt ${this.token}: not run after dispatch`,
       );
     }
--- a/packages/claims/src/attempt/common/waitAtMost.ts
+++ b/packages/claims/src/attempt/common/waitWithTimeout.ts
@@ -7,7 +7,7 @@
  * @example
  * const outcome = await waitAtMost(clock, attempt.ended, 500);
  */
-export async function waitAtMost<T>(
+export async function waitWithTimeout<T>(
   clock: Clock,
   promise: Promise<T>,
   waitMs: number,
--- a/packages/claims/src/claim/common/claim.ts
+++ b/packages/claims/src/claim/common/claim.ts
@@ -5,7 +5,7 @@
  * land on the empty place and hold the key for a request that is long over.
  */
 import type { ITableRow } from '@parsleymux/store';
-import type { IStoredAnswer } from './answerCodec.js';
+import type { IStoredResponse } from './responseCodec.js';
 
 /** What is known of the one execution of a key. */
 export const ClaimState = {
@@ -45,7 +45,7 @@
   /** Wall time of the last change of state, in ms since the Unix epoch. */
   readonly changedAtMs: number;
   /** Present when finished. */
-  readonly answer?: IStoredAnswer;
+  readonly answer?: IStoredResponse;
   /** Present when an operator settled it. */
   readonly settlement?: ISettlement;
 }
--- a/packages/claims/src/claim/common/answerCodec.ts
+++ b/packages/claims/src/claim/common/responseCodec.ts
@@ -7,12 +7,12 @@
 export const REPLAY_HEADER = 'idempotency-replayed';
 
 /** A whole answer in memory. */
-export interface IWholeAnswer extends IAnswer {
+export interface ICompleteResponse extends IAnswer {
   readonly body: Uint8Array;
 }
 
 /** A recorded answer. The body is here or, when large, in an object. */
-export interface IStoredAnswer {
+export interface IStoredResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly code: ResultCode;
@@ -28,7 +28,7 @@
  * @example
  * const stored = encodeAnswer(answer);
  */
-export function encodeAnswer(answer: IWholeAnswer): IStoredAnswer {
+export function encodeResponse(answer: ICompleteResponse): IStoredResponse {
   const { status, headers, code } = answer;
   return { status, headers, code, body: Buffer.from(answer.body).toString('base64') };
 }
@@ -40,7 +40,7 @@
  * await objects.put(objectKey, answer.body);
  * return encodeAnswerHead(answer, objectKey);
  */
-export function encodeAnswerHead(answer: IWholeAnswer, objectKey: string): IStoredAnswer {
+export function encodeResponseHead(answer: ICompleteResponse, objectKey: string): IStoredResponse {
   const { status, headers, code } = answer;
   return { status, headers, code, objectKey };
 }
@@ -51,7 +51,7 @@
  * @example
  * return decodeAnswer(stored, bytes);
  */
-export function decodeAnswer(stored: IStoredAnswer, body?: Uint8Array): IWholeAnswer {
+export function decodeResponse(stored: IStoredResponse, body?: Uint8Array): ICompleteResponse {
   return markReplayed({
     status: stored.status,
     headers: stored.headers,
@@ -67,7 +67,7 @@
  * @example
  * return markReplayed(outcome.answer);
  */
-export function markReplayed(answer: IWholeAnswer): IWholeAnswer {
+export function markReplayed(answer: ICompleteResponse): ICompleteResponse {
   const kept = answer.headers.filter(([name]) => name !== REPLAY_HEADER);
   return { ...answer, headers: [...kept, [REPLAY_HEADER, 'true']] };
 }
@@ -78,16 +78,16 @@
  * @example
  * return { state: ClaimLookUp.FINISHED, answer: encodeAnswerBytes(outcome.answer) };
  */
-export function encodeAnswerBytes(answer: IWholeAnswer): Uint8Array {
-  return Buffer.from(JSON.stringify(encodeAnswer(answer)));
+export function encodeResponseBytes(answer: ICompleteResponse): Uint8Array {
+  return Buffer.from(JSON.stringify(encodeResponse(answer)));
 }
 
 /**
- * The answer in bytes that {@link encodeAnswerBytes} made, marked as a replay.
+ * The answer in bytes that {@link encodeResponseBytes} made, marked as a replay.
  *
  * @example
  * return decodeAnswerBytes(said.answer);
  */
-export function decodeAnswerBytes(bytes: Uint8Array): IWholeAnswer {
-  return decodeAnswer(JSON.parse(Buffer.from(bytes).toString('utf8')) as IStoredAnswer);
+export function decodeResponseBytes(bytes: Uint8Array): ICompleteResponse {
+  return decodeResponse(JSON.parse(Buffer.from(bytes).toString('utf8')) as IStoredResponse);
 }
--- a/packages/claims/src/expiry/common/claimSweeper.test.ts
+++ b/packages/claims/src/expiry/common/claimSweeper.test.ts
@@ -6,7 +6,7 @@
 import { computeClaimKey, formatClaimRowKey } from '../../claim/common/claimIdentity.js';
 import { getKeyTime } from '../../claim/common/keyTime.js';
 import { GroupCommitter } from '../../store/common/groupCommitter.js';
-import { assertRefused, ClaimWorld, isReplayed, readText } from '../../test/claimWorld.js';
+import { assertRefused, ClaimTestFleet, isReplayed, readText } from '../../test/claimTestFleet.js';
 import { FakeTable } from '../../test/fakeTable.js';
 import { ClaimSweeper } from './claimSweeper.js';
 import { Retention } from './retention.js';
@@ -73,7 +73,7 @@
   // Symptom: a booking ran twice, eight days apart. Sequence: a caller kept an unanswered
   // booking in its queue for longer than records are kept, and sent it again. Cause: a removed
   // record looks like a key that never ran.
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   world.addNode('a');
   const key = '018bcfe5-6800-7000-8000-000000000000';
   assert.equal(getKeyTime(key), 1_700_000_000_000);
@@ -84,5 +84,5 @@
   await visitAll(world.clock, world.table, ['a']);
   const expired = await world.execute('a', { key });
   assertRefused(expired, ResultCode.IdempotencyKeyExpired, RunState.MayHaveRun);
-  world.assertPromises();
+  world.assertInvariants();
 });
--- a/packages/claims/src/expiry/common/claimSweeper.ts
+++ b/packages/claims/src/expiry/common/claimSweeper.ts
@@ -48,7 +48,7 @@
 
   /** Starts walking; the first walk begins at a random time, lest restarted nodes walk in step. */
   start(): void {
-    void this.runForever().catch(() => undefined);
+    void this.runContinuously().catch(() => undefined);
   }
 
   dispose(): void {
@@ -66,28 +66,28 @@
     while (member !== undefined) {
       for (let slice = 0; slice < SLICES; slice++) {
         const prefix = formatSlice(slice);
-        if (!this.hasSlice(`${member}/${prefix}`)) continue;
+        if (!this.isSliceAssigned(`${member}/${prefix}`)) continue;
         await this.removeExpired(formatClaimRowKey(member, prefix));
-        await this.sleepAbout(gapMs);
+        await this.sleepJittered(gapMs);
       }
       member = await this.findMemberAfter(member);
     }
   }
 
-  private async runForever(): Promise<void> {
+  private async runContinuously(): Promise<void> {
     const passMs = this.options.passMs ?? DEFAULT_PASS_MS;
-    await this.sleepAbout(passMs * this.options.random.getFloat());
+    await this.sleepJittered(passMs * this.options.random.getFloat());
     while (!this.stop.signal.aborted) {
       try {
         await this.visitSlices(passMs / SLICES);
       } catch {
         // The store is out, or the node stops: what is expired stays until the next walk.
       }
-      await this.sleepAbout(passMs);
+      await this.sleepJittered(passMs);
     }
   }
 
-  private sleepAbout(meanMs: number): Promise<void> {
+  private sleepJittered(meanMs: number): Promise<void> {
     const { clock, random } = this.options;
     return clock.sleep(random.getJittered(meanMs, 0.5), this.stop.signal);
   }
@@ -98,7 +98,7 @@
     return rows[0]?.key.split('/')[1];
   }
 
-  private hasSlice(name: string): boolean {
+  private isSliceAssigned(name: string): boolean {
     const nodes = this.options.getLiveNodes();
     const rank = (address: string) => hashToInteger(`${name}@${address}`);
     const own = rank(this.options.nodeAddress);
--- a/packages/claims/src/expiry/common/retention.ts
+++ b/packages/claims/src/expiry/common/retention.ts
@@ -15,11 +15,11 @@
  * Whatever the settings say, nothing goes sooner. A write that is still on its way to the table,
  * such as a claim whose sender gave up, must find the row that it was meant for.
  */
-const MIN_KEEP_MS = MS_PER_HOUR;
+const MIN_RETENTION_MS = MS_PER_HOUR;
 /** An attempt may take minutes; its row must never go while it runs. */
-const MIN_UNSETTLED_KEEP_MS = MS_PER_DAY;
+const MIN_UNSETTLED_RETENTION_MS = MS_PER_DAY;
 /** Clocks of callers and nodes differ; a dated key is refused this share of its time early. */
-const SKEW_SHARE = 0.05;
+const CLOCK_SKEW_SHARE = 0.05;
 
 /**
  * Decides on the age of claims and of keys.
@@ -30,18 +30,21 @@
  */
 export class Retention {
   /** Time that a settled claim is kept after its last change, in ms. */
-  readonly keepMs: number;
+  readonly retentionMs: number;
   /** Time that a claim without outcome is kept, in ms. */
-  readonly unsettledKeepMs: number;
+  readonly unsettledRetentionMs: number;
 
   constructor(retentionS = DEFAULT_RETENTION_S) {
-    this.keepMs = Math.max(retentionS * MS_PER_SECOND, MIN_KEEP_MS);
-    this.unsettledKeepMs = Math.max(this.keepMs * UNSETTLED_FACTOR, MIN_UNSETTLED_KEEP_MS);
+    this.retentionMs = Math.max(retentionS * MS_PER_SECOND, MIN_RETENTION_MS);
+    this.unsettledRetentionMs = Math.max(
+      this.retentionMs * UNSETTLED_FACTOR,
+      MIN_UNSETTLED_RETENTION_MS,
+    );
   }
 
   /** Whether the row may be removed at the wall time `nowMs`. */
   hasExpired(claim: IClaim, nowMs: number): boolean {
-    return nowMs - claim.changedAtMs > this.getKeepMs(claim);
+    return nowMs - claim.changedAtMs > this.getRetentionMs(claim);
   }
 
   /**
@@ -49,11 +52,11 @@
    * While it is younger, a missing row proves that the key has not run.
    */
   isKeyTooOld(keyTimeMs: number, nowMs: number): boolean {
-    return nowMs - keyTimeMs > this.keepMs * (1 - SKEW_SHARE);
+    return nowMs - keyTimeMs > this.retentionMs * (1 - CLOCK_SKEW_SHARE);
   }
 
-  private getKeepMs(claim: IClaim): number {
+  private getRetentionMs(claim: IClaim): number {
     const isUnsettled = claim.state === ClaimState.Running || claim.state === ClaimState.Unknown;
-    return isUnsettled ? this.unsettledKeepMs : this.keepMs;
+    return isUnsettled ? this.unsettledRetentionMs : this.retentionMs;
   }
 }
--- a/packages/claims/src/guard/common/backgroundRetrier.ts
+++ b/packages/claims/src/guard/common/backgroundRetrier.ts
@@ -1,7 +1,7 @@
 /** Work that must get done although the store is out, after its caller has been answered. */
 import { setMaxListeners } from 'node:events';
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
-import { waitAtMost } from '../../attempt/common/waitAtMost.js';
+import { waitWithTimeout } from '../../attempt/common/waitWithTimeout.js';
 
 const FIRST_DELAY_MS = 50;
 const MAX_DELAY_MS = 5000;
@@ -38,7 +38,7 @@
     const done = this.runUntilDone(firstTry, action);
     this.pending.add(done);
     void done.finally(() => this.pending.delete(done));
-    await waitAtMost(this.clock, firstTry, waitMs);
+    await waitWithTimeout(this.clock, firstTry, waitMs);
   }
 
   /** Actions that have not succeeded yet. */
--- a/packages/claims/src/guard/common/claimErrors.ts
+++ b/packages/claims/src/guard/common/claimErrors.ts
@@ -29,7 +29,7 @@
  * @example
  * throw makeAnswerUnavailable(error);
  */
-export function makeAnswerUnavailable(cause: unknown): MuxError {
+export function makeResponseUnavailable(cause: unknown): MuxError {
   return new MuxError({
     code: ResultCode.ClaimStoreUnavailable,
     message: 'the request was executed; its recorded answer cannot be read now',
--- a/packages/claims/src/guard/common/claimGuard.ts
+++ b/packages/claims/src/guard/common/claimGuard.ts
@@ -11,8 +11,8 @@
 import { DispatchGuard } from '@parsleymux/routing';
 import type { IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { AttemptEnd, AttemptRegistry } from '../../attempt/common/attemptRegistry.js';
-import { waitAtMost } from '../../attempt/common/waitAtMost.js';
-import { markReplayed } from '../../claim/common/answerCodec.js';
+import { waitWithTimeout } from '../../attempt/common/waitWithTimeout.js';
+import { markReplayed } from '../../claim/common/responseCodec.js';
 import type { IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
 import type { IClaimIdentity } from '../../claim/common/claimIdentity.js';
@@ -33,7 +33,7 @@
   makeStillRunning,
   makeStoreUnavailable,
 } from './claimErrors.js';
-import { ClaimFollower } from './claimFollower.js';
+import { ClaimResolver } from './claimResolver.js';
 import type { IClaimGuardOptions } from './claimGuardOptions.js';
 import { withGuardDefaults } from './claimGuardOptions.js';
 import { ClaimRunner } from './claimRunner.js';
@@ -57,11 +57,11 @@
   private readonly registry = new AttemptRegistry();
   private readonly retrier: BackgroundRetrier;
   private readonly runner: ClaimRunner;
-  private readonly follower: ClaimFollower;
+  private readonly resolver: ClaimResolver;
 
-  constructor(given: IClaimGuardOptions) {
+  constructor(givenOptions: IClaimGuardOptions) {
     super();
-    const options = withGuardDefaults(given);
+    const options = withGuardDefaults(givenOptions);
     const { clock, random, committer, peer, metrics } = options;
     const { registry } = this;
     const store = new ClaimStore({ committer, clock, random });
@@ -76,7 +76,7 @@
     this.retrier = retrier;
     this.lookUpHandler = handler;
     this.runner = new ClaimRunner(shared);
-    this.follower = new ClaimFollower({ ...shared, peer, settler: new OutcomeSettler(shared) });
+    this.resolver = new ClaimResolver({ ...shared, peer, settler: new OutcomeSettler(shared) });
     metrics.addGauges({
       getPendingRecords: () => retrier.getPendingCount(),
       getTransactions: () => committer.getTransactionCount(),
@@ -89,7 +89,7 @@
     const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
     let known: IVersionedClaim | undefined;
     for (;;) {
-      this.checkStillWanted(guarded, signal);
+      this.checkDeadlineAndCaller(guarded, signal);
       const joined = await this.joinLocal(guarded, identity, rowKey);
       if (joined !== undefined) return this.replay(guarded, joined);
       known ??= await this.findBeforeRefusing(guarded, rowKey);
@@ -123,7 +123,7 @@
     identity: IClaimIdentity,
     outcome: IAttemptOutcome,
   ): Promise<IAnswer> {
-    if (outcome.answer !== undefined) return outcome.answer;
+    if (outcome.response !== undefined) return outcome.response;
     const error = outcome.error ?? makeOutcomeUnknown(true);
     const isUnknown = outcome.end === AttemptEnd.Unknown;
     if (!isUnknown || guarded.request.route.lookUpPath === '') throw error;
@@ -144,7 +144,7 @@
     return answer;
   }
 
-  private checkStillWanted(guarded: IGuardedAttempt, signal: AbortSignal): void {
+  private checkDeadlineAndCaller(guarded: IGuardedAttempt, signal: AbortSignal): void {
     if (signal.aborted) throw makeCallerGone();
     if (this.clock.getMonotonicTime() >= guarded.request.deadlineMs) throw makeDeadlinePassed();
   }
@@ -190,8 +190,8 @@
     known: IVersionedClaim,
   ): Promise<IAnswer | number> {
     const { request } = guarded;
-    const followed = await this.follower.resolve(request, identity, known);
-    return followed.answer ?? followed.claimableVersion;
+    const followed = await this.resolver.resolve(request, identity, known);
+    return followed.response ?? followed.claimableVersion;
   }
 
   /** Waits for an attempt of this very process: that works with the store out, too. */
@@ -203,11 +203,11 @@
     const attempt = this.registry.findByRow(rowKey);
     if (attempt === undefined || isNotRun(attempt.getOutcome())) return undefined;
     if (attempt.digest !== identity.digest) throw makeKeyConflict();
-    const leftMs = this.follower.getTimeLeft(guarded.request);
-    const outcome = await waitAtMost(this.clock, attempt.ended, leftMs);
+    const leftMs = this.resolver.getTimeLeft(guarded.request);
+    const outcome = await waitWithTimeout(this.clock, attempt.ended, leftMs);
     if (outcome === undefined) throw makeStillRunning();
     if (isNotRun(outcome)) return undefined;
-    if (outcome.answer !== undefined) return markReplayed(outcome.answer);
+    if (outcome.response !== undefined) return markReplayed(outcome.response);
     return this.resolveLocal(guarded, identity, rowKey, outcome);
   }
 
--- a/packages/claims/src/guard/common/claimGuardOptions.ts
+++ b/packages/claims/src/guard/common/claimGuardOptions.ts
@@ -9,13 +9,13 @@
 import type { ClaimPeer } from '../../peer/common/claimPeer.js';
 import { DEFAULT_GROUP_MS, GroupCommitter } from '../../store/common/groupCommitter.js';
 
-const DEFAULT_MAX_ANSWER_BYTES = 1 << 20;
+const DEFAULT_MAX_RESPONSE_BYTES = 1 << 20;
 const DEFAULT_MAX_ROW_BYTES = 8 << 10;
 const DEFAULT_CLAIM_WAIT_MS = 1000;
 const DEFAULT_RECORD_WAIT_MS = 500;
-const DEFAULT_ANSWER_MARGIN_MS = 50;
-const DEFAULT_GONE_WAIT_MS = 1000;
-const DEFAULT_QUIET_MS = 60_000;
+const DEFAULT_RESPONSE_MARGIN_MS = 50;
+const DEFAULT_UNLISTED_RETRY_MS = 1000;
+const DEFAULT_QUIET_PERIOD_MS = 60_000;
 
 /** Options of a {@link ClaimGuard}. All times are in ms. */
 export interface IClaimGuardOptions {
@@ -42,7 +42,7 @@
   /** Name of a new attempt; must be unique in the fleet for ever. Default: a random UUID. */
   readonly makeToken?: () => string;
   /** Largest answer that is kept, in bytes. Default 1 MiB. */
-  readonly maxAnswerBytes?: number;
+  readonly maxResponseBytes?: number;
   /** Largest body recorded in the row rather than in an object, in bytes. Default 8 KiB. */
   readonly maxRowBytes?: number;
   /** Longest wait for the fate of a claim whose answer was lost. Default 1000. */
@@ -50,11 +50,11 @@
   /** Longest time that an answer is held back for its record. Default 500. */
   readonly recordWaitMs?: number;
   /** Time before the deadline at which waiting for another's run ends. Default 50. */
-  readonly answerMarginMs?: number;
+  readonly responseMarginMs?: number;
   /** Longest time that a claimer listed as gone is asked again. Default 1000. */
-  readonly goneWaitMs?: number;
+  readonly unlistedRetryMs?: number;
   /** Time after an unknown outcome from which a target's "never ran" counts. Default 60000. */
-  readonly quietMs?: number;
+  readonly quietPeriodMs?: number;
 }
 
 /** Options with nothing left out. */
@@ -80,12 +80,12 @@
     // Not from the injected source: two nodes seeded alike would make the same tokens, and
     // each would take the other's claim for its own.
     makeToken: options.makeToken ?? randomUUID,
-    maxAnswerBytes: options.maxAnswerBytes ?? DEFAULT_MAX_ANSWER_BYTES,
+    maxResponseBytes: options.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
     maxRowBytes: options.maxRowBytes ?? DEFAULT_MAX_ROW_BYTES,
     claimWaitMs: options.claimWaitMs ?? DEFAULT_CLAIM_WAIT_MS,
     recordWaitMs: options.recordWaitMs ?? DEFAULT_RECORD_WAIT_MS,
-    answerMarginMs: options.answerMarginMs ?? DEFAULT_ANSWER_MARGIN_MS,
-    goneWaitMs: options.goneWaitMs ?? DEFAULT_GONE_WAIT_MS,
-    quietMs: options.quietMs ?? DEFAULT_QUIET_MS,
+    responseMarginMs: options.responseMarginMs ?? DEFAULT_RESPONSE_MARGIN_MS,
+    unlistedRetryMs: options.unlistedRetryMs ?? DEFAULT_UNLISTED_RETRY_MS,
+    quietPeriodMs: options.quietPeriodMs ?? DEFAULT_QUIET_PERIOD_MS,
   };
 }
--- a/packages/claims/src/guard/common/claimModel.test.ts
+++ b/packages/claims/src/guard/common/claimModel.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { ResultCode, SeededRandom } from '@parsleymux/base';
-import { ClaimWorld, getError } from '../../test/claimWorld.js';
+import { ClaimTestFleet, getError } from '../../test/claimTestFleet.js';
 import { TableFault } from '../../test/fakeTable.js';
 import { TargetBehavior } from '../../test/fakeTarget.js';
 import type { IProcessFault } from '../../test/processGate.js';
@@ -13,7 +13,7 @@
 const RESTART_MS = 1000;
 const END_MS = 200_000;
 const ADDRESSES = ['a', 'b', 'c', 'd'];
-const LATE_ERRORS: readonly ResultCode[] = [
+const FINAL_ERRORS: readonly ResultCode[] = [
   ResultCode.OutcomeUnknown,
   ResultCode.AnswerNotKept,
   ResultCode.IdempotencyKeyConflict,
@@ -41,7 +41,7 @@
 });
 
 const behaviorArbitrary = fc.oneof(
-  { weight: 4, arbitrary: fc.constant(TargetBehavior.Answer) },
+  { weight: 4, arbitrary: fc.constant(TargetBehavior.Respond) },
   { weight: 3, arbitrary: fc.constantFrom(...Object.values(TargetBehavior)) },
 );
 
@@ -68,7 +68,7 @@
 });
 
 /** Chooses faults of the table by the schedule; the outage ends before the final look. */
-function loseCalls(world: ClaimWorld, schedule: ISchedule): void {
+function setTableFaults(world: ClaimTestFleet, schedule: ISchedule): void {
   const random = new SeededRandom(schedule.seed);
   const faults = Object.values(TableFault);
   const { startMs, lengthMs } = schedule.outage;
@@ -81,12 +81,12 @@
 }
 
 async function runSchedule(schedule: ISchedule): Promise<void> {
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   const nodes = schedule.nodeFaults.map((fault, index) => {
     const address = ADDRESSES[index] ?? 'a';
     return { address, gate: world.addNode(address, fault ?? undefined) };
   });
-  loseCalls(world, schedule);
+  setTableFaults(world, schedule);
   const path = schedule.hasLookUp ? { lookUpPath: '/jobs/by-key/{key}' } : {};
   for (const { node, key, gapMs, deadlineMs, behavior, body } of schedule.requests) {
     const address = nodes[node % nodes.length]?.address ?? 'a';
@@ -102,10 +102,10 @@
   for (const key of ['key-0', 'key-1']) {
     const last = await world.execute('last', { key, ...path });
     if (last.result?.status === 'rejected') {
-      assert.ok(LATE_ERRORS.includes(getError(last).code), getError(last).message);
+      assert.ok(FINAL_ERRORS.includes(getError(last).code), getError(last).message);
     }
   }
-  world.assertPromises();
+  world.assertInvariants();
 }
 
 test('random schedules: each key executes at most once and every refusal is true', async () => {
--- a/packages/claims/src/guard/common/claimFollower.ts
+++ b/packages/claims/src/guard/common/claimResolver.ts
@@ -2,7 +2,7 @@
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { IRoutedRequest } from '@parsleymux/routing';
 import { ClaimLookUp } from '@parsleymux/schema';
-import { decodeAnswerBytes } from '../../claim/common/answerCodec.js';
+import { decodeResponseBytes } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
 import type { IClaimIdentity } from '../../claim/common/claimIdentity.js';
@@ -10,20 +10,20 @@
 import type { ClaimLookUpHandler } from '../../peer/common/claimLookUpHandler.js';
 import type {
   ClaimPeer,
-  IClaimLookUpAnswer,
-  IClaimLookUpQuestion,
+  IClaimLookUpResponse,
+  IClaimLookUpRequest,
 } from '../../peer/common/claimPeer.js';
 import type { ClaimStore, ICheckedRow } from '../../store/common/claimStore.js';
 import { makeKeyConflict, makeStillRunning } from './claimErrors.js';
-import type { IFollowResult, OutcomeSettler } from './outcomeSettler.js';
-import { makeAnswered, makeClaimable } from './outcomeSettler.js';
+import type { IClaimResolution, OutcomeSettler } from './outcomeSettler.js';
+import { makeReplayable, makeClaimable } from './outcomeSettler.js';
 
 /** Short enough that a claimer's silence leaves time to ask the store and the targets. */
-const MAX_QUESTION_MS = 1000;
+const MAX_LOOK_UP_MS = 1000;
 const RETRY_MS = 100;
 
-/** Options of a {@link ClaimFollower}. All times are in ms. */
-export interface IClaimFollowerOptions {
+/** Options of a {@link ClaimResolver}. All times are in ms. */
+export interface IClaimResolverOptions {
   readonly store: ClaimStore;
   readonly handler: ClaimLookUpHandler;
   readonly peer: ClaimPeer;
@@ -34,9 +34,9 @@
   /** Whether the node may still be alive. */
   readonly isLive: (address: string) => boolean;
   /** Time before the deadline at which waiting ends, so that the refusal arrives in time. */
-  readonly answerMarginMs: number;
+  readonly responseMarginMs: number;
   /** Longest time that a silent claimer which is listed as gone is asked again. */
-  readonly goneWaitMs: number;
+  readonly unlistedRetryMs: number;
 }
 
 /**
@@ -45,8 +45,8 @@
  * @example
  * const result = await follower.resolve(request, identity, known);
  */
-export class ClaimFollower {
-  constructor(private readonly options: IClaimFollowerOptions) {}
+export class ClaimResolver {
+  constructor(private readonly options: IClaimResolverOptions) {}
 
   /**
    * The answer under the key, or the version at which its row may be claimed. Waits for the
@@ -56,7 +56,7 @@
     request: IRoutedRequest,
     identity: IClaimIdentity,
     first: IVersionedClaim,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     const { clock, random } = this.options;
     const startMs = clock.getMonotonicTime();
     let known = first;
@@ -65,14 +65,15 @@
       if (known.claim.state !== ClaimState.Running) {
         return this.readOutcome(request, identity, known);
       }
-      const said = await this.fetchState(request, identity, known.claim);
-      if (said?.state === ClaimLookUp.FINISHED) return makeAnswered(decodeAnswerBytes(said.answer));
-      if (said?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
-      if (said?.state !== ClaimLookUp.RUNNING) {
+      const lookUpResponse = await this.fetchAttemptState(request, identity, known.claim);
+      if (lookUpResponse?.state === ClaimLookUp.FINISHED)
+        return makeReplayable(decodeResponseBytes(lookUpResponse.answer));
+      if (lookUpResponse?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
+      if (lookUpResponse?.state !== ClaimLookUp.RUNNING) {
         // The claimer may have written the outcome and forgotten it since the row was read.
         const checked = await this.tryCheck(identity, known.version);
         const isUnchanged = checked?.isUnchanged === true;
-        if (isUnchanged && this.isGone(known.claim, said, startMs)) {
+        if (isUnchanged && this.isClaimerTerminated(known.claim, lookUpResponse, startMs)) {
           return this.settle(request, identity, known);
         }
         if (checked?.current === undefined) await clock.sleep(random.getJittered(RETRY_MS));
@@ -84,7 +85,7 @@
 
   /** Time that may still be spent on waiting for the request's outcome, in ms. */
   getTimeLeft(request: IRoutedRequest): number {
-    const untilMs = request.deadlineMs - this.options.answerMarginMs;
+    const untilMs = request.deadlineMs - this.options.responseMarginMs;
     return Math.max(0, untilMs - this.options.clock.getMonotonicTime());
   }
 
@@ -92,7 +93,7 @@
     request: IRoutedRequest,
     identity: IClaimIdentity,
     known: IVersionedClaim,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     const leftMs = this.getTimeLeft(request);
     return this.options.settler.readOutcome(request, identity, known, leftMs);
   }
@@ -101,25 +102,29 @@
     request: IRoutedRequest,
     identity: IClaimIdentity,
     known: IVersionedClaim,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     const leftMs = this.getTimeLeft(request);
     return this.options.settler.settleByTargets(request, identity, known, leftMs);
   }
 
   /** The process at the claimer's address never had the attempt, or nothing is there any more. */
-  private isGone(claim: IClaim, said: IClaimLookUpAnswer | undefined, startMs: number): boolean {
+  private isClaimerTerminated(
+    claim: IClaim,
+    said: IClaimLookUpResponse | undefined,
+    startMs: number,
+  ): boolean {
     if (said !== undefined) return true;
     const silentMs = this.options.clock.getMonotonicTime() - startMs;
-    return silentMs >= this.options.goneWaitMs && !this.options.isLive(claim.claimer);
+    return silentMs >= this.options.unlistedRetryMs && !this.options.isLive(claim.claimer);
   }
 
   /** Undefined when the claimer stays silent. */
-  private async fetchState(
+  private async fetchAttemptState(
     request: IRoutedRequest,
     identity: IClaimIdentity,
     claim: IClaim,
-  ): Promise<IClaimLookUpAnswer | undefined> {
-    const waitMs = Math.min(MAX_QUESTION_MS, this.getTimeLeft(request));
+  ): Promise<IClaimLookUpResponse | undefined> {
+    const waitMs = Math.min(MAX_LOOK_UP_MS, this.getTimeLeft(request));
     const { member, claimKey } = identity;
     const question = { member, claimKey, attemptToken: claim.token, waitMs };
     if (claim.claimer === this.options.nodeAddress) return this.options.handler.handle(question);
@@ -128,9 +133,9 @@
 
   private async fetchFromPeer(
     address: string,
-    question: IClaimLookUpQuestion,
-  ): Promise<IClaimLookUpAnswer | undefined> {
-    const { clock, peer, answerMarginMs } = this.options;
+    question: IClaimLookUpRequest,
+  ): Promise<IClaimLookUpResponse | undefined> {
+    const { clock, peer, responseMarginMs: answerMarginMs } = this.options;
     const stop = new AbortController();
     // A claimer that is paused, or hears us but is not heard, would hold the caller for ever.
     const limitMs = question.waitMs + answerMarginMs;
--- a/packages/claims/src/guard/common/claimRunner.ts
+++ b/packages/claims/src/guard/common/claimRunner.ts
@@ -5,16 +5,16 @@
 import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
 import type { AttemptRegistry, IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { Attempt, AttemptEnd } from '../../attempt/common/attemptRegistry.js';
-import type { IStoredAnswer, IWholeAnswer } from '../../claim/common/answerCodec.js';
-import { encodeAnswer, encodeAnswerHead } from '../../claim/common/answerCodec.js';
+import type { IStoredResponse, ICompleteResponse } from '../../claim/common/responseCodec.js';
+import { encodeResponse, encodeResponseHead } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
 import type { IClaimIdentity } from '../../claim/common/claimIdentity.js';
 import { formatClaimRowKey } from '../../claim/common/claimIdentity.js';
 import type { ClaimMetrics } from '../../metrics/common/claimMetrics.js';
 import type { ClaimStore } from '../../store/common/claimStore.js';
-import { ClaimVerdict } from '../../store/common/claimStore.js';
-import { readWholeBody } from './wholeBody.js';
+import { ClaimWriteResult } from '../../store/common/claimStore.js';
+import { readCompleteBody } from './completeBody.js';
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import { makeCallerGone, makeDeadlinePassed, makeStoreUnavailable } from './claimErrors.js';
 import { makeAnswerNotKept, makeUnexpectedError } from './claimErrors.js';
@@ -36,7 +36,7 @@
   readonly metrics: ClaimMetrics;
   readonly makeToken: () => string;
   /** Largest answer that is kept, in bytes. */
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
   /** Largest body that is recorded in the row itself, in bytes. */
   readonly maxRowBytes: number;
   /** Longest wait for a claim whose answer was lost, in ms. */
@@ -77,17 +77,17 @@
       claim,
       this.getClaimLimit(guarded),
     );
-    this.options.metrics.verdicts.inc({ member: identity.member, verdict: result.verdict });
-    switch (result.verdict) {
-      case ClaimVerdict.Won:
+    this.options.metrics.claims.inc({ member: identity.member, verdict: result.writeResult });
+    switch (result.writeResult) {
+      case ClaimWriteResult.Won:
         return this.runClaimed(guarded, attempt, claim, result.version, signal);
-      case ClaimVerdict.Lost:
+      case ClaimWriteResult.Lost:
         this.remove(attempt);
         return { ...EMPTY_ROW, current: result.current };
-      case ClaimVerdict.Unavailable:
+      case ClaimWriteResult.Unavailable:
         this.remove(attempt);
         throw this.makeStoreUnavailable();
-      case ClaimVerdict.Unresolved:
+      case ClaimWriteResult.Unresolved:
         // The claim may stand, or land later, although nobody will ever run it. Until the row
         // says so, this process answers "not run" to whoever finds our token there.
         await this.release(attempt, claim, expectedVersion, undefined, false);
@@ -103,7 +103,7 @@
     signal: AbortSignal,
   ): Promise<IRunResult> {
     attempt.recordClaim();
-    const refusal = this.findLateRefusal(guarded, signal);
+    const refusal = this.findRefusalAfterClaim(guarded, signal);
     if (refusal !== undefined) {
       await this.release(attempt, claim, version, refusal, false);
       throw refusal;
@@ -130,7 +130,10 @@
   }
 
   /** The process may have been paused between the claim's commit and now. */
-  private findLateRefusal(guarded: IGuardedAttempt, signal: AbortSignal): MuxError | undefined {
+  private findRefusalAfterClaim(
+    guarded: IGuardedAttempt,
+    signal: AbortSignal,
+  ): MuxError | undefined {
     const { deadlineMs } = guarded.request;
     if (this.options.clock.getMonotonicTime() >= deadlineMs) return makeDeadlinePassed();
     if (signal.aborted) return makeCallerGone();
@@ -153,11 +156,11 @@
   }
 
   private async readOutcome(answer: IAnswer): Promise<IAttemptOutcome> {
-    const body = await readWholeBody(answer.body, this.options.maxAnswerBytes);
+    const body = await readCompleteBody(answer.body, this.options.maxResponseBytes);
     if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeAnswerNotKept() };
     // A target's own refusal is passed on as it is and leaves the key free.
     const end = answer.runState === RunState.NotRun ? AttemptEnd.NotRun : AttemptEnd.Finished;
-    return { end, answer: { ...answer, body } };
+    return { end, response: { ...answer, body } };
   }
 
   private async release(
@@ -165,9 +168,9 @@
     claim: IClaim,
     expectedVersion: number,
     error: MuxError | undefined,
-    isProved: boolean,
+    isConfirmed: boolean,
   ): Promise<void> {
-    attempt.end({ end: AttemptEnd.NotRun, ...(error === undefined ? {} : { error }) }, isProved);
+    attempt.end({ end: AttemptEnd.NotRun, ...(error === undefined ? {} : { error }) }, isConfirmed);
     const released = this.makeNextClaim(claim, ClaimState.NotRun);
     // Not waited for: whoever asks meanwhile is told by this process that it was not run.
     await this.options.retrier.start(async () => {
@@ -184,19 +187,24 @@
   ): Promise<void> {
     const state = STATES[outcome.end];
     const stored =
-      outcome.answer === undefined ? undefined : await this.storeAnswer(attempt, outcome.answer);
+      outcome.response === undefined
+        ? undefined
+        : await this.storeResponse(attempt, outcome.response);
     const next = { ...this.makeNextClaim(claim, state), ...(stored ? { answer: stored } : {}) };
     await this.options.store.writeOutcome(attempt.rowKey, version, next);
     this.options.registry.remove(attempt);
   }
 
-  private async storeAnswer(attempt: Attempt, answer: IWholeAnswer): Promise<IStoredAnswer> {
-    if (answer.body.length <= this.options.maxRowBytes) return encodeAnswer(answer);
+  private async storeResponse(
+    attempt: Attempt,
+    answer: ICompleteResponse,
+  ): Promise<IStoredResponse> {
+    if (answer.body.length <= this.options.maxRowBytes) return encodeResponse(answer);
     // The row names the object only after the object is whole, so no reader finds half of one.
     const day = new Date(this.options.clock.getWallTime()).toISOString().slice(0, DAY_LENGTH);
     const objectKey = `${OBJECT_PREFIX}${day}/${attempt.rowKey}/${attempt.token}`;
     await this.options.objects.put(objectKey, answer.body);
-    return encodeAnswerHead(answer, objectKey);
+    return encodeResponseHead(answer, objectKey);
   }
 
   private openAttempt(identity: IClaimIdentity): Attempt {
--- a/packages/claims/src/guard/common/claimSteps.test.ts
+++ b/packages/claims/src/guard/common/claimSteps.test.ts
@@ -3,13 +3,13 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { ResultCode } from '@parsleymux/base';
-import type { ITestRequest } from '../../test/claimWorld.js';
-import { ClaimWorld, getError } from '../../test/claimWorld.js';
+import type { ITestRequest } from '../../test/claimTestFleet.js';
+import { ClaimTestFleet, getError } from '../../test/claimTestFleet.js';
 import { TableFault } from '../../test/fakeTable.js';
 import { TargetBehavior } from '../../test/fakeTarget.js';
 import type { IProcessFault } from '../../test/processGate.js';
 
-const RETRY_EVERY_MS = 40;
+const RETRY_INTERVAL_MS = 40;
 const PAUSE_MS = 20_000;
 const END_MS = 120_000;
 
@@ -21,20 +21,24 @@
 
 const SCENARIOS: readonly IScenario[] = [
   { name: 'answered', request: {}, faults: [] },
-  { name: 'large answer', request: { behavior: TargetBehavior.AnswerHuge }, faults: [] },
+  { name: 'large answer', request: { behavior: TargetBehavior.RespondOversized }, faults: [] },
   { name: 'shed', request: { behavior: TargetBehavior.Shed }, faults: [] },
-  { name: 'silent target', request: { behavior: TargetBehavior.FallSilent }, faults: [] },
-  { name: 'claim answer lost', request: {}, faults: [TableFault.LoseAnswer] },
-  { name: 'claim lands late', request: {}, faults: [TableFault.LandLate, TableFault.LoseRequest] },
+  { name: 'silent target', request: { behavior: TargetBehavior.ExecuteSilently }, faults: [] },
+  { name: 'claim answer lost', request: {}, faults: [TableFault.LoseResponse] },
+  {
+    name: 'claim lands late',
+    request: {},
+    faults: [TableFault.CommitLate, TableFault.LoseRequest],
+  },
   {
     name: 'release answer lost',
     request: { behavior: TargetBehavior.Shed },
-    faults: [TableFault.None, TableFault.LoseAnswer],
+    faults: [TableFault.None, TableFault.LoseResponse],
   },
   { name: 'outcome lost', request: {}, faults: [TableFault.None, TableFault.LoseRequest] },
   {
     name: 'look-up by targets',
-    request: { behavior: TargetBehavior.FallSilent, lookUpPath: '/jobs/by-key/{key}' },
+    request: { behavior: TargetBehavior.ExecuteSilently, lookUpPath: '/jobs/by-key/{key}' },
     faults: [],
   },
 ];
@@ -45,7 +49,7 @@
   fault: IProcessFault | undefined,
   firstRetryMs: number,
 ): Promise<number> {
-  const world = new ClaimWorld();
+  const world = new ClaimTestFleet();
   const gate = world.addNode('a', fault);
   world.addNode('b');
   let calls = 0;
@@ -53,21 +57,21 @@
   world.send('a', { ...scenario.request, deadlineMs: 1000 });
   await world.clock.advanceBy(firstRetryMs);
   for (let retries = 0; retries < 4; retries++) {
-    world.send('b', { ...scenario.request, behavior: TargetBehavior.Answer, deadlineMs: 500 });
-    await world.clock.advanceBy(RETRY_EVERY_MS);
+    world.send('b', { ...scenario.request, behavior: TargetBehavior.Respond, deadlineMs: 500 });
+    await world.clock.advanceBy(RETRY_INTERVAL_MS);
   }
   await world.clock.advanceBy(PAUSE_MS);
   if (gate.isDead) world.addNode('a');
   await world.clock.advanceBy(END_MS);
   const { lookUpPath } = scenario.request;
   const last = await world.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
-  world.assertPromises();
-  assertIsFinal(last);
-  return gate.getSteps();
+  world.assertInvariants();
+  assertFinalResult(last);
+  return gate.getStepCount();
 }
 
 /** With everything mended, no key may be stuck between states. */
-function assertIsFinal(call: ReturnType<ClaimWorld['send']>): void {
+function assertFinalResult(call: ReturnType<ClaimTestFleet['send']>): void {
   assert.ok(call.result);
   if (call.result.status === 'fulfilled') return;
   const allowed: readonly ResultCode[] = [ResultCode.OutcomeUnknown, ResultCode.AnswerNotKept];
@@ -99,12 +103,12 @@
   // long enough to be listed as gone; a retry asked the targets, who truthfully knew nothing of
   // the key, and ran it; the claimer went on. Cause: "never ran" was believed of a claim whose
   // claimer had not given it up.
-  const steps = await runPausedAndListedGone(0);
-  for (let step = 1; step <= steps; step++) await runPausedAndListedGone(step);
+  const steps = await runPausedAndUnlisted(0);
+  for (let step = 1; step <= steps; step++) await runPausedAndUnlisted(step);
 });
 
-async function runPausedAndListedGone(step: number): Promise<number> {
-  const world = new ClaimWorld();
+async function runPausedAndUnlisted(step: number): Promise<number> {
+  const world = new ClaimTestFleet();
   const gate = world.addNode('a', { step, pauseMs: 100_000 });
   world.addNode('b', undefined, { isLive: () => false });
   const lookUpPath = '/jobs/by-key/{key}';
@@ -113,6 +117,6 @@
   await world.execute('b', { lookUpPath });
   await world.clock.advanceBy(END_MS);
   await world.execute('b', { lookUpPath });
-  world.assertPromises();
-  return gate.getSteps();
+  world.assertInvariants();
+  return gate.getStepCount();
 }
--- a/packages/claims/src/guard/common/wholeBody.ts
+++ b/packages/claims/src/guard/common/completeBody.ts
@@ -9,7 +9,7 @@
  * @example
  * const body = await readWholeBody(answer.body, 1 << 20);
  */
-export async function readWholeBody(
+export async function readCompleteBody(
   body: AnswerBody,
   maxBytes: number,
 ): Promise<Uint8Array | undefined> {
--- a/packages/claims/src/guard/common/outcomeSettler.ts
+++ b/packages/claims/src/guard/common/outcomeSettler.ts
@@ -2,8 +2,8 @@
 import type { Clock } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
 import type { IRoutedRequest } from '@parsleymux/routing';
-import type { IStoredAnswer, IWholeAnswer } from '../../claim/common/answerCodec.js';
-import { decodeAnswer, encodeAnswer, markReplayed } from '../../claim/common/answerCodec.js';
+import type { IStoredResponse, ICompleteResponse } from '../../claim/common/responseCodec.js';
+import { decodeResponse, encodeResponse, markReplayed } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
 import type { IClaimIdentity } from '../../claim/common/claimIdentity.js';
@@ -14,7 +14,7 @@
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import {
   makeAnswerNotKept,
-  makeAnswerUnavailable,
+  makeResponseUnavailable,
   makeOutcomeSettled,
   makeOutcomeUnknown,
 } from './claimErrors.js';
@@ -27,14 +27,14 @@
   readonly retrier: BackgroundRetrier;
   readonly clock: Clock;
   /** Time after which a target's "never ran" is believed of an unknown outcome. */
-  readonly quietMs: number;
+  readonly quietPeriodMs: number;
   /** Longest time that an answer is held back for its record. */
   readonly recordWaitMs: number;
 }
 
 /** What is to be done about a claim: give the answer, or claim the row at its version. */
-export interface IFollowResult {
-  readonly answer: IWholeAnswer | undefined;
+export interface IClaimResolution {
+  readonly response: ICompleteResponse | undefined;
   /** Version at which the row may be claimed again. */
   readonly claimableVersion: number;
 }
@@ -54,13 +54,13 @@
     identity: IClaimIdentity,
     known: IVersionedClaim,
     timeLeftMs: number,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     const { state, answer, settlement } = known.claim;
     if (state === ClaimState.NotRun) return makeClaimable(known.version);
     if (state === ClaimState.Unknown) {
       return this.settleByTargets(request, identity, known, timeLeftMs);
     }
-    if (answer !== undefined) return makeAnswered(await this.loadAnswer(answer));
+    if (answer !== undefined) return makeReplayable(await this.loadResponse(answer));
     throw settlement === undefined ? makeAnswerNotKept() : makeOutcomeSettled();
   }
 
@@ -74,52 +74,52 @@
     identity: IClaimIdentity,
     known: IVersionedClaim,
     timeLeftMs: number,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     if (request.route.lookUpPath === '') throw makeOutcomeUnknown(false);
     if (timeLeftMs <= 0) throw makeOutcomeUnknown(true);
     const stop = new AbortController();
     const timer = this.options.clock.startTimer(timeLeftMs, () => {
       stop.abort(new Error('deadline passed'));
     });
-    const said = await this.options.lookUp.lookUp(request, stop.signal);
+    const targetOutcome = await this.options.lookUp.lookUp(request, stop.signal);
     void timer.dispose();
-    if (said.result === LookUpResult.Ran && said.answer !== undefined) {
-      await this.recordAnswer(identity, known, said.answer);
-      return makeAnswered(markReplayed(said.answer));
+    if (targetOutcome.result === LookUpResult.Ran && targetOutcome.response !== undefined) {
+      await this.recordResponse(identity, known, targetOutcome.response);
+      return makeReplayable(markReplayed(targetOutcome.response));
     }
-    if (said.result === LookUpResult.NotRun && this.isQuiet(known.claim)) {
+    if (targetOutcome.result === LookUpResult.NotRun && this.hasQuietPeriodPassed(known.claim)) {
       return makeClaimable(known.version);
     }
     throw makeOutcomeUnknown(true);
   }
 
-  private async loadAnswer(stored: IStoredAnswer): Promise<IWholeAnswer> {
-    if (stored.objectKey === undefined) return decodeAnswer(stored);
+  private async loadResponse(stored: IStoredResponse): Promise<ICompleteResponse> {
+    if (stored.objectKey === undefined) return decodeResponse(stored);
     let body: Uint8Array | undefined;
     try {
       body = await this.options.objects.get(stored.objectKey);
     } catch (error) {
-      throw makeAnswerUnavailable(error);
+      throw makeResponseUnavailable(error);
     }
     if (body === undefined) throw makeAnswerNotKept();
-    return decodeAnswer(stored, body);
+    return decodeResponse(stored, body);
   }
 
-  private isQuiet(claim: IClaim): boolean {
+  private hasQuietPeriodPassed(claim: IClaim): boolean {
     const ageMs = this.options.clock.getWallTime() - claim.changedAtMs;
-    return claim.state === ClaimState.Unknown && ageMs >= this.options.quietMs;
+    return claim.state === ClaimState.Unknown && ageMs >= this.options.quietPeriodMs;
   }
 
-  private async recordAnswer(
+  private async recordResponse(
     identity: IClaimIdentity,
     known: IVersionedClaim,
-    answer: IWholeAnswer,
+    answer: ICompleteResponse,
   ): Promise<void> {
     const claim: IClaim = {
       ...known.claim,
       state: ClaimState.Finished,
       changedAtMs: this.options.clock.getWallTime(),
-      answer: encodeAnswer(answer),
+      answer: encodeResponse(answer),
     };
     const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
     await this.options.retrier.start(async () => {
@@ -134,8 +134,8 @@
  * @example
  * return makeAnswered(decodeAnswerBytes(said.answer));
  */
-export function makeAnswered(answer: IWholeAnswer): IFollowResult {
-  return { answer, claimableVersion: 0 };
+export function makeReplayable(answer: ICompleteResponse): IClaimResolution {
+  return { response: answer, claimableVersion: 0 };
 }
 
 /**
@@ -144,6 +144,6 @@
  * @example
  * if (said?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
  */
-export function makeClaimable(version: number): IFollowResult {
-  return { answer: undefined, claimableVersion: version };
+export function makeClaimable(version: number): IClaimResolution {
+  return { response: undefined, claimableVersion: version };
 }
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,7 +1,7 @@
 /** Idempotency keys: a request that is not idempotent runs at most once across the fleet. */
 export * from './admin/common/claimAdmin.js';
 export * from './attempt/common/attemptRegistry.js';
-export * from './claim/common/answerCodec.js';
+export * from './claim/common/responseCodec.js';
 export * from './claim/common/claim.js';
 export * from './claim/common/claimIdentity.js';
 export * from './claim/common/keyTime.js';
--- a/packages/claims/src/metrics/common/claimMetrics.ts
+++ b/packages/claims/src/metrics/common/claimMetrics.ts
@@ -10,13 +10,13 @@
 
 /** Counters by member. */
 export class ClaimMetrics {
-  readonly verdicts: Counter<'member' | 'verdict'>;
+  readonly claims: Counter<'member' | 'verdict'>;
   readonly ends: Counter<'member' | 'end'>;
   readonly replays: Counter<'member'>;
 
   constructor(readonly registry: Registry = new Registry()) {
     const registers = [registry];
-    this.verdicts = new Counter({
+    this.claims = new Counter({
       name: 'parsleymux_claims_total',
       help: 'Attempts to claim an idempotency key, by verdict of the store.',
       labelNames: ['member', 'verdict'],
--- a/packages/claims/src/outcome/common/outcomeLookUp.ts
+++ b/packages/claims/src/outcome/common/outcomeLookUp.ts
@@ -1,6 +1,6 @@
 /** Asks the targets themselves whether a key was executed, where its route names a way to ask. */
 import type { IRoutedRequest } from '@parsleymux/routing';
-import type { IWholeAnswer } from '../../claim/common/answerCodec.js';
+import type { ICompleteResponse } from '../../claim/common/responseCodec.js';
 
 /** What the targets said. */
 export const LookUpResult = {
@@ -8,7 +8,7 @@
   /** No execution so far. One that was sent may still be on its way. */
   NotRun: 'not-run',
   /** No usable answer. */
-  Silent: 'silent',
+  NoResponse: 'silent',
 } as const;
 
 export type LookUpResult = (typeof LookUpResult)[keyof typeof LookUpResult];
@@ -16,18 +16,18 @@
 /** What the targets said, with the recorded answer when it ran. */
 export interface ITargetOutcome {
   readonly result: LookUpResult;
-  readonly answer?: IWholeAnswer;
+  readonly response?: ICompleteResponse;
 }
 
 /** Sends a route's look-up request. */
 export abstract class OutcomeLookUp {
-  /** Never rejects: a failure is {@link LookUpResult.Silent}. */
+  /** Never rejects: a failure is {@link LookUpResult.NoResponse}. */
   abstract lookUp(request: IRoutedRequest, signal: AbortSignal): Promise<ITargetOutcome>;
 }
 
 /** For fleets whose routes name no look-up. */
 export class NoOutcomeLookUp extends OutcomeLookUp {
   override lookUp(): Promise<ITargetOutcome> {
-    return Promise.resolve({ result: LookUpResult.Silent });
+    return Promise.resolve({ result: LookUpResult.NoResponse });
   }
 }
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
@@ -49,16 +49,23 @@
 }
 
 test('one target that executed settles it, whatever the others say', async () => {
-  const said = await lookUp({ x: { status: 404 }, z: { status: 200 } });
-  assert.deepEqual(said, { result: LookUpResult.Ran, paths: Array(3).fill('/jobs/a%2Fb') });
+  const lookUpResult = await lookUp({ x: { status: 404 }, z: { status: 200 } });
+  assert.deepEqual(lookUpResult, { result: LookUpResult.Ran, paths: Array(3).fill('/jobs/a%2Fb') });
 });
 
 test('"never ran" takes the word of every target', async () => {
   const no = { status: 404 };
   assert.equal((await lookUp({ x: no, y: no, z: no })).result, LookUpResult.NotRun);
-  assert.equal((await lookUp({ x: no, y: no })).result, LookUpResult.Silent, 'one is silent');
-  assert.equal((await lookUp({ x: no, y: no, z: { status: 500 } })).result, LookUpResult.Silent);
+  assert.equal((await lookUp({ x: no, y: no })).result, LookUpResult.NoResponse, 'one is silent');
+  assert.equal(
+    (await lookUp({ x: no, y: no, z: { status: 500 } })).result,
+    LookUpResult.NoResponse,
+  );
   const shed = { status: 404, notRun: true };
-  assert.equal((await lookUp({ x: no, y: no, z: shed })).result, LookUpResult.Silent, 'one sheds');
-  assert.equal((await lookUp({}, [])).result, LookUpResult.Silent, 'no targets');
+  assert.equal(
+    (await lookUp({ x: no, y: no, z: shed })).result,
+    LookUpResult.NoResponse,
+    'one sheds',
+  );
+  assert.equal((await lookUp({}, [])).result, LookUpResult.NoResponse, 'no targets');
 });
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
@@ -1,7 +1,7 @@
 /** Sends a route's look-up request to the targets of its service. */
 import { ResultCode, RunState } from '@parsleymux/base';
 import type { IRoutedRequest, ITargetAnswer, TargetTransport } from '@parsleymux/routing';
-import { readWholeBody } from '../../guard/common/wholeBody.js';
+import { readCompleteBody } from '../../guard/common/completeBody.js';
 import type { ITargetOutcome } from './outcomeLookUp.js';
 import { LookUpResult, OutcomeLookUp } from './outcomeLookUp.js';
 
@@ -9,7 +9,7 @@
 const NOT_FOUND = 404;
 const KEY_PLACEHOLDER = '{key}';
 const DEFAULT_TIMEOUT_MS = 1000;
-const DEFAULT_MAX_ANSWER_BYTES = 1 << 20;
+const DEFAULT_MAX_RESPONSE_BYTES = 1 << 20;
 
 /** Options of a {@link TargetOutcomeLookUp}. */
 export interface ITargetOutcomeLookUpOptions {
@@ -40,20 +40,20 @@
     this.transport = options.transport;
     this.getTargets = options.getTargets;
     this.timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-    this.maxAnswerBytes = options.maxAnswerBytes ?? DEFAULT_MAX_ANSWER_BYTES;
+    this.maxAnswerBytes = options.maxAnswerBytes ?? DEFAULT_MAX_RESPONSE_BYTES;
   }
 
   override async lookUp(request: IRoutedRequest, signal: AbortSignal): Promise<ITargetOutcome> {
     const targets = this.getTargets(request.member, request.route.service);
-    let denials = 0;
+    let notRunCount = 0;
     for (const target of targets) {
       if (signal.aborted) break;
-      const said = await this.fetchResult(target, request, signal);
-      if (said.result === LookUpResult.Ran) return said;
-      if (said.result === LookUpResult.NotRun) denials += 1;
+      const targetOutcome = await this.fetchResult(target, request, signal);
+      if (targetOutcome.result === LookUpResult.Ran) return targetOutcome;
+      if (targetOutcome.result === LookUpResult.NotRun) notRunCount += 1;
     }
-    const isDenied = targets.length > 0 && denials === targets.length;
-    return { result: isDenied ? LookUpResult.NotRun : LookUpResult.Silent };
+    const isNotRun = targets.length > 0 && notRunCount === targets.length;
+    return { result: isNotRun ? LookUpResult.NotRun : LookUpResult.NoResponse };
   }
 
   private async fetchResult(
@@ -78,18 +78,18 @@
       );
       return await this.readResult(answer);
     } catch {
-      return { result: LookUpResult.Silent };
+      return { result: LookUpResult.NoResponse };
     }
   }
 
   private async readResult(answer: ITargetAnswer): Promise<ITargetOutcome> {
     const { status, headers, notRun } = answer;
-    const body = await readWholeBody(answer.body, this.maxAnswerBytes);
+    const body = await readCompleteBody(answer.body, this.maxAnswerBytes);
     // A target that sheds the look-up itself has said nothing about the key.
-    if (notRun || body === undefined) return { result: LookUpResult.Silent };
+    if (notRun || body === undefined) return { result: LookUpResult.NoResponse };
     if (status === NOT_FOUND) return { result: LookUpResult.NotRun };
-    if (status !== OK) return { result: LookUpResult.Silent };
+    if (status !== OK) return { result: LookUpResult.NoResponse };
     const whole = { status, headers, body, code: ResultCode.Ok, runState: RunState.Ran };
-    return { result: LookUpResult.Ran, answer: whole };
+    return { result: LookUpResult.Ran, response: whole };
   }
 }
--- a/packages/claims/src/peer/common/claimPeer.ts
+++ b/packages/claims/src/peer/common/claimPeer.ts
@@ -2,7 +2,7 @@
 import type { ClaimLookUp } from '@parsleymux/schema';
 
 /** One question to a claimer. */
-export interface IClaimLookUpQuestion {
+export interface IClaimLookUpRequest {
   readonly member: string;
   readonly claimKey: string;
   readonly attemptToken: string;
@@ -11,7 +11,7 @@
 }
 
 /** What the claimer said. */
-export interface IClaimLookUpAnswer {
+export interface IClaimLookUpResponse {
   readonly state: ClaimLookUp;
   /** The packed answer, when finished. */
   readonly answer: Uint8Array;
@@ -22,7 +22,7 @@
   /** Rejects when the node at `address` gave no answer, for whatever reason. */
   abstract lookUp(
     address: string,
-    question: IClaimLookUpQuestion,
+    question: IClaimLookUpRequest,
     signal: AbortSignal,
-  ): Promise<IClaimLookUpAnswer>;
+  ): Promise<IClaimLookUpResponse>;
 }
--- a/packages/claims/src/store/common/claimStore.ts
+++ b/packages/claims/src/store/common/claimStore.ts
@@ -8,7 +8,7 @@
 const RETRY_MS = 20;
 
 /** What an attempt to claim came to. */
-export const ClaimVerdict = {
+export const ClaimWriteResult = {
   Won: 'won',
   /** The row is not as expected; nothing of ours is in it or ever will be. */
   Lost: 'lost',
@@ -18,11 +18,11 @@
   Unresolved: 'unresolved',
 } as const;
 
-export type ClaimVerdict = (typeof ClaimVerdict)[keyof typeof ClaimVerdict];
+export type ClaimWriteResult = (typeof ClaimWriteResult)[keyof typeof ClaimWriteResult];
 
 /** The verdict, with the version won or the row that stands in the way. */
 export interface IClaimResult {
-  readonly verdict: ClaimVerdict;
+  readonly writeResult: ClaimWriteResult;
   /** Version of the row when won. */
   readonly version: number;
   /** The row when lost; undefined when it has gone. */
@@ -37,7 +37,7 @@
 }
 
 /** What became of writing an outcome. */
-export const OutcomeWrite = {
+export const OutcomeWriteResult = {
   Written: 'written',
   /** The row holds an outcome already, or has expired. */
   Settled: 'settled',
@@ -45,7 +45,7 @@
   Overtaken: 'overtaken',
 } as const;
 
-export type OutcomeWrite = (typeof OutcomeWrite)[keyof typeof OutcomeWrite];
+export type OutcomeWriteResult = (typeof OutcomeWriteResult)[keyof typeof OutcomeWriteResult];
 
 /** Options of a {@link ClaimStore}. */
 export interface IClaimStoreOptions {
@@ -77,7 +77,7 @@
    * Rejects with a PlatformError.
    */
   async check(rowKey: string, expectedVersion: number): Promise<ICheckedRow> {
-    if (this.committer.isStoreOut()) {
+    if (this.committer.isStoreUnavailable()) {
       throw new PlatformError(PlatformFailure.NotSent, 'the store has fallen silent');
     }
     const change = { key: rowKey, expectedVersion, value: undefined };
@@ -98,7 +98,7 @@
     claim: IClaim,
     untilMs: number,
   ): Promise<IClaimResult> {
-    if (this.committer.isStoreOut()) return makeUndecided(ClaimVerdict.Unavailable);
+    if (this.committer.isStoreUnavailable()) return makeInconclusive(ClaimWriteResult.Unavailable);
     const change = { key: rowKey, expectedVersion, value: encodeClaim(claim) };
     let mayBeWritten = false;
     for (;;) {
@@ -111,9 +111,9 @@
         if (!(error instanceof PlatformError)) throw error;
         mayBeWritten ||= error.failure === PlatformFailure.Unknown;
       }
-      if (!mayBeWritten) return makeUndecided(ClaimVerdict.Unavailable);
+      if (!mayBeWritten) return makeInconclusive(ClaimWriteResult.Unavailable);
       if (this.clock.getMonotonicTime() + RETRY_MS >= untilMs) {
-        return makeUndecided(ClaimVerdict.Unresolved);
+        return makeInconclusive(ClaimWriteResult.Unresolved);
       }
       await this.clock.sleep(this.random.getJittered(RETRY_MS));
     }
@@ -127,16 +127,16 @@
     rowKey: string,
     expectedVersion: number,
     claim: IClaim,
-  ): Promise<OutcomeWrite> {
+  ): Promise<OutcomeWriteResult> {
     const value = encodeClaim(claim);
     let version = expectedVersion;
     for (;;) {
       const result = await this.committer.commit({ key: rowKey, expectedVersion: version, value });
-      if (result.committed) return OutcomeWrite.Written;
-      if (result.row === undefined) return OutcomeWrite.Settled;
+      if (result.committed) return OutcomeWriteResult.Written;
+      if (result.row === undefined) return OutcomeWriteResult.Settled;
       const current = decodeClaim(result.row);
-      if (current.claim.token !== claim.token) return OutcomeWrite.Overtaken;
-      if (!isReplaceable(current.claim, claim)) return OutcomeWrite.Settled;
+      if (current.claim.token !== claim.token) return OutcomeWriteResult.Overtaken;
+      if (!isReplaceable(current.claim, claim)) return OutcomeWriteResult.Settled;
       version = current.version;
     }
   }
@@ -154,13 +154,13 @@
 }
 
 function makeWon(version: number): IClaimResult {
-  return { verdict: ClaimVerdict.Won, version, current: undefined };
+  return { writeResult: ClaimWriteResult.Won, version, current: undefined };
 }
 
 function makeLost(current: IVersionedClaim | undefined): IClaimResult {
-  return { verdict: ClaimVerdict.Lost, version: 0, current };
+  return { writeResult: ClaimWriteResult.Lost, version: 0, current };
 }
 
-function makeUndecided(verdict: ClaimVerdict): IClaimResult {
-  return { verdict, version: 0, current: undefined };
+function makeInconclusive(verdict: ClaimWriteResult): IClaimResult {
+  return { writeResult: verdict, version: 0, current: undefined };
 }
--- a/packages/claims/src/store/common/groupCommitter.test.ts
+++ b/packages/claims/src/store/common/groupCommitter.test.ts
@@ -97,7 +97,7 @@
 
 test('a lost answer is an unknown outcome for every change of the group', async () => {
   const fixture = makeFixture();
-  fixture.table.chooseFault = () => TableFault.LoseAnswer;
+  fixture.table.chooseFault = () => TableFault.LoseResponse;
   const commits = ['x', 'y'].map((key) =>
     fixture.committer.commit({ key, expectedVersion: 0, value: key }),
   );
--- a/packages/claims/src/store/common/groupCommitter.ts
+++ b/packages/claims/src/store/common/groupCommitter.ts
@@ -92,8 +92,8 @@
   }
 
   /** Whether the store has fallen silent, so that a new claim had better not be sent. */
-  isStoreOut(): boolean {
-    return this.health.isOut();
+  isStoreUnavailable(): boolean {
+    return this.health.isUnavailable();
   }
 
   /** Rejects with a PlatformError when the platform gave no answer. */
@@ -174,22 +174,22 @@
       for (const pending of group) pending.resolve(COMMITTED);
       return [];
     }
-    return this.takeOutConflicts(group, result.conflicts);
+    return this.resolveConflicts(group, result.conflicts);
   }
 
   private async transact(transaction: ITableTransaction): Promise<ITransactionResult> {
     try {
       const result = await this.table.transact(transaction);
-      this.health.recordAnswer();
+      this.health.recordResponse();
       return result;
     } catch (error) {
       const isSilent = error instanceof PlatformError && error.failure === PlatformFailure.Unknown;
-      if (isSilent) this.health.recordSilence();
+      if (isSilent) this.health.recordNoResponse();
       throw error;
     }
   }
 
-  private async takeOutConflicts(
+  private async resolveConflicts(
     group: readonly IPendingChange[],
     conflicts: readonly ITableRow[],
   ): Promise<readonly IPendingChange[]> {
--- a/packages/claims/src/store/common/storeHealth.ts
+++ b/packages/claims/src/store/common/storeHealth.ts
@@ -41,17 +41,17 @@
   }
 
   /** An answer came, whatever it said. */
-  recordAnswer(): void {
+  recordResponse(): void {
     this.failures = 0;
   }
 
   /** A call stayed unanswered. */
-  recordSilence(): void {
+  recordNoResponse(): void {
     this.failures += 1;
   }
 
   /** Whether claims are refused unsent. Asking starts a probe when one is due. */
-  isOut(): boolean {
+  isUnavailable(): boolean {
     if (this.failures < this.failureLimit) return false;
     const isDue = this.options.clock.getMonotonicTime() >= this.nextProbeMs;
     if (!this.isProbing && isDue) void this.runProbe();
@@ -63,7 +63,7 @@
     this.isProbing = true;
     try {
       await probe();
-      this.recordAnswer();
+      this.recordResponse();
     } catch {
       this.nextProbeMs = clock.getMonotonicTime() + random.getJittered(this.probeMs);
     }
--- a/packages/claims/src/test/claimWorld.ts
+++ b/packages/claims/src/test/claimTestFleet.ts
@@ -12,19 +12,19 @@
 } from '@parsleymux/base';
 import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
 import { RouteSchema } from '@parsleymux/schema';
-import { REPLAY_HEADER } from '../claim/common/answerCodec.js';
+import { REPLAY_HEADER } from '../claim/common/responseCodec.js';
 import type { IClaimGuardOptions } from '../guard/common/claimGuardOptions.js';
 import { ClaimGuard } from '../guard/common/claimGuard.js';
-import type { IClaimLookUpAnswer, IClaimLookUpQuestion } from '../peer/common/claimPeer.js';
+import type { IClaimLookUpResponse, IClaimLookUpRequest } from '../peer/common/claimPeer.js';
 import { ClaimPeer } from '../peer/common/claimPeer.js';
-import { FakeObjects, FakeTable } from './fakeTable.js';
+import { FakeObjectStore, FakeTable } from './fakeTable.js';
 import { FakeTarget, TargetBehavior } from './fakeTarget.js';
 import type { IProcessFault } from './processGate.js';
 import { GatedClock, GatedTable, ProcessGate } from './processGate.js';
 
 const STEP_MS = 5;
 /** Refusals that speak of the one request alone; what became of its key was not found out. */
-const CODES_OF_ONE_REQUEST: ReadonlySet<ResultCode> = new Set([
+const REQUEST_SCOPED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.ClaimStoreUnavailable,
   ResultCode.IdempotencyKeyConflict,
   ResultCode.DeadlinePassed,
@@ -58,10 +58,10 @@
 }
 
 /** A fleet in memory. */
-export class ClaimWorld extends ClaimPeer {
+export class ClaimTestFleet extends ClaimPeer {
   readonly clock = new ManualClock({ startMs: 1_700_000_000_000 });
   readonly table = new FakeTable({ clock: this.clock });
-  readonly objects = new FakeObjects();
+  readonly objects = new FakeObjectStore();
   readonly invariants = new InvariantRegistry();
   readonly target = new FakeTarget(this.clock);
   readonly calls: ITestCall[] = [];
@@ -96,8 +96,8 @@
 
   override async lookUp(
     address: string,
-    question: IClaimLookUpQuestion,
-  ): Promise<IClaimLookUpAnswer> {
+    question: IClaimLookUpRequest,
+  ): Promise<IClaimLookUpResponse> {
     await this.clock.sleep(1);
     const { guard, gate } = this.getNode(address);
     if (gate.isDead) throw new Error('connection refused');
@@ -112,7 +112,7 @@
     const guarded = {
       request,
       estimateRefusal: () => options.refusal,
-      run: () => this.target.serve(request, options.behavior ?? TargetBehavior.Answer, gate),
+      run: () => this.target.serve(request, options.behavior ?? TargetBehavior.Respond, gate),
     };
     const answer = guard.execute(guarded, options.signal ?? new AbortController().signal);
     const call: ITestCall = {
@@ -146,20 +146,20 @@
   }
 
   /** No key ran twice, and whatever callers were told is true. */
-  assertPromises(): void {
+  assertInvariants(): void {
     for (const call of this.calls) {
       const executions = this.target.getExecutions(call.request);
       assert.ok(executions.length <= 1, `ran ${executions.length} times`);
-      if (call.result !== undefined) this.assertTruth(call);
+      if (call.result !== undefined) this.assertTruthful(call);
     }
     assert.equal(this.invariants.getViolations(InvariantName.AtMostOnce), 0);
     assert.equal(this.invariants.getViolations(InvariantName.TruthfulRefusal), 0);
   }
 
-  private assertTruth(call: ITestCall): void {
+  private assertTruthful(call: ITestCall): void {
     const executions = this.target.getExecutions(call.request);
     if (call.result?.status === 'fulfilled') {
-      assert.equal(readText(call), executions[0]?.answer, 'an answer is that of the execution');
+      assert.equal(readText(call), executions[0]?.response, 'an answer is that of the execution');
       return;
     }
     const { code, runState } = getError(call);
@@ -167,7 +167,7 @@
     if (runState !== RunState.NotRun) return;
     const own = executions.filter(({ request }) => request === call.request.caller);
     assert.equal(own.length, 0, `${code} said not run, and this request ran`);
-    if (CODES_OF_ONE_REQUEST.has(code)) return;
+    if (REQUEST_SCOPED_CODES.has(code)) return;
     const earlier = executions.filter(({ startMs }) => startMs < call.startMs);
     assert.equal(earlier.length, 0, `${code} said not run of a key that had run`);
   }
--- a/packages/claims/src/test/fakeTable.ts
+++ b/packages/claims/src/test/fakeTable.ts
@@ -16,9 +16,9 @@
   /** Lost on the way there; the caller can't know. */
   LoseRequest: 'lose-request',
   /** Done, and the answer lost. */
-  LoseAnswer: 'lose-answer',
+  LoseResponse: 'lose-answer',
   /** The caller is told nothing; the write lands `lateMs` after. */
-  LandLate: 'land-late',
+  CommitLate: 'land-late',
 } as const;
 
 export type TableFault = (typeof TableFault)[keyof typeof TableFault];
@@ -40,7 +40,7 @@
   transactions = 0;
   rowsWritten = 0;
   /** Delay of writes that land late, in ms. */
-  lateMs = 50;
+  lateCommitMs = 50;
   private readonly lastVersions = new Map<string, number>();
   private readonly rows = new Map<string, ITableRow>();
   private readonly clock: Clock;
@@ -70,14 +70,14 @@
     await this.clock.sleep(this.latencyMs);
     switch (fault) {
       case TableFault.None:
-        return this.applyNow(transaction);
+        return this.applyTransaction(transaction);
       case TableFault.Refuse:
         throw new PlatformError(PlatformFailure.Refused, 'refused');
-      case TableFault.LoseAnswer:
-        this.applyNow(transaction);
+      case TableFault.LoseResponse:
+        this.applyTransaction(transaction);
         break;
-      case TableFault.LandLate:
-        this.clock.startTimer(this.lateMs, () => this.applyNow(transaction));
+      case TableFault.CommitLate:
+        this.clock.startTimer(this.lateCommitMs, () => this.applyTransaction(transaction));
         break;
       case TableFault.LoseRequest:
         break;
@@ -92,7 +92,7 @@
     throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
   }
 
-  private applyNow(transaction: ITableTransaction): ITransactionResult {
+  private applyTransaction(transaction: ITableTransaction): ITransactionResult {
     this.transactions += 1;
     const failed = transaction.conditions.filter(
       ({ key, version }) => (this.rows.get(key)?.version ?? 0) !== version,
@@ -112,7 +112,7 @@
 }
 
 /** Objects in memory. */
-export class FakeObjects extends ObjectStore {
+export class FakeObjectStore extends ObjectStore {
   readonly bytes = new Map<string, Uint8Array>();
 
   override get(key: string): Promise<Uint8Array | undefined> {
--- a/packages/claims/src/test/fakeTarget.ts
+++ b/packages/claims/src/test/fakeTarget.ts
@@ -8,17 +8,17 @@
 
 /** What a target does with one request. */
 export const TargetBehavior = {
-  Answer: 'answer',
+  Respond: 'answer',
   /** Executes, and is not heard of again. */
-  FallSilent: 'fall-silent',
+  ExecuteSilently: 'fall-silent',
   /** Executes only after the home gave up. */
   ExecuteLate: 'execute-late',
   /** Says that it did not execute. */
   Shed: 'shed',
   /** Executes, and its answer breaks off. */
-  BreakOff: 'break-off',
+  TruncateResponse: 'break-off',
   /** Executes, with an answer above every limit. */
-  AnswerHuge: 'answer-huge',
+  RespondOversized: 'answer-huge',
 } as const;
 
 export type TargetBehavior = (typeof TargetBehavior)[keyof typeof TargetBehavior];
@@ -28,13 +28,13 @@
   /** The request's caller, which tests make unique. */
   readonly request: string;
   readonly startMs: number;
-  readonly answer: string;
+  readonly response: string;
 }
 
 const SERVICE_MS = 20;
-const SILENCE_MS = 300;
+const NO_RESPONSE_MS = 300;
 const LATE_MS = 2000;
-const HUGE_BYTES = (1 << 20) + 1;
+const OVERSIZED_BYTES = (1 << 20) + 1;
 
 /** All targets of a service with the home before them, which checks the deadline. */
 export class FakeTarget extends OutcomeLookUp {
@@ -61,7 +61,7 @@
     }
     await gate?.advance();
     if (behavior === TargetBehavior.Shed) throw makeError(ResultCode.TargetShed, RunState.NotRun);
-    const answer = this.executeAs(request, behavior);
+    const answer = this.executeWithBehavior(request, behavior);
     try {
       return await answer;
     } finally {
@@ -72,27 +72,32 @@
   override lookUp(request: IRoutedRequest): Promise<ITargetOutcome> {
     const execution = this.getExecutions(request)[0];
     if (execution === undefined) return Promise.resolve({ result: LookUpResult.NotRun });
-    const body = Buffer.from(execution.answer);
-    return Promise.resolve({ result: LookUpResult.Ran, answer: { ...makeAnswer(''), body } });
+    const body = Buffer.from(execution.response);
+    return Promise.resolve({ result: LookUpResult.Ran, answer: { ...makeResponse(''), body } });
   }
 
-  private async executeAs(request: IRoutedRequest, behavior: TargetBehavior): Promise<IAnswer> {
+  private async executeWithBehavior(
+    request: IRoutedRequest,
+    behavior: TargetBehavior,
+  ): Promise<IAnswer> {
     if (behavior === TargetBehavior.ExecuteLate) {
       this.clock.startTimer(LATE_MS, () => this.execute(request));
-      await this.clock.sleep(SILENCE_MS);
+      await this.clock.sleep(NO_RESPONSE_MS);
       throw makeError(ResultCode.TargetTimeout, RunState.MayHaveRun);
     }
     const text = this.execute(request);
-    await this.clock.sleep(behavior === TargetBehavior.FallSilent ? SILENCE_MS : SERVICE_MS);
+    await this.clock.sleep(
+      behavior === TargetBehavior.ExecuteSilently ? NO_RESPONSE_MS : SERVICE_MS,
+    );
     switch (behavior) {
-      case TargetBehavior.FallSilent:
+      case TargetBehavior.ExecuteSilently:
         throw makeError(ResultCode.TargetTimeout, RunState.MayHaveRun);
-      case TargetBehavior.BreakOff:
-        return { ...makeAnswer(text), body: streamHalf(text) };
-      case TargetBehavior.AnswerHuge:
-        return { ...makeAnswer(text), body: new Uint8Array(HUGE_BYTES) };
+      case TargetBehavior.TruncateResponse:
+        return { ...makeResponse(text), body: streamHalf(text) };
+      case TargetBehavior.RespondOversized:
+        return { ...makeResponse(text), body: new Uint8Array(OVERSIZED_BYTES) };
       default:
-        return makeAnswer(text);
+        return makeResponse(text);
     }
   }
 
@@ -101,13 +106,13 @@
     const earlier = this.executions.get(name) ?? [];
     const answer = `booked ${name} as ${earlier.length + 1} for ${request.caller}`;
     const startMs = this.clock.getMonotonicTime();
-    this.executions.set(name, [...earlier, { request: request.caller, startMs, answer }]);
+    this.executions.set(name, [...earlier, { request: request.caller, startMs, response: answer }]);
     return answer;
   }
 }
 
 /** An answer of a target that executed. */
-export function makeAnswer(text: string): IAnswer {
+export function makeResponse(text: string): IAnswer {
   return {
     status: 201,
     headers: [['content-type', 'text/plain']],
--- a/packages/claims/src/test/processGate.ts
+++ b/packages/claims/src/test/processGate.ts
@@ -28,7 +28,7 @@
     private readonly fault: IProcessFault | undefined,
   ) {}
 
-  getSteps(): number {
+  getStepCount(): number {
     return this.steps;
   }
 
--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
-import type { IClaimLookUpAnswer } from '@parsleymux/claims';
+import type { IClaimLookUpResponse } from '@parsleymux/claims';
 import { ClaimGuard, ClaimPeer, GroupCommitter } from '@parsleymux/claims';
 import type { IPlatform } from '@parsleymux/store';
 import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
@@ -51,7 +51,7 @@
 }
 
 class NoPeer extends ClaimPeer {
-  override lookUp(): Promise<IClaimLookUpAnswer> {
+  override lookUp(): Promise<IClaimLookUpResponse> {
     return Promise.reject(new Error('one node alone has no peers'));
   }
 }
--- a/packages/node/src/app/node/claimParts.ts
+++ b/packages/node/src/app/node/claimParts.ts
@@ -80,7 +80,7 @@
     nodeAddress,
     metrics: new ClaimMetrics(options.registry),
     retentionS: options.timing.claimRetentionS,
-    maxAnswerBytes: options.limits.answerBodyBytes,
+    maxResponseBytes: options.limits.answerBodyBytes,
     lookUp: new TargetOutcomeLookUp({
       transport: options.transport,
       getTargets: (member, service) => listTargets(options.config, member, service),
--- a/packages/node/src/peer/node/connectClaimPeer.ts
+++ b/packages/node/src/peer/node/connectClaimPeer.ts
@@ -1,5 +1,5 @@
 /** Questions to other nodes about their claims, over connect-es. */
-import type { IClaimLookUpAnswer, IClaimLookUpQuestion } from '@parsleymux/claims';
+import type { IClaimLookUpResponse, IClaimLookUpRequest } from '@parsleymux/claims';
 import { ClaimPeer } from '@parsleymux/claims';
 import type { PeerClients } from '@parsleymux/fleet';
 
@@ -19,9 +19,9 @@
 
   override async lookUp(
     address: string,
-    question: IClaimLookUpQuestion,
+    question: IClaimLookUpRequest,
     signal: AbortSignal,
-  ): Promise<IClaimLookUpAnswer> {
+  ): Promise<IClaimLookUpResponse> {
     const answer = await this.clients.execute(
       address,
       (client, options) => client.lookUpClaim(question, options),
