--- a/packages/claims/src/admin/common/claimAdmin.test.ts
+++ b/packages/claims/src/admin/common/claimAdmin.test.ts
@@ -17,17 +17,17 @@
   note: 'the truck arrived',
 };
 
-function makeAdmin(world: ClaimTestFleet, liveNodes: ReadonlySet<string>): ClaimAdmin {
+function makeAdmin(fleet: ClaimTestFleet, liveNodes: ReadonlySet<string>): ClaimAdmin {
   return new ClaimAdmin({
-    committer: new GroupCommitter({ table: world.table, clock: world.clock }),
-    clock: world.clock,
-    peer: world,
+    committer: new GroupCommitter({ table: fleet.table, clock: fleet.clock }),
+    clock: fleet.clock,
+    peer: fleet,
     isLive: (address) => liveNodes.has(address),
   });
 }
 
 async function settle(
-  world: ClaimTestFleet,
+  fleet: ClaimTestFleet,
   admin: ClaimAdmin,
   request: ISettleRequest,
 ): Promise<string> {
@@ -35,60 +35,60 @@
     ({ state, settledBy }) => `${state} by ${settledBy}`,
     (error: unknown) => (error instanceof MuxError ? `refused ${error.code}` : String(error)),
   );
-  await world.clock.advanceBy(2000);
+  await fleet.clock.advanceBy(2000);
   return settled;
 }
 
-test('an operator settles an unknown outcome as run, and every retry is told so', async () => {
-  const world = new ClaimTestFleet();
-  world.addNode('a');
-  await world.execute('a', { behavior: TargetBehavior.ExecuteSilently });
-  const admin = makeAdmin(world, new Set(['a']));
-  assert.equal(await settle(world, admin, SETTLE_REQUEST), 'ran-not-kept by ioana');
-  assertRefused(await world.execute('a'), ResultCode.OutcomeSettled, RunState.Ran);
+test('a retry of a key that an operator settled as run is refused as settled', async () => {
+  const fleet = new ClaimTestFleet();
+  fleet.addNode('a');
+  await fleet.execute('a', { behavior: TargetBehavior.ExecuteWithoutResponse });
+  const admin = makeAdmin(fleet, new Set(['a']));
+  assert.equal(await settle(fleet, admin, SETTLE_REQUEST), 'ran-not-kept by ioana');
+  assertRefused(await fleet.execute('a'), ResultCode.OutcomeSettled, RunState.Ran);
   assert.equal(
-    await settle(world, admin, SETTLE_REQUEST),
+    await settle(fleet, admin, SETTLE_REQUEST),
     `refused ${ResultCode.ClaimNotSettleable}`,
   );
-  world.assertInvariants();
+  fleet.assertInvariants();
 });
 
-test("a claim is another member's own, and absent ones can't be settled", async () => {
-  const world = new ClaimTestFleet();
-  world.addNode('a');
-  await world.execute('a', { behavior: TargetBehavior.ExecuteSilently });
-  const admin = makeAdmin(world, new Set());
+test("a claim of another member is not found and can't be settled", async () => {
+  const fleet = new ClaimTestFleet();
+  fleet.addNode('a');
+  await fleet.execute('a', { behavior: TargetBehavior.ExecuteWithoutResponse });
+  const admin = makeAdmin(fleet, new Set());
   const other = { ...SETTLE_REQUEST, member: 'south' };
-  assert.equal(await settle(world, admin, other), `refused ${ResultCode.NotFound}`);
+  assert.equal(await settle(fleet, admin, other), `refused ${ResultCode.NotFound}`);
 });
 
-test('"not run" frees the key of a claimer that died, and not before it must be dead', async () => {
-  // Symptom: a booking ran twice. Sequence: an operator called an unknown outcome not run while
-  // the claimer was only paused or cut off; the key was run again, and the claimer went on.
-  // Cause: a claimer that does not answer was taken for one that is gone.
-  const world = new ClaimTestFleet();
-  world.addNode('a', { step: 4, pauseMs: undefined });
-  world.addNode('b');
-  world.send('a');
-  await world.clock.advanceBy(1000);
+test('"not run" releases the key of a terminated claimer, but not of one that may be paused', async () => {
+  // Guards against a key that runs twice: an operator settles it as not run while the claimer is
+  // only paused or partitioned, the key runs again, and the claimer then dispatches too. A claimer
+  // that does not respond must not be treated as terminated.
+  const fleet = new ClaimTestFleet();
+  fleet.addNode('a', { step: 4, pauseMs: undefined });
+  fleet.addNode('b');
+  fleet.send('a');
+  await fleet.clock.advanceBy(1000);
   const request = { ...SETTLE_REQUEST, outcome: ClaimOutcome.NOT_RUN };
   const notSettleable = `refused ${ResultCode.ClaimNotSettleable}`;
-  const admin = makeAdmin(world, new Set());
-  assert.equal(await settle(world, admin, request), notSettleable, 'too young');
-  await world.clock.advanceBy(15 * MINUTE_MS);
-  const adminOfLive = makeAdmin(world, new Set(['a']));
-  assert.equal(await settle(world, adminOfLive, request), notSettleable, 'listed as live');
-  assert.equal(await settle(world, admin, request), 'not-run by ioana');
-  assert.equal(readText(await world.execute('b')), 'booked north/key-1 as 1 for caller-1');
-  world.assertInvariants();
+  const admin = makeAdmin(fleet, new Set());
+  assert.equal(await settle(fleet, admin, request), notSettleable, 'too young');
+  await fleet.clock.advanceBy(15 * MINUTE_MS);
+  const adminOfLive = makeAdmin(fleet, new Set(['a']));
+  assert.equal(await settle(fleet, adminOfLive, request), notSettleable, 'listed as live');
+  assert.equal(await settle(fleet, admin, request), 'not-run by ioana');
+  assert.equal(readText(await fleet.execute('b')), 'booked north/key-1 as 1 for caller-1');
+  fleet.assertInvariants();
 });
 
-test('a claimer that is alive speaks for its claim', async () => {
-  const world = new ClaimTestFleet();
-  world.addNode('a');
-  const first = world.send('a', { behavior: TargetBehavior.ExecuteSilently });
-  await world.clock.advanceBy(50);
-  const settling = settle(world, makeAdmin(world, new Set()), SETTLE_REQUEST);
+test("a claim can't be settled while its claimer is running the request", async () => {
+  const fleet = new ClaimTestFleet();
+  fleet.addNode('a');
+  const first = fleet.send('a', { behavior: TargetBehavior.ExecuteWithoutResponse });
+  await fleet.clock.advanceBy(50);
+  const settling = settle(fleet, makeAdmin(fleet, new Set()), SETTLE_REQUEST);
   assert.equal(await settling, `refused ${ResultCode.ClaimNotSettleable}`);
-  await world.finish(first);
+  await fleet.finish(first);
 });
--- a/packages/claims/src/admin/common/claimAdmin.ts
+++ b/packages/claims/src/admin/common/claimAdmin.ts
@@ -1,4 +1,4 @@
-/** Shows claims to operators, and takes their word on outcomes that nobody else can find out. */
+/** Shows claims to operators and lets them settle outcomes that the fleet can't determine. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -21,17 +21,17 @@
   readonly committer: GroupCommitter;
   readonly clock: Clock;
   readonly peer: ClaimPeer;
-  /** Whether the platform still lists the node, or it was heard of. */
+  /** Whether the platform lists the node or peers have reported it. */
   readonly isLive: (address: string) => boolean;
   /**
-   * Age of a claim from which "not run" is taken of one whose claimer vanished, in ms. It is
-   * above every deadline: a claimer that was only paused finds its deadline passed by then and
-   * does not dispatch. Default 15 minutes.
+   * Minimum age at which a claim whose claimer has terminated may be settled as not run, in ms.
+   * It exceeds every deadline: a claimer that was only paused finds its deadline passed by then
+   * and does not dispatch. Default 15 minutes.
    */
   readonly minAgeMs?: number;
 }
 
-/** An operator's word on an outcome. */
+/** An operator's decision on the outcome of a claim. */
 export interface ISettleRequest {
   readonly member: string;
   /** The caller's idempotency key, or its SHA-256 in hexadecimal. */
@@ -42,7 +42,7 @@
 }
 
 /**
- * The operators' side of claims. Whoever calls it writes the audit log.
+ * Reads and settles claims for operators. The caller writes the audit log.
  *
  * @example
  * const info = await admin.settle({ member, claimKey, outcome, operator, note }, signal);
@@ -54,7 +54,7 @@
     this.minAgeMs = options.minAgeMs ?? DEFAULT_MIN_AGE_MS;
   }
 
-  /** The claim, or undefined when there is none. Throws StoreUnavailable. */
+  /** Returns the claim, or undefined when there is none. Throws StoreUnavailable. */
   async getClaim(
     member: string,
     claimKey: string,
@@ -62,24 +62,24 @@
   ): Promise<ClaimInfo | undefined> {
     signal.throwIfAborted();
     const hashed = hashKey(claimKey);
-    const known = await this.find(formatClaimRowKey(member, hashed));
-    return known === undefined ? undefined : describeClaim(member, hashed, known.claim);
+    const existing = await this.find(formatClaimRowKey(member, hashed));
+    return existing === undefined ? undefined : describeClaim(member, hashed, existing.claim);
   }
 
   /**
-   * Settles a claim without outcome, if its claimer is gone and the row has not changed since.
-   * Throws ClaimNotSettleable, NotFound, StoreUnavailable.
+   * Settles a claim that has no outcome if its claimer has terminated and its row has not
+   * changed since it was read. Throws ClaimNotSettleable, NotFound, StoreUnavailable.
    */
   async settle(request: ISettleRequest, signal: AbortSignal): Promise<ClaimInfo> {
     const hashed = hashKey(request.claimKey);
     const rowKey = formatClaimRowKey(request.member, hashed);
-    const known = await this.find(rowKey);
-    if (known === undefined) {
+    const existing = await this.find(rowKey);
+    if (existing === undefined) {
       throw refuse(ResultCode.NotFound, 'there is no claim under this idempotency key');
     }
-    await this.checkSettleable(request, hashed, known.claim, signal);
-    const settled = this.makeSettled(request, known.claim);
-    await this.write(rowKey, known.version, settled);
+    await this.checkSettleable(request, hashed, existing.claim, signal);
+    const settled = this.makeSettled(request, existing.claim);
+    await this.write(rowKey, existing.version, settled);
     return describeClaim(request.member, hashed, settled);
   }
 
@@ -91,17 +91,17 @@
   ): Promise<void> {
     if (claim.state === ClaimState.Unknown) return;
     if (claim.state !== ClaimState.Running) {
-      throw refuseSettling(`its outcome is known: ${claim.state}`);
+      throw refuseSettling(`its outcome is existing: ${claim.state}`);
     }
-    const isGone = await this.isClaimerTerminated(request.member, hashed, claim, signal);
-    if (!isGone) throw refuseSettling(`node ${claim.claimer} still answers for it, or may`);
+    const isTerminated = await this.isClaimerTerminated(request.member, hashed, claim, signal);
+    if (!isTerminated) throw refuseSettling(`node ${claim.claimer} still answers for it, or may`);
     const ageMs = this.options.clock.getWallTime() - claim.claimedAtMs;
     if (request.outcome === ClaimOutcome.NOT_RUN && ageMs < this.minAgeMs) {
       throw refuseSettling('its claimer may be paused; "not-run" is taken after 15 minutes');
     }
   }
 
-  /** The process at the claimer's address never had the attempt, or the VM is listed no more. */
+  /** True if the process at the claimer's address never held the attempt, or the VM is no longer listed. */
   private async isClaimerTerminated(
     member: string,
     claimKey: string,
@@ -109,10 +109,10 @@
     signal: AbortSignal,
   ): Promise<boolean> {
     const { peer, isLive } = this.options;
-    const question = { member, claimKey, attemptToken: claim.token, waitMs: 0 };
-    const limit = AbortSignal.any([signal, AbortSignal.timeout(LOOK_UP_TIMEOUT_MS)]);
+    const lookUpRequest = { member, claimKey, attemptToken: claim.token, waitMs: 0 };
+    const timeoutSignal = AbortSignal.any([signal, AbortSignal.timeout(LOOK_UP_TIMEOUT_MS)]);
     try {
-      const lookUpResponse = await peer.lookUp(claim.claimer, question, limit);
+      const lookUpResponse = await peer.lookUp(claim.claimer, lookUpRequest, timeoutSignal);
       return lookUpResponse.state === ClaimLookUp.UNKNOWN;
     } catch {
       return !isLive(claim.claimer);
@@ -138,13 +138,13 @@
   private async write(rowKey: string, expectedVersion: number, claim: IClaim): Promise<void> {
     const result = await this.commit({ key: rowKey, expectedVersion, value: encodeClaim(claim) });
     if (result.committed) return;
-    // A lost answer may have been sent again below; our own word in the row is success.
+    // The write is repeated when its response is lost, so finding this settlement in the row is success.
     const current = result.row === undefined ? undefined : decodeClaim(result.row).claim;
-    const mine = claim.settlement;
-    const isMine =
-      current?.settlement?.settledAtMs === mine?.settledAtMs &&
-      current?.settlement?.operator === mine?.operator;
-    if (!isMine) throw refuseSettling('it changed meanwhile; look at it again');
+    const settlement = claim.settlement;
+    const isThisSettlement =
+      current?.settlement?.settledAtMs === settlement?.settledAtMs &&
+      current?.settlement?.operator === settlement?.operator;
+    if (!isThisSettlement) throw refuseSettling('it changed meanwhile; look at it again');
   }
 
   private async commit(change: IRowChange): Promise<IRowResult> {
--- a/packages/claims/src/attempt/common/attemptRegistry.ts
+++ b/packages/claims/src/attempt/common/attemptRegistry.ts
@@ -1,7 +1,7 @@
 /**
- * The attempts that this process holds claims for. An attempt is registered before its claim is
- * sent and stays until its row tells the outcome, so "this node knows nothing of the attempt"
- * is said only by a process that never had it: the one that had it is gone.
+ * The attempts for which this process holds claims. An attempt is registered before its claim is
+ * sent and removed once its row contains the outcome. If a row is still running and its attempt is
+ * not registered at the claimer's address, the process that held the attempt has terminated.
  */
 import type { InvariantRegistry, MuxError } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
@@ -11,19 +11,19 @@
 export const AttemptEnd = {
   Finished: 'finished',
   NotRun: 'not-run',
-  /** Executed, and its answer is not kept. */
+  /** Executed; the response is not recorded. */
   RanNotKept: 'ran-not-kept',
   Unknown: 'unknown',
 } as const;
 
 export type AttemptEnd = (typeof AttemptEnd)[keyof typeof AttemptEnd];
 
-/** What an attempt came to. */
+/** Outcome of an attempt. */
 export interface IAttemptOutcome {
   readonly end: AttemptEnd;
   /** Present when finished. */
   readonly response?: ICompleteResponse;
-  /** What the first caller was told instead of an answer. */
+  /** The error that the first caller received instead of a response. */
   readonly error?: MuxError;
 }
 
@@ -35,12 +35,12 @@
   readonly invariants: InvariantRegistry;
 }
 
-/** One attempt of this process. */
+/** One attempt of this process to run a request under a claim. */
 export class Attempt {
   readonly rowKey: string;
   readonly token: string;
   readonly digest: string;
-  /** Resolves once, when the attempt has ended. */
+  /** Resolves when the attempt has ended. */
   readonly ended: Promise<IAttemptOutcome>;
   private readonly invariants: InvariantRegistry;
   private settle: (outcome: IAttemptOutcome) => void = () => undefined;
@@ -58,17 +58,17 @@
     });
   }
 
-  /** How it ended; undefined while it runs. */
+  /** Returns the outcome, or undefined while the attempt is running. */
   getOutcome(): IAttemptOutcome | undefined {
     return this.outcome;
   }
 
-  /** The store has proved that the row carries this attempt's token. */
+  /** Records that the store has confirmed this attempt's token in the row. */
   recordClaim(): void {
     this.isClaimed = true;
   }
 
-  /** The request is about to be handed to the home for dispatch. */
+  /** Records that the request is about to be sent to the home for dispatch. */
   recordDispatch(): void {
     this.dispatches += 1;
     this.invariants.check(
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Ends the attempt. `isProved` says that the home vouched for what `end` claims; without it
-   * an attempt that was dispatched must never be given out as not run.
+   * Ends the attempt. `isConfirmed` is true if the home confirmed the outcome. Without that, an
+   * attempt that was dispatched must never be reported as not run.
    */
   end(outcome: IAttemptOutcome, isConfirmed: boolean): void {
     if (outcome.end === AttemptEnd.NotRun) {
@@ -106,24 +106,24 @@
   private readonly byToken = new Map<string, Attempt>();
   private readonly byRow = new Map<string, Attempt>();
 
-  /** Adds an attempt before its claim is written, so that peers that ask by its token find it. */
+  /** Adds an attempt. Called before its claim is written, so that peers can look it up by its token. */
   add(attempt: Attempt): void {
     this.byToken.set(attempt.token, attempt);
     this.byRow.set(attempt.rowKey, attempt);
   }
 
-  /** Forgets an attempt whose row tells its outcome. */
+  /** Removes an attempt whose row contains its outcome or that never had a row. */
   remove(attempt: Attempt): void {
     this.byToken.delete(attempt.token);
     if (this.byRow.get(attempt.rowKey) === attempt) this.byRow.delete(attempt.rowKey);
   }
 
-  /** The attempt with this token, unless its row tells its outcome already. */
+  /** Returns the attempt with this token, unless it was removed. */
   find(token: string): Attempt | undefined {
     return this.byToken.get(token);
   }
 
-  /** The newest attempt of this process under a row. */
+  /** Returns the latest attempt of this process for a row. */
   findByRow(rowKey: string): Attempt | undefined {
     return this.byRow.get(rowKey);
   }
--- a/packages/claims/src/attempt/common/waitWithTimeout.ts
+++ b/packages/claims/src/attempt/common/waitWithTimeout.ts
@@ -1,11 +1,11 @@
-/** Waiting with a bound, on the injected clock. */
+/** Waits for a promise with a timeout, on the injected clock. */
 import type { Clock } from '@parsleymux/base';
 
 /**
- * The value of `promise`, or undefined when it has not come after `waitMs`.
+ * Resolves to the value of `promise`, or to undefined if it has not settled after `waitMs`.
  *
  * @example
- * const outcome = await waitAtMost(clock, attempt.ended, 500);
+ * const outcome = await waitWithTimeout(clock, attempt.ended, 500);
  */
 export async function waitWithTimeout<T>(
   clock: Clock,
--- a/packages/claims/src/claim/common/claim.ts
+++ b/packages/claims/src/claim/common/claim.ts
@@ -1,21 +1,21 @@
 /**
- * The row that stands for one idempotency key. It is inserted by whoever is about to dispatch
- * and only ever updated after that; a release marks it, and only the sweeper deletes, long after
- * the last change. Were it deleted on release, a claim that is late on its way to the table would
- * land on the empty place and hold the key for a request that is long over.
+ * The row of one idempotency key. A node inserts it before it dispatches the request, and later
+ * changes only update it. A release marks the row instead of deleting it: otherwise a delayed
+ * claim could be inserted afterwards and hold the key for a request that has already ended. Only
+ * the sweeper deletes rows, long after their last change.
  */
 import type { ITableRow } from '@parsleymux/store';
 import type { IStoredResponse } from './responseCodec.js';
 
-/** What is known of the one execution of a key. */
+/** State of the execution of a key. */
 export const ClaimState = {
-  /** Claimed; its claimer alone may dispatch, or has dispatched, or has died. */
+  /** Claimed. Only the claimer may dispatch; it may have dispatched already, or have terminated. */
   Running: 'running',
-  /** Executed; the whole answer is recorded. */
+  /** Executed; the complete response is recorded. */
   Finished: 'finished',
-  /** Executed; the answer is not kept. */
+  /** Executed; the response is not recorded. */
   RanNotKept: 'ran-not-kept',
-  /** Dispatched with no usable answer: a target may have executed it. */
+  /** Dispatched without a usable response: a target may have executed it. */
   Unknown: 'unknown',
   /** Provably never executed: the key may be claimed again. */
   NotRun: 'not-run',
@@ -23,7 +23,7 @@
 
 export type ClaimState = (typeof ClaimState)[keyof typeof ClaimState];
 
-/** An operator's word on an outcome that the system could not find out. */
+/** An operator's decision on an outcome that the fleet could not determine. */
 export interface ISettlement {
   readonly operator: string;
   readonly note: string;
@@ -34,11 +34,11 @@
 /** The content of a claim row. */
 export interface IClaim {
   readonly state: ClaimState;
-  /** Random name of the attempt that holds the claim. */
+  /** Random, unique token of the attempt that holds the claim. */
   readonly token: string;
   /** Peer address of the node that holds the claim. */
   readonly claimer: string;
-  /** Digest of the request; the same key with another digest is a conflict. */
+  /** Digest of the request. The same key with a different digest is a conflict. */
   readonly digest: string;
   /** Wall time of the claim, in ms since the Unix epoch. */
   readonly claimedAtMs: number;
@@ -50,14 +50,14 @@
   readonly settlement?: ISettlement;
 }
 
-/** A claim as read from its row. */
+/** A claim with the version of its row. */
 export interface IVersionedClaim {
   readonly claim: IClaim;
   readonly version: number;
 }
 
 /**
- * Reads a claim from its row.
+ * Decodes a claim from its row.
  *
  * @example
  * const { claim, version } = decodeClaim(row);
@@ -67,7 +67,7 @@
 }
 
 /**
- * The value of a claim's row.
+ * Encodes a claim as the value of its row.
  *
  * @example
  * writes.push({ key, value: encodeClaim(claim) });
--- a/packages/claims/src/claim/common/claimIdentity.ts
+++ b/packages/claims/src/claim/common/claimIdentity.ts
@@ -1,23 +1,23 @@
-/** Names a claim: the member and the caller's key, and the digest that tells requests apart. */
+/** Identifies a claim by member and idempotency key, and its request by a digest. */
 import { createHash } from 'node:crypto';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IRoutedRequest } from '@parsleymux/routing';
 
-/** Prefix of the rows of all claims. */
+/** Prefix of the row keys of all claims. */
 export const CLAIM_PREFIX = 'claim/';
 const MAX_KEY_LENGTH = 255;
 const PRINTABLE_KEY = /^[\x21-\x7e]+$/;
 
-/** What identifies a claim. */
+/** Identity of a claim and digest of its request. */
 export interface IClaimIdentity {
   readonly member: string;
-  /** SHA-256 of the caller's key, in hexadecimal. */
+  /** SHA-256 of the caller's idempotency key, in hexadecimal. */
   readonly claimKey: string;
   readonly digest: string;
 }
 
 /**
- * Key of the row of one claim. The member is part of it: members' keys never meet.
+ * Formats the key of a claim's row. It contains the member, so keys of different members never collide.
  *
  * @example
  * formatClaimRowKey(identity.member, identity.claimKey);
@@ -27,7 +27,8 @@
 }
 
 /**
- * SHA-256 of an idempotency key, so that rows have keys of one length and reveal nothing.
+ * Computes the SHA-256 of an idempotency key, which gives row keys a fixed length and hides the
+ * caller's key.
  *
  * @example
  * formatClaimRowKey('north', computeClaimKey('order-17'));
@@ -37,7 +38,7 @@
 }
 
 /**
- * The identity of a request. Throws a MuxError when its key is missing or malformed.
+ * Computes the identity of a request. Throws a MuxError when its key is missing or malformed.
  *
  * @example
  * const identity = getClaimIdentity(request);
@@ -63,7 +64,7 @@
   };
 }
 
-/** Digest over what makes two requests the same work; headers that vary by hop stay out. */
+/** Digests the parts that make two requests equivalent. Headers that vary by hop are excluded. */
 function computeRequestDigest(request: IRoutedRequest): string {
   const contentType = request.headers.find(([name]) => name === 'content-type')?.[1] ?? '';
   const head = [request.route.host, request.method, request.path, contentType];
--- a/packages/claims/src/claim/common/responseCodec.ts
+++ b/packages/claims/src/claim/common/responseCodec.ts
@@ -1,55 +1,58 @@
-/** Answers as they are recorded in rows and objects and sent between nodes. */
+/** Encodes responses for rows and objects and for transfer between nodes. */
 import type { ResultCode } from '@parsleymux/base';
 import { RunState } from '@parsleymux/base';
 import type { Header, IAnswer } from '@parsleymux/routing';
 
-/** Marks an answer that was recorded earlier, so that callers can tell a replay from a run. */
+/** Marks a replayed response, so that callers can distinguish a replay from an execution. */
 export const REPLAY_HEADER = 'idempotency-replayed';
 
-/** A whole answer in memory. */
+/** A complete response in memory. */
 export interface ICompleteResponse extends IAnswer {
   readonly body: Uint8Array;
 }
 
-/** A recorded answer. The body is here or, when large, in an object. */
+/** A recorded response. A large body is stored in an object instead. */
 export interface IStoredResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly code: ResultCode;
-  /** In base 64; absent when the body is in an object. */
+  /** Body in base64; absent when it is stored in an object. */
   readonly body?: string;
   /** Key of the object that holds the body. */
   readonly objectKey?: string;
 }
 
 /**
- * A recorded answer with its body inside.
+ * Encodes a response together with its body.
  *
  * @example
- * const stored = encodeAnswer(answer);
+ * const stored = encodeResponse(response);
  */
-export function encodeResponse(answer: ICompleteResponse): IStoredResponse {
-  const { status, headers, code } = answer;
-  return { status, headers, code, body: Buffer.from(answer.body).toString('base64') };
+export function encodeResponse(response: ICompleteResponse): IStoredResponse {
+  const { status, headers, code } = response;
+  return { status, headers, code, body: Buffer.from(response.body).toString('base64') };
 }
 
 /**
- * A recorded answer whose body is in the object `objectKey`.
+ * Encodes a response whose body is stored in the object `objectKey`.
  *
  * @example
- * await objects.put(objectKey, answer.body);
- * return encodeAnswerHead(answer, objectKey);
+ * await objects.put(objectKey, response.body);
+ * return encodeResponseHead(response, objectKey);
  */
-export function encodeResponseHead(answer: ICompleteResponse, objectKey: string): IStoredResponse {
-  const { status, headers, code } = answer;
+export function encodeResponseHead(
+  response: ICompleteResponse,
+  objectKey: string,
+): IStoredResponse {
+  const { status, headers, code } = response;
   return { status, headers, code, objectKey };
 }
 
 /**
- * The answer to replay, marked as such.
+ * Decodes a response and marks it as replayed. `body` replaces the body recorded in the row.
  *
  * @example
- * return decodeAnswer(stored, bytes);
+ * return decodeResponse(stored, bytes);
  */
 export function decodeResponse(stored: IStoredResponse, body?: Uint8Array): ICompleteResponse {
   return markReplayed({
@@ -62,31 +65,31 @@
 }
 
 /**
- * The answer with the header that marks a replay.
+ * Adds the header that marks a replay.
  *
  * @example
- * return markReplayed(outcome.answer);
+ * return markReplayed(outcome.response);
  */
-export function markReplayed(answer: ICompleteResponse): ICompleteResponse {
-  const kept = answer.headers.filter(([name]) => name !== REPLAY_HEADER);
-  return { ...answer, headers: [...kept, [REPLAY_HEADER, 'true']] };
+export function markReplayed(response: ICompleteResponse): ICompleteResponse {
+  const otherHeaders = response.headers.filter(([name]) => name !== REPLAY_HEADER);
+  return { ...response, headers: [...otherHeaders, [REPLAY_HEADER, 'true']] };
 }
 
 /**
- * An answer as bytes, for the look-up between nodes.
+ * Encodes a response as bytes, for look-ups between nodes.
  *
  * @example
- * return { state: ClaimLookUp.FINISHED, answer: encodeAnswerBytes(outcome.answer) };
+ * return { state: ClaimLookUp.FINISHED, answer: encodeResponseBytes(outcome.response) };
  */
-export function encodeResponseBytes(answer: ICompleteResponse): Uint8Array {
-  return Buffer.from(JSON.stringify(encodeResponse(answer)));
+export function encodeResponseBytes(response: ICompleteResponse): Uint8Array {
+  return Buffer.from(JSON.stringify(encodeResponse(response)));
 }
 
 /**
- * The answer in bytes that {@link encodeResponseBytes} made, marked as a replay.
+ * Decodes the bytes of {@link encodeResponseBytes} and marks the response as replayed.
  *
  * @example
- * return decodeAnswerBytes(said.answer);
+ * return decodeResponseBytes(lookUpResponse.answer);
  */
 export function decodeResponseBytes(bytes: Uint8Array): ICompleteResponse {
   return decodeResponse(JSON.parse(Buffer.from(bytes).toString('utf8')) as IStoredResponse);
--- a/packages/claims/src/expiry/common/claimSweeper.test.ts
+++ b/packages/claims/src/expiry/common/claimSweeper.test.ts
@@ -42,7 +42,7 @@
   return removed;
 }
 
-test('expired claims of every member are removed once, each by one of the nodes', async () => {
+test('each expired claim of every member is removed once, by one of the nodes', async () => {
   const clock = new ManualClock();
   const table = new FakeTable({ clock });
   const rows: { readonly key: string; readonly value: string }[] = [];
@@ -63,26 +63,26 @@
   assert.equal(await visitAll(clock, table, ['a', 'b', 'c']), 30, 'unsettled after 28 days');
 });
 
-test('whatever the settings, a claim is kept an hour, and a day while it may run', () => {
+test('whatever the settings, a claim is retained for an hour, and for a day while it may run', () => {
   const retention = new Retention(60);
   assert.equal(retention.hasExpired(makeClaim(ClaimState.Finished, 0), 3_599_000), false);
   assert.equal(retention.hasExpired(makeClaim(ClaimState.Running, 0), DAY_MS - 1), false);
 });
 
-test('a dated key that is older than its record is refused instead of run again', async () => {
-  // Symptom: a booking ran twice, eight days apart. Sequence: a caller kept an unanswered
-  // booking in its queue for longer than records are kept, and sent it again. Cause: a removed
-  // record looks like a key that never ran.
-  const world = new ClaimTestFleet();
-  world.addNode('a');
+test('a key with a timestamp older than the retention is refused instead of run again', async () => {
+  // Guards against a key that runs again after its row was removed: a caller queues a request
+  // without a response for longer than the retention and sends it again, here after eight days.
+  // A removed row looks like a key that never ran.
+  const fleet = new ClaimTestFleet();
+  fleet.addNode('a');
   const key = '018bcfe5-6800-7000-8000-000000000000';
   assert.equal(getKeyTime(key), 1_700_000_000_000);
-  await world.execute('a', { key });
-  await world.clock.advanceBy(8 * DAY_MS);
-  const kept = await world.execute('a', { key });
-  assert.ok(isReplayed(kept), readText(kept));
-  await visitAll(world.clock, world.table, ['a']);
-  const expired = await world.execute('a', { key });
+  await fleet.execute('a', { key });
+  await fleet.clock.advanceBy(8 * DAY_MS);
+  const retained = await fleet.execute('a', { key });
+  assert.ok(isReplayed(retained), readText(retained));
+  await visitAll(fleet.clock, fleet.table, ['a']);
+  const expired = await fleet.execute('a', { key });
   assertRefused(expired, ResultCode.IdempotencyKeyExpired, RunState.MayHaveRun);
-  world.assertInvariants();
+  fleet.assertInvariants();
 });
--- a/packages/claims/src/expiry/common/claimSweeper.ts
+++ b/packages/claims/src/expiry/common/claimSweeper.ts
@@ -1,7 +1,7 @@
 /**
- * Removes expired claims. Every node walks the hash space of every member's keys and takes the
- * slices that rendezvous hashing gives it among the live nodes. Two nodes that both take a slice
- * do no harm: each removal is conditional on the version that was judged.
+ * Removes expired claims. Every node iterates over the hash space of every member's keys and
+ * sweeps the slices that rendezvous hashing assigns to it among the live nodes. Two nodes may
+ * safely sweep the same slice: each removal is conditional on the version that was checked.
  */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import { hashToInteger, MS_PER_DAY } from '@parsleymux/base';
@@ -16,7 +16,7 @@
 const HEXADECIMAL = 16;
 const PAGE_ROWS = 500;
 const DEFAULT_PASS_MS = MS_PER_DAY;
-/** Follows every key of a member in the order of keys, as '0' follows '/'. */
+/** Sorts after every key of a member, because '0' follows '/'. */
 const AFTER_MEMBER = '0';
 
 /** Options of a {@link ClaimSweeper}. */
@@ -27,17 +27,17 @@
   readonly random: RandomSource;
   readonly retention: Retention;
   readonly nodeAddress: string;
-  /** Addresses of the live nodes, this one included. */
+  /** Addresses of the live nodes, including this one. */
   readonly getLiveNodes: () => readonly string[];
-  /** Time over which one walk is spread, in ms. Default one day. */
+  /** Duration of one pass over all claims, in ms. Default one day. */
   readonly passMs?: number;
 }
 
 /**
- * Walks the claims for ever, until disposed of.
+ * Sweeps the claims in repeated passes until disposed.
  *
  * @example
- * const sweeper = new ClaimSweeper({ table, committer, clock, random, retention, nodeAddress, getLiveNodes });
+ * const sweeper = new ClaimSweeper(options);
  * sweeper.start();
  */
 export class ClaimSweeper implements IDisposable {
@@ -46,7 +46,7 @@
 
   constructor(private readonly options: IClaimSweeperOptions) {}
 
-  /** Starts walking; the first walk begins at a random time, lest restarted nodes walk in step. */
+  /** Starts sweeping. The first pass begins at a random time, so that restarted nodes don't sweep in step. */
   start(): void {
     void this.runContinuously().catch(() => undefined);
   }
@@ -55,12 +55,12 @@
     this.stop.abort(new Error('disposed'));
   }
 
-  /** Rows removed so far. */
+  /** Number of rows removed so far. */
   getRemovedCount(): number {
     return this.removed;
   }
 
-  /** Walks this node's slices once, pausing `gapMs` on average between two of them. */
+  /** Sweeps this node's slices once, with a mean pause of `gapMs` after each. */
   async visitSlices(gapMs: number): Promise<void> {
     let member = await this.findMemberAfter('');
     while (member !== undefined) {
@@ -81,7 +81,7 @@
       try {
         await this.visitSlices(passMs / SLICES);
       } catch {
-        // The store is out, or the node stops: what is expired stays until the next walk.
+        // The store is unavailable or the node is stopping. Expired rows stay until the next pass.
       }
       await this.sleepJittered(passMs);
     }
@@ -101,8 +101,8 @@
   private isSliceAssigned(name: string): boolean {
     const nodes = this.options.getLiveNodes();
     const rank = (address: string) => hashToInteger(`${name}@${address}`);
-    const own = rank(this.options.nodeAddress);
-    return nodes.every((address) => rank(address) <= own);
+    const localRank = rank(this.options.nodeAddress);
+    return nodes.every((address) => rank(address) <= localRank);
   }
 
   private async removeExpired(prefix: string): Promise<void> {
--- a/packages/claims/src/guard/common/backgroundRetrier.ts
+++ b/packages/claims/src/guard/common/backgroundRetrier.ts
@@ -1,4 +1,4 @@
-/** Work that must get done although the store is out, after its caller has been answered. */
+/** Retries work that must complete even if the store is unavailable, after the caller has its response. */
 import { setMaxListeners } from 'node:events';
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import { waitWithTimeout } from '../../attempt/common/waitWithTimeout.js';
@@ -13,7 +13,7 @@
 }
 
 /**
- * Repeats actions until they succeed, with growing, jittered delays.
+ * Repeats actions until they succeed, with jittered exponential backoff.
  *
  * @example
  * await retrier.start(() => store.writeOutcome(rowKey, version, claim), 500);
@@ -27,12 +27,12 @@
   constructor(options: IBackgroundRetrierOptions) {
     this.clock = options.clock;
     this.random = options.random;
-    // Every pending action listens; while the store is out that is many, and Node would take
-    // them for a leak and say so.
+    // Each pending action adds a listener. While the store is unavailable there can be many, and
+    // Node would log a warning about a leak.
     setMaxListeners(0, this.stop.signal);
   }
 
-  /** Starts `action` and resolves after its first try, or after `waitMs` if that is sooner. */
+  /** Starts `action` and resolves after its first try or after `waitMs`, whichever is sooner. */
   async start(action: () => Promise<void>, waitMs: number): Promise<void> {
     const firstTry = tryOnce(action);
     const done = this.runUntilDone(firstTry, action);
@@ -41,12 +41,12 @@
     await waitWithTimeout(this.clock, firstTry, waitMs);
   }
 
-  /** Actions that have not succeeded yet. */
+  /** Number of actions that have not succeeded yet. */
   getPendingCount(): number {
     return this.pending.size;
   }
 
-  /** Resolves when nothing is pending. Shutdown waits for it, so that no outcome is lost. */
+  /** Resolves when no action is pending. Shutdown waits for it, so that no outcome is lost. */
   async flush(): Promise<void> {
     while (this.pending.size > 0) await Promise.all(this.pending);
   }
--- a/packages/claims/src/guard/common/claimErrors.ts
+++ b/packages/claims/src/guard/common/claimErrors.ts
@@ -1,4 +1,4 @@
-/** The refusals of the guard, each with its true run state. */
+/** Creates the errors of the guard, each with its accurate run state. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 
 const STORE_RETRY_MS = 2000;
@@ -6,8 +6,9 @@
 const UNKNOWN_RETRY_MS = 30_000;
 
 /**
- * The store can't be reached, so nobody may dispatch. Speaks of this request alone. The wait that it
- * names grows by `jitteredShare`, between 0 and 1, so that refused callers don't return together.
+ * The store is unavailable, so the request must not be dispatched. The run state covers this
+ * request alone, not earlier ones with the same key. The retry delay is extended by the share
+ * `jitteredShare`, between 0 and 1, so that refused callers don't retry at the same time.
  *
  * @example
  * throw makeStoreUnavailable(random.getFloat());
@@ -24,7 +25,7 @@
 }
 
 /**
- * It ran, and its recorded answer can't be read just now.
+ * The request ran, but its recorded response can't be read now.
  *
  * @example
  * throw makeAnswerUnavailable(error);
@@ -40,7 +41,7 @@
 }
 
 /**
- * The key is taken by a request with another digest.
+ * The key was used for a request with a different digest.
  *
  * @example
  * if (claim.digest !== identity.digest) throw makeKeyConflict();
@@ -54,7 +55,7 @@
 }
 
 /**
- * A key that tells its own age is older than records are kept, and there is no row of it.
+ * The key contains a creation time that exceeds the retention, and it has no row.
  *
  * @example
  * if (known === undefined && isTooOld) throw makeKeyExpired();
@@ -68,7 +69,7 @@
 }
 
 /**
- * Another request with the key runs, and does not end within this one's deadline.
+ * Another request with the key is running and does not end before this request's deadline.
  *
  * @example
  * if (outcome === undefined) throw makeStillRunning();
@@ -83,7 +84,8 @@
 }
 
 /**
- * Nobody knows whether it ran. `canChange` when the targets can be asked again later.
+ * It is unknown whether the request ran. `canChange` is true if a later look-up at the targets may
+ * determine it.
  *
  * @example
  * throw makeOutcomeUnknown(request.route.lookUpPath !== '');
@@ -98,7 +100,7 @@
 }
 
 /**
- * It ran, and its answer could not be kept, or is gone.
+ * The request ran, but its response was not recorded or has been removed.
  *
  * @example
  * if (body === undefined) throw makeAnswerNotKept();
@@ -112,7 +114,7 @@
 }
 
 /**
- * An operator settled the claim as run.
+ * The request ran according to an operator, who settled the claim.
  *
  * @example
  * if (claim.settlement !== undefined) throw makeOutcomeSettled();
@@ -126,7 +128,7 @@
 }
 
 /**
- * The deadline passed while the request could still be given up unrun.
+ * The deadline passed before the request was dispatched.
  *
  * @example
  * if (clock.getMonotonicTime() >= request.deadlineMs) throw makeDeadlinePassed();
@@ -140,7 +142,7 @@
 }
 
 /**
- * The caller left while the request could still be given up unrun.
+ * The caller disconnected before the request was dispatched.
  *
  * @example
  * if (signal.aborted) throw makeCallerGone();
@@ -154,7 +156,7 @@
 }
 
 /**
- * A dispatch failed with an error that carries no number, so the request may have run.
+ * A dispatch failed with an error without a result code, so the request may have run.
  *
  * @example
  * const failure = error instanceof MuxError ? error : makeUnexpectedError(error);
--- a/packages/claims/src/guard/common/claimGuard.ts
+++ b/packages/claims/src/guard/common/claimGuard.ts
@@ -1,10 +1,10 @@
 /**
- * Lets a request that is not idempotent run at most once across the fleet.
+ * Ensures that a request that is not idempotent runs at most once across the fleet.
  *
- * Whoever is about to dispatch claims the caller's key by one conditional write. The claim has
- * no lease: only its winner ever dispatches, once, however long it is paused in between. Its
- * outcome is recorded under the key and replayed to later requests. A claim that provably did
- * not run is released; one whose outcome nobody knows is never run again.
+ * Before a node dispatches the request, it claims the caller's key with one conditional write.
+ * The claim is not a lease: only its winner may dispatch, once, however long it is paused in
+ * between. The outcome is recorded under the key and replayed to later requests. A claim whose
+ * request provably did not run is released; one whose outcome is unknown never runs again.
  */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
@@ -40,14 +40,14 @@
 import { OutcomeSettler } from './outcomeSettler.js';
 
 /**
- * The guard over the platform's table.
+ * Dispatch guard that stores its claims in the platform's table.
  *
  * @example
  * const guard = new ClaimGuard({ table, objects, clock, random, invariants, nodeAddress, peer });
- * const answer = await guard.execute(attempt, signal);
+ * const response = await guard.execute(attempt, signal);
  */
 export class ClaimGuard extends DispatchGuard implements IDisposable {
-  /** Serves other nodes' questions about this node's claims. */
+  /** Handles look-ups of this node's claims by other nodes. */
   readonly lookUpHandler: ClaimLookUpHandler;
   private readonly clock: Clock;
   private readonly random: RandomSource;
@@ -90,8 +90,8 @@
     let known: IVersionedClaim | undefined;
     for (;;) {
       this.checkDeadlineAndCaller(guarded, signal);
-      const joined = await this.joinLocal(guarded, identity, rowKey);
-      if (joined !== undefined) return this.replay(guarded, joined);
+      const localResponse = await this.joinLocal(guarded, identity, rowKey);
+      if (localResponse !== undefined) return this.replay(guarded, localResponse);
       known ??= await this.findBeforeRefusing(guarded, rowKey);
       const version = known === undefined ? 0 : await this.resolveKnown(guarded, identity, known);
       if (typeof version !== 'number') return this.replay(guarded, version);
@@ -103,12 +103,12 @@
     }
   }
 
-  /** Outcomes and releases that are not in the store yet. */
+  /** Number of outcomes and releases that are not yet written to the store. */
   getPendingRecordCount(): number {
     return this.retrier.getPendingCount();
   }
 
-  /** Resolves when the store has every outcome; shutdown waits for it, within its own limit. */
+  /** Resolves when every outcome is written to the store. Shutdown waits for it, up to its own limit. */
   flush(): Promise<void> {
     return this.retrier.flush();
   }
@@ -117,7 +117,7 @@
     this.retrier.dispose();
   }
 
-  /** What the caller of the attempt itself is given: the answer as it came, or the true error. */
+  /** Returns the unchanged response to the caller of the attempt, or throws its error. */
   private async finish(
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
@@ -127,8 +127,8 @@
     const error = outcome.error ?? makeOutcomeUnknown(true);
     const isUnknown = outcome.end === AttemptEnd.Unknown;
     if (!isUnknown || guarded.request.route.lookUpPath === '') throw error;
-    // The targets may know what this caller could not be told; without their word the error
-    // of the run itself says more than "unknown".
+    // A look-up at the targets may find the outcome. Otherwise the error of the attempt is more
+    // specific than "outcome unknown".
     try {
       const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
       const found = await this.resolveLocal(guarded, identity, rowKey, outcome);
@@ -139,9 +139,9 @@
     throw error;
   }
 
-  private replay(guarded: IGuardedAttempt, answer: IAnswer): IAnswer {
+  private replay(guarded: IGuardedAttempt, response: IAnswer): IAnswer {
     this.metrics.replays.inc({ member: guarded.request.member });
-    return answer;
+    return response;
   }
 
   private checkDeadlineAndCaller(guarded: IGuardedAttempt, signal: AbortSignal): void {
@@ -150,10 +150,10 @@
   }
 
   /**
-   * Under overload a key that ran must still be told so; only a key that did not run may be
-   * refused as not run. Checking instead of claiming spares the store a write and a release.
-   * A key that tells its age and is older than records are kept has no row whether it ran or
-   * not; run again, it could run twice.
+   * Checks the row before a request is refused for overload or for the age of its key. Under
+   * overload, only a key that did not run may be refused as not run. Checking instead of claiming
+   * avoids a write and a release. A key whose creation time exceeds the retention may have no row
+   * although it ran, and running it again could run it twice.
    */
   private async findBeforeRefusing(
     guarded: IGuardedAttempt,
@@ -183,18 +183,18 @@
     }
   }
 
-  /** The recorded answer, or the version at which the row may be claimed again. */
+  /** Returns the recorded response, or the version at which the row may be claimed again. */
   private async resolveKnown(
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
     known: IVersionedClaim,
   ): Promise<IAnswer | number> {
     const { request } = guarded;
-    const followed = await this.resolver.resolve(request, identity, known);
-    return followed.response ?? followed.claimableVersion;
+    const resolution = await this.resolver.resolve(request, identity, known);
+    return resolution.response ?? resolution.claimableVersion;
   }
 
-  /** Waits for an attempt of this very process: that works with the store out, too. */
+  /** Waits for an attempt of this process, which also works while the store is unavailable. */
   private async joinLocal(
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
@@ -203,8 +203,8 @@
     const attempt = this.registry.findByRow(rowKey);
     if (attempt === undefined || isNotRun(attempt.getOutcome())) return undefined;
     if (attempt.digest !== identity.digest) throw makeKeyConflict();
-    const leftMs = this.resolver.getTimeLeft(guarded.request);
-    const outcome = await waitWithTimeout(this.clock, attempt.ended, leftMs);
+    const remainingMs = this.resolver.getTimeLeft(guarded.request);
+    const outcome = await waitWithTimeout(this.clock, attempt.ended, remainingMs);
     if (outcome === undefined) throw makeStillRunning();
     if (isNotRun(outcome)) return undefined;
     if (outcome.response !== undefined) return markReplayed(outcome.response);
@@ -221,8 +221,8 @@
     const checked = await this.store.check(rowKey, 0).catch(() => undefined);
     const known = checked?.current;
     if (known === undefined) throw makeOutcomeUnknown(true);
-    const followed = await this.resolveKnown(guarded, identity, known);
-    return typeof followed === 'number' ? undefined : followed;
+    const resolution = await this.resolveKnown(guarded, identity, known);
+    return typeof resolution === 'number' ? undefined : resolution;
   }
 }
 
--- a/packages/claims/src/guard/common/claimGuardOptions.ts
+++ b/packages/claims/src/guard/common/claimGuardOptions.ts
@@ -1,4 +1,4 @@
-/** Options of the guard, and what is taken where they are left out. */
+/** Options of the guard and their defaults. */
 import { randomUUID } from 'node:crypto';
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import type { ObjectStore, TableService } from '@parsleymux/store';
@@ -24,47 +24,50 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly invariants: InvariantRegistry;
-  /** Peer address of this node, under which other nodes ask it about its claims. */
+  /** Peer address of this node, at which other nodes look up its claims. */
   readonly nodeAddress: string;
   readonly peer: ClaimPeer;
-  /** Whether the platform still lists the node, or it was heard of. Default: always. */
+  /** Whether the platform lists the node or peers have reported it. Default: always true. */
   readonly isLive?: (address: string) => boolean;
-  /** Default: no route can be asked. */
+  /** Default: no look-ups at the targets. */
   readonly lookUp?: OutcomeLookUp;
-  /** Shared with other users of the table, or undefined for one of its own. */
+  /** Committer shared with other users of the table. Default: a separate one. */
   readonly committer?: GroupCommitter;
-  /** Time that a claim waits for others to be committed with. Default 2. */
+  /** Time that a claim waits for others to join its transaction. Default 2. */
   readonly groupMs?: number;
-  /** Time that records are kept, in s; see {@link Retention}. Default 604800. */
+  /** Retention of claims, in s; see {@link Retention}. Default 604800. */
   readonly retentionS?: number;
-  /** Default: counters of its own registry. */
+  /** Default: metrics in a separate registry. */
   readonly metrics?: ClaimMetrics;
-  /** Name of a new attempt; must be unique in the fleet for ever. Default: a random UUID. */
+  /** Makes the token of an attempt; must be unique in the fleet for all time. Default: a random UUID. */
   readonly makeToken?: () => string;
-  /** Largest answer that is kept, in bytes. Default 1 MiB. */
+  /** Maximum size of a recorded response, in bytes. Default 1 MiB. */
   readonly maxResponseBytes?: number;
-  /** Largest body recorded in the row rather than in an object, in bytes. Default 8 KiB. */
+  /** Maximum size of a body recorded in the row instead of an object, in bytes. Default 8 KiB. */
   readonly maxRowBytes?: number;
-  /** Longest wait for the fate of a claim whose answer was lost. Default 1000. */
+  /** Maximum time to resolve a claim after the response to its write was lost. Default 1000. */
   readonly claimWaitMs?: number;
-  /** Longest time that an answer is held back for its record. Default 500. */
+  /** Maximum time that a response is delayed until it is recorded. Default 500. */
   readonly recordWaitMs?: number;
-  /** Time before the deadline at which waiting for another's run ends. Default 50. */
+  /** Time before the deadline at which waiting for another attempt ends. Default 50. */
   readonly responseMarginMs?: number;
-  /** Longest time that a claimer listed as gone is asked again. Default 1000. */
+  /**
+   * Time that an unresponsive, no longer listed claimer is retried before it counts as terminated.
+   * Default 1000.
+   */
   readonly unlistedRetryMs?: number;
-  /** Time after an unknown outcome from which a target's "never ran" counts. Default 60000. */
+  /** Minimum age of an unknown outcome at which the targets' "not run" is accepted. Default 60000. */
   readonly quietPeriodMs?: number;
 }
 
-/** Options with nothing left out. */
+/** Options with all defaults applied. */
 export type CompleteGuardOptions = Required<IClaimGuardOptions>;
 
 /**
- * Fills in what is left out.
+ * Applies the defaults of omitted options.
  *
  * @example
- * const options = withGuardDefaults(given);
+ * const options = withGuardDefaults(givenOptions);
  */
 export function withGuardDefaults(options: IClaimGuardOptions): CompleteGuardOptions {
   const { table, clock, random } = options;
@@ -77,8 +80,8 @@
     committer: options.committer ?? new GroupCommitter({ table, clock, random, groupMs }),
     metrics: options.metrics ?? new ClaimMetrics(),
     retentionS: options.retentionS ?? DEFAULT_RETENTION_S,
-    // Not from the injected source: two nodes seeded alike would make the same tokens, and
-    // each would take the other's claim for its own.
+    // Not from the injected random source: two nodes with the same seed would generate the same
+    // tokens, and each would treat the other's claim as its own.
     makeToken: options.makeToken ?? randomUUID,
     maxResponseBytes: options.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
     maxRowBytes: options.maxRowBytes ?? DEFAULT_MAX_ROW_BYTES,
--- a/packages/claims/src/guard/common/claimModel.test.ts
+++ b/packages/claims/src/guard/common/claimModel.test.ts
@@ -1,4 +1,4 @@
-/** Random schedules over several nodes, a lossy table and targets that count executions. */
+/** Random schedules over several nodes, with table faults and targets that count executions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -67,13 +67,13 @@
   ),
 });
 
-/** Chooses faults of the table by the schedule; the outage ends before the final look. */
-function setTableFaults(world: ClaimTestFleet, schedule: ISchedule): void {
+/** Chooses the table's faults by the schedule. All faults end before the final check. */
+function setTableFaults(fleet: ClaimTestFleet, schedule: ISchedule): void {
   const random = new SeededRandom(schedule.seed);
   const faults = Object.values(TableFault);
   const { startMs, lengthMs } = schedule.outage;
-  world.table.chooseFault = () => {
-    const nowMs = world.clock.getMonotonicTime();
+  fleet.table.chooseFault = () => {
+    const nowMs = fleet.clock.getMonotonicTime();
     const isOut = nowMs >= startMs && nowMs < startMs + lengthMs;
     if (!isOut && random.getFloat() >= schedule.lossShare) return TableFault.None;
     return faults[random.getInteger(faults.length)] ?? TableFault.Refuse;
@@ -81,33 +81,33 @@
 }
 
 async function runSchedule(schedule: ISchedule): Promise<void> {
-  const world = new ClaimTestFleet();
+  const fleet = new ClaimTestFleet();
   const nodes = schedule.nodeFaults.map((fault, index) => {
     const address = ADDRESSES[index] ?? 'a';
-    return { address, gate: world.addNode(address, fault ?? undefined) };
+    return { address, gate: fleet.addNode(address, fault ?? undefined) };
   });
-  setTableFaults(world, schedule);
+  setTableFaults(fleet, schedule);
   const path = schedule.hasLookUp ? { lookUpPath: '/jobs/by-key/{key}' } : {};
   for (const { node, key, gapMs, deadlineMs, behavior, body } of schedule.requests) {
     const address = nodes[node % nodes.length]?.address ?? 'a';
-    world.send(address, { key: `key-${key}`, deadlineMs, behavior, body, ...path });
-    await world.clock.advanceBy(gapMs);
+    fleet.send(address, { key: `key-${key}`, deadlineMs, behavior, body, ...path });
+    await fleet.clock.advanceBy(gapMs);
   }
-  await world.clock.advanceBy(RESTART_MS);
-  for (const { address, gate } of nodes) if (gate.isDead) world.addNode(address);
-  await world.clock.advanceBy(END_MS);
-  world.table.chooseFault = () => TableFault.None;
-  await world.clock.advanceBy(END_MS);
-  world.addNode('last');
+  await fleet.clock.advanceBy(RESTART_MS);
+  for (const { address, gate } of nodes) if (gate.isDead) fleet.addNode(address);
+  await fleet.clock.advanceBy(END_MS);
+  fleet.table.chooseFault = () => TableFault.None;
+  await fleet.clock.advanceBy(END_MS);
+  fleet.addNode('last');
   for (const key of ['key-0', 'key-1']) {
-    const last = await world.execute('last', { key, ...path });
+    const last = await fleet.execute('last', { key, ...path });
     if (last.result?.status === 'rejected') {
       assert.ok(FINAL_ERRORS.includes(getError(last).code), getError(last).message);
     }
   }
-  world.assertInvariants();
+  fleet.assertInvariants();
 }
 
-test('random schedules: each key executes at most once and every refusal is true', async () => {
+test('random schedules: each key executes at most once and every refusal is accurate', async () => {
   await fc.assert(fc.asyncProperty(scheduleArbitrary, runSchedule), { seed: SEED, numRuns: RUNS });
 });
--- a/packages/claims/src/guard/common/claimResolver.ts
+++ b/packages/claims/src/guard/common/claimResolver.ts
@@ -1,4 +1,4 @@
-/** Finds out what became of a claim that somebody else holds, or held. */
+/** Determines the outcome of a claim that another attempt holds or held. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { IRoutedRequest } from '@parsleymux/routing';
 import { ClaimLookUp } from '@parsleymux/schema';
@@ -10,15 +10,15 @@
 import type { ClaimLookUpHandler } from '../../peer/common/claimLookUpHandler.js';
 import type {
   ClaimPeer,
-  IClaimLookUpResponse,
   IClaimLookUpRequest,
+  IClaimLookUpResponse,
 } from '../../peer/common/claimPeer.js';
 import type { ClaimStore, ICheckedRow } from '../../store/common/claimStore.js';
 import { makeKeyConflict, makeStillRunning } from './claimErrors.js';
 import type { IClaimResolution, OutcomeSettler } from './outcomeSettler.js';
-import { makeReplayable, makeClaimable } from './outcomeSettler.js';
+import { makeClaimable, makeReplayable } from './outcomeSettler.js';
 
-/** Short enough that a claimer's silence leaves time to ask the store and the targets. */
+/** Short enough to leave time to query the store and the targets if the claimer does not respond. */
 const MAX_LOOK_UP_MS = 1000;
 const RETRY_MS = 100;
 
@@ -31,26 +31,26 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly nodeAddress: string;
-  /** Whether the node may still be alive. */
+  /** Whether the node may still be running. */
   readonly isLive: (address: string) => boolean;
-  /** Time before the deadline at which waiting ends, so that the refusal arrives in time. */
+  /** Time before the deadline at which waiting ends, so that the refusal reaches the caller in time. */
   readonly responseMarginMs: number;
-  /** Longest time that a silent claimer which is listed as gone is asked again. */
+  /** Time that an unresponsive, no longer listed claimer is retried before it counts as terminated. */
   readonly unlistedRetryMs: number;
 }
 
 /**
- * Follows claims to their outcome. Throws a MuxError when there is none to be had in time.
+ * Waits for the outcome of claims. Throws a MuxError if it can't be determined before the deadline.
  *
  * @example
- * const result = await follower.resolve(request, identity, known);
+ * const resolution = await resolver.resolve(request, identity, known);
  */
 export class ClaimResolver {
   constructor(private readonly options: IClaimResolverOptions) {}
 
   /**
-   * The answer under the key, or the version at which its row may be claimed. Waits for the
-   * claimer until the request's deadline.
+   * Returns the response recorded under the key, or the version at which its row may be claimed.
+   * Waits for the claimer until the request's deadline.
    */
   async resolve(
     request: IRoutedRequest,
@@ -70,7 +70,7 @@
         return makeReplayable(decodeResponseBytes(lookUpResponse.answer));
       if (lookUpResponse?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
       if (lookUpResponse?.state !== ClaimLookUp.RUNNING) {
-        // The claimer may have written the outcome and forgotten it since the row was read.
+        // The claimer may have written the outcome and removed the attempt since the row was read.
         const checked = await this.tryCheck(identity, known.version);
         const isUnchanged = checked?.isUnchanged === true;
         if (isUnchanged && this.isClaimerTerminated(known.claim, lookUpResponse, startMs)) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Time that may still be spent on waiting for the request's outcome, in ms. */
+  /** Returns the remaining time to wait for the request's outcome, in ms. */
   getTimeLeft(request: IRoutedRequest): number {
     const untilMs = request.deadlineMs - this.options.responseMarginMs;
     return Math.max(0, untilMs - this.options.clock.getMonotonicTime());
@@ -94,8 +94,8 @@
     identity: IClaimIdentity,
     known: IVersionedClaim,
   ): Promise<IClaimResolution> {
-    const leftMs = this.getTimeLeft(request);
-    return this.options.settler.readOutcome(request, identity, known, leftMs);
+    const remainingMs = this.getTimeLeft(request);
+    return this.options.settler.readOutcome(request, identity, known, remainingMs);
   }
 
   private settle(
@@ -103,22 +103,22 @@
     identity: IClaimIdentity,
     known: IVersionedClaim,
   ): Promise<IClaimResolution> {
-    const leftMs = this.getTimeLeft(request);
-    return this.options.settler.settleByTargets(request, identity, known, leftMs);
+    const remainingMs = this.getTimeLeft(request);
+    return this.options.settler.settleByTargets(request, identity, known, remainingMs);
   }
 
-  /** The process at the claimer's address never had the attempt, or nothing is there any more. */
+  /** True if the process at the claimer's address never held the attempt, or no longer exists. */
   private isClaimerTerminated(
     claim: IClaim,
-    said: IClaimLookUpResponse | undefined,
+    lookUpResponse: IClaimLookUpResponse | undefined,
     startMs: number,
   ): boolean {
-    if (said !== undefined) return true;
-    const silentMs = this.options.clock.getMonotonicTime() - startMs;
-    return silentMs >= this.options.unlistedRetryMs && !this.options.isLive(claim.claimer);
+    if (lookUpResponse !== undefined) return true;
+    const unresponsiveMs = this.options.clock.getMonotonicTime() - startMs;
+    return unresponsiveMs >= this.options.unlistedRetryMs && !this.options.isLive(claim.claimer);
   }
 
-  /** Undefined when the claimer stays silent. */
+  /** Returns undefined if the claimer does not respond. */
   private async fetchAttemptState(
     request: IRoutedRequest,
     identity: IClaimIdentity,
@@ -126,36 +126,37 @@
   ): Promise<IClaimLookUpResponse | undefined> {
     const waitMs = Math.min(MAX_LOOK_UP_MS, this.getTimeLeft(request));
     const { member, claimKey } = identity;
-    const question = { member, claimKey, attemptToken: claim.token, waitMs };
-    if (claim.claimer === this.options.nodeAddress) return this.options.handler.handle(question);
-    return this.fetchFromPeer(claim.claimer, question);
+    const lookUpRequest = { member, claimKey, attemptToken: claim.token, waitMs };
+    if (claim.claimer === this.options.nodeAddress)
+      return this.options.handler.handle(lookUpRequest);
+    return this.fetchFromPeer(claim.claimer, lookUpRequest);
   }
 
   private async fetchFromPeer(
     address: string,
-    question: IClaimLookUpRequest,
+    lookUpRequest: IClaimLookUpRequest,
   ): Promise<IClaimLookUpResponse | undefined> {
-    const { clock, peer, responseMarginMs: answerMarginMs } = this.options;
+    const { clock, peer, responseMarginMs } = this.options;
     const stop = new AbortController();
-    // A claimer that is paused, or hears us but is not heard, would hold the caller for ever.
-    const limitMs = question.waitMs + answerMarginMs;
+    // A claimer that is paused, or whose responses are lost, would block the caller indefinitely.
+    const limitMs = lookUpRequest.waitMs + responseMarginMs;
     const timer = clock.startTimer(limitMs, () => {
-      stop.abort(new Error('claimer is silent'));
+      stop.abort(new Error('claimer did not respond'));
     });
-    const silence = new Promise<undefined>((resolve) => {
+    const timeout = new Promise<undefined>((resolve) => {
       stop.signal.addEventListener('abort', () => {
         resolve(undefined);
       });
     });
     try {
-      const asked = peer.lookUp(address, question, stop.signal).catch(() => undefined);
-      return await Promise.race([asked, silence]);
+      const lookUp = peer.lookUp(address, lookUpRequest, stop.signal).catch(() => undefined);
+      return await Promise.race([lookUp, timeout]);
     } finally {
       void timer.dispose();
     }
   }
 
-  /** Undefined when the store gave no answer. */
+  /** Returns undefined if the store did not respond. */
   private async tryCheck(
     identity: IClaimIdentity,
     expectedVersion: number,
@@ -169,7 +170,7 @@
   }
 }
 
-/** A key whose request never ran is free, also for another request. */
+/** A key whose request never ran may also be reused for a different request. */
 function checkDigest(claim: IClaim, identity: IClaimIdentity): void {
   const isFree = claim.state === ClaimState.NotRun;
   if (!isFree && claim.digest !== identity.digest) throw makeKeyConflict();
--- a/packages/claims/src/guard/common/claimRunner.ts
+++ b/packages/claims/src/guard/common/claimRunner.ts
@@ -1,11 +1,11 @@
-/** Claims a key, dispatches under the claim, and records what came of it. */
+/** Claims a key, dispatches the request under the claim, and records the outcome. */
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { MuxError, RunState } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
 import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
 import type { AttemptRegistry, IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { Attempt, AttemptEnd } from '../../attempt/common/attemptRegistry.js';
-import type { IStoredResponse, ICompleteResponse } from '../../claim/common/responseCodec.js';
+import type { ICompleteResponse, IStoredResponse } from '../../claim/common/responseCodec.js';
 import { encodeResponse, encodeResponseHead } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
@@ -19,7 +19,7 @@
 import { makeCallerGone, makeDeadlinePassed, makeStoreUnavailable } from './claimErrors.js';
 import { makeAnswerNotKept, makeUnexpectedError } from './claimErrors.js';
 
-/** By day, so that a rule of the object store can remove what is older than claims are kept. */
+/** Object keys contain the day, so that a rule of the object store can remove objects past the retention. */
 const OBJECT_PREFIX = 'claim-answers/';
 const DAY_LENGTH = 'YYYY-MM-DD'.length;
 
@@ -35,26 +35,26 @@
   readonly nodeAddress: string;
   readonly metrics: ClaimMetrics;
   readonly makeToken: () => string;
-  /** Largest answer that is kept, in bytes. */
+  /** Maximum size of a recorded response, in bytes. */
   readonly maxResponseBytes: number;
-  /** Largest body that is recorded in the row itself, in bytes. */
+  /** Maximum size of a body recorded in the row instead of an object, in bytes. */
   readonly maxRowBytes: number;
-  /** Longest wait for a claim whose answer was lost, in ms. */
+  /** Maximum time to resolve a claim after the response to its write was lost, in ms. */
   readonly claimWaitMs: number;
-  /** Longest time that an answer is held back for its record, in ms. */
+  /** Maximum time that a response is delayed until it is recorded, in ms. */
   readonly recordWaitMs: number;
 }
 
-/** Either the outcome of this attempt, or the row that was found in its place. */
+/** The outcome of this attempt, or the row that prevented the claim. */
 export interface IRunResult {
   readonly outcome: IAttemptOutcome | undefined;
   readonly current: IVersionedClaim | undefined;
 }
 
-const EMPTY_ROW: IRunResult = { outcome: undefined, current: undefined };
+const EMPTY_RESULT: IRunResult = { outcome: undefined, current: undefined };
 
 /**
- * Runs attempts of this process. Throws a MuxError when the attempt ended without running.
+ * Runs attempts of this process. Throws a MuxError if an attempt ends without running.
  *
  * @example
  * const result = await runner.run(attempt, identity, 0, signal);
@@ -62,7 +62,7 @@
 export class ClaimRunner {
   constructor(private readonly options: IClaimRunnerOptions) {}
 
-  /** Claims the row at `expectedVersion` and, when that is won, dispatches. */
+  /** Claims the row at `expectedVersion` and dispatches the request if the claim is won. */
   async run(
     guarded: IGuardedAttempt,
     identity: IClaimIdentity,
@@ -83,13 +83,13 @@
         return this.runClaimed(guarded, attempt, claim, result.version, signal);
       case ClaimWriteResult.Lost:
         this.remove(attempt);
-        return { ...EMPTY_ROW, current: result.current };
+        return { ...EMPTY_RESULT, current: result.current };
       case ClaimWriteResult.Unavailable:
         this.remove(attempt);
         throw this.makeStoreUnavailable();
       case ClaimWriteResult.Unresolved:
-        // The claim may stand, or land later, although nobody will ever run it. Until the row
-        // says so, this process answers "not run" to whoever finds our token there.
+        // The claim may be in the row, now or later, although the request will never run. Until
+        // the release is written, this process reports "not run" to peers that find this token.
         await this.release(attempt, claim, expectedVersion, undefined, false);
         throw this.makeStoreUnavailable();
     }
@@ -113,23 +113,23 @@
     if (outcome.end === AttemptEnd.NotRun) {
       await this.release(attempt, claim, version, outcome.error, true);
       if (outcome.error !== undefined) throw outcome.error;
-      return { ...EMPTY_ROW, outcome };
+      return { ...EMPTY_RESULT, outcome };
     }
     attempt.end(outcome, true);
     await this.options.retrier.start(
       () => this.record(attempt, claim, version, outcome),
       this.options.recordWaitMs,
     );
-    return { ...EMPTY_ROW, outcome };
+    return { ...EMPTY_RESULT, outcome };
   }
 
-  /** Drops an attempt whose claim is not in the table and never will be. */
+  /** Removes an attempt whose claim is not in the table and never will be. */
   private remove(attempt: Attempt): void {
     attempt.end({ end: AttemptEnd.NotRun }, false);
     this.options.registry.remove(attempt);
   }
 
-  /** The process may have been paused between the claim's commit and now. */
+  /** Checks the deadline and the caller again: the process may have been paused since the claim's commit. */
   private findRefusalAfterClaim(
     guarded: IGuardedAttempt,
     signal: AbortSignal,
@@ -141,26 +141,26 @@
   }
 
   /**
-   * The caller's signal is not passed on: whoever hangs up cancels reads, never a request that
-   * may be running. Its answer is recorded for the caller's next try.
+   * Dispatches the request. The caller's signal is not passed on: a disconnected caller must not
+   * cancel a request that may be running. The response is recorded for the caller's next attempt.
    */
   private async dispatch(guarded: IGuardedAttempt, attempt: Attempt): Promise<IAttemptOutcome> {
     attempt.recordDispatch();
     try {
-      const answer = await guarded.run(new AbortController().signal);
-      return await this.readOutcome(answer);
+      const response = await guarded.run(new AbortController().signal);
+      return await this.readOutcome(response);
     } catch (error) {
       const failure = error instanceof MuxError ? error : makeUnexpectedError(error);
       return { end: ENDS[failure.runState], error: failure };
     }
   }
 
-  private async readOutcome(answer: IAnswer): Promise<IAttemptOutcome> {
-    const body = await readCompleteBody(answer.body, this.options.maxResponseBytes);
+  private async readOutcome(response: IAnswer): Promise<IAttemptOutcome> {
+    const body = await readCompleteBody(response.body, this.options.maxResponseBytes);
     if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeAnswerNotKept() };
-    // A target's own refusal is passed on as it is and leaves the key free.
-    const end = answer.runState === RunState.NotRun ? AttemptEnd.NotRun : AttemptEnd.Finished;
-    return { end, response: { ...answer, body } };
+    // A target's own refusal is returned unchanged, and the key is released.
+    const end = response.runState === RunState.NotRun ? AttemptEnd.NotRun : AttemptEnd.Finished;
+    return { end, response: { ...response, body } };
   }
 
   private async release(
@@ -172,7 +172,7 @@
   ): Promise<void> {
     attempt.end({ end: AttemptEnd.NotRun, ...(error === undefined ? {} : { error }) }, isConfirmed);
     const released = this.makeNextClaim(claim, ClaimState.NotRun);
-    // Not waited for: whoever asks meanwhile is told by this process that it was not run.
+    // Not awaited: until the release is written, this process reports "not run" to peers.
     await this.options.retrier.start(async () => {
       await this.options.store.writeOutcome(attempt.rowKey, expectedVersion, released);
       this.options.registry.remove(attempt);
@@ -197,14 +197,14 @@
 
   private async storeResponse(
     attempt: Attempt,
-    answer: ICompleteResponse,
+    response: ICompleteResponse,
   ): Promise<IStoredResponse> {
-    if (answer.body.length <= this.options.maxRowBytes) return encodeResponse(answer);
-    // The row names the object only after the object is whole, so no reader finds half of one.
+    if (response.body.length <= this.options.maxRowBytes) return encodeResponse(response);
+    // The row refers to the object only after it is complete, so no reader finds a partial one.
     const day = new Date(this.options.clock.getWallTime()).toISOString().slice(0, DAY_LENGTH);
     const objectKey = `${OBJECT_PREFIX}${day}/${attempt.rowKey}/${attempt.token}`;
-    await this.options.objects.put(objectKey, answer.body);
-    return encodeResponseHead(answer, objectKey);
+    await this.options.objects.put(objectKey, response.body);
+    return encodeResponseHead(response, objectKey);
   }
 
   private openAttempt(identity: IClaimIdentity): Attempt {
--- a/packages/claims/src/guard/common/claimSteps.test.ts
+++ b/packages/claims/src/guard/common/claimSteps.test.ts
@@ -1,4 +1,4 @@
-/** Kills and pauses one node between every two of its steps, and looks at what retries get. */
+/** Kills and pauses one node between every two of its steps and checks the results of retries. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -20,57 +20,61 @@
 }
 
 const SCENARIOS: readonly IScenario[] = [
-  { name: 'answered', request: {}, faults: [] },
-  { name: 'large answer', request: { behavior: TargetBehavior.RespondOversized }, faults: [] },
+  { name: 'response', request: {}, faults: [] },
+  { name: 'large response', request: { behavior: TargetBehavior.RespondOversized }, faults: [] },
   { name: 'shed', request: { behavior: TargetBehavior.Shed }, faults: [] },
-  { name: 'silent target', request: { behavior: TargetBehavior.ExecuteSilently }, faults: [] },
-  { name: 'claim answer lost', request: {}, faults: [TableFault.LoseResponse] },
   {
-    name: 'claim lands late',
+    name: 'target without response',
+    request: { behavior: TargetBehavior.ExecuteWithoutResponse },
+    faults: [],
+  },
+  { name: 'claim response lost', request: {}, faults: [TableFault.LoseResponse] },
+  {
+    name: 'claim committed late',
     request: {},
     faults: [TableFault.CommitLate, TableFault.LoseRequest],
   },
   {
-    name: 'release answer lost',
+    name: 'release response lost',
     request: { behavior: TargetBehavior.Shed },
     faults: [TableFault.None, TableFault.LoseResponse],
   },
   { name: 'outcome lost', request: {}, faults: [TableFault.None, TableFault.LoseRequest] },
   {
     name: 'look-up by targets',
-    request: { behavior: TargetBehavior.ExecuteSilently, lookUpPath: '/jobs/by-key/{key}' },
+    request: { behavior: TargetBehavior.ExecuteWithoutResponse, lookUpPath: '/jobs/by-key/{key}' },
     faults: [],
   },
 ];
 
-/** Runs a request through node a, which suffers `fault`, and the same key through b, again and again. */
+/** Runs a request through node a, which has the fault `fault`, and retries it repeatedly through node b. */
 async function runScenario(
   scenario: IScenario,
   fault: IProcessFault | undefined,
   firstRetryMs: number,
 ): Promise<number> {
-  const world = new ClaimTestFleet();
-  const gate = world.addNode('a', fault);
-  world.addNode('b');
+  const fleet = new ClaimTestFleet();
+  const gate = fleet.addNode('a', fault);
+  fleet.addNode('b');
   let calls = 0;
-  world.table.chooseFault = () => scenario.faults[calls++] ?? TableFault.None;
-  world.send('a', { ...scenario.request, deadlineMs: 1000 });
-  await world.clock.advanceBy(firstRetryMs);
+  fleet.table.chooseFault = () => scenario.faults[calls++] ?? TableFault.None;
+  fleet.send('a', { ...scenario.request, deadlineMs: 1000 });
+  await fleet.clock.advanceBy(firstRetryMs);
   for (let retries = 0; retries < 4; retries++) {
-    world.send('b', { ...scenario.request, behavior: TargetBehavior.Respond, deadlineMs: 500 });
-    await world.clock.advanceBy(RETRY_INTERVAL_MS);
+    fleet.send('b', { ...scenario.request, behavior: TargetBehavior.Respond, deadlineMs: 500 });
+    await fleet.clock.advanceBy(RETRY_INTERVAL_MS);
   }
-  await world.clock.advanceBy(PAUSE_MS);
-  if (gate.isDead) world.addNode('a');
-  await world.clock.advanceBy(END_MS);
+  await fleet.clock.advanceBy(PAUSE_MS);
+  if (gate.isDead) fleet.addNode('a');
+  await fleet.clock.advanceBy(END_MS);
   const { lookUpPath } = scenario.request;
-  const last = await world.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
-  world.assertInvariants();
+  const last = await fleet.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
+  fleet.assertInvariants();
   assertFinalResult(last);
   return gate.getStepCount();
 }
 
-/** With everything mended, no key may be stuck between states. */
+/** After all faults have ended, no key may remain in an intermediate state. */
 function assertFinalResult(call: ReturnType<ClaimTestFleet['send']>): void {
   assert.ok(call.result);
   if (call.result.status === 'fulfilled') return;
@@ -80,9 +84,9 @@
 
 for (const scenario of SCENARIOS) {
   test(`killed or paused between every two steps: ${scenario.name}`, async () => {
-    // Symptom: a booking ran twice, or a refusal said "not run" of one that ran. Sequence: the
-    // claimer died or stood still at some step, and retries went through another node. Cause:
-    // a right to dispatch that lapses with time, or that is passed on without proof.
+    // Guards against a key that runs twice, or that ran and is refused as not run: the claimer is
+    // killed or paused at some step while retries go through another node. The right to dispatch
+    // must neither expire nor be transferred without proof that the claimer did not dispatch.
     const steps = await runScenario(scenario, undefined, 0);
     assert.ok(steps > 5);
     await fc.assert(
@@ -98,25 +102,24 @@
   });
 }
 
-test('a claimer that is paused and listed as gone keeps its right to dispatch', async () => {
-  // Symptom: a booking ran twice. Sequence: the claimer stood still just before it dispatched,
-  // long enough to be listed as gone; a retry asked the targets, who truthfully knew nothing of
-  // the key, and ran it; the claimer went on. Cause: "never ran" was believed of a claim whose
-  // claimer had not given it up.
+test('a paused claimer that is no longer listed keeps its right to dispatch', async () => {
+  // Guards against a key that runs twice: the claimer is paused just before it dispatches, for long
+  // enough to be unlisted; the targets correctly report to a retry that the key did not run, the
+  // retry runs it, and the claimer resumes. "Not run" must not be accepted for a running claim.
   const steps = await runPausedAndUnlisted(0);
   for (let step = 1; step <= steps; step++) await runPausedAndUnlisted(step);
 });
 
 async function runPausedAndUnlisted(step: number): Promise<number> {
-  const world = new ClaimTestFleet();
-  const gate = world.addNode('a', { step, pauseMs: 100_000 });
-  world.addNode('b', undefined, { isLive: () => false });
+  const fleet = new ClaimTestFleet();
+  const gate = fleet.addNode('a', { step, pauseMs: 100_000 });
+  fleet.addNode('b', undefined, { isLive: () => false });
   const lookUpPath = '/jobs/by-key/{key}';
-  world.send('a', { lookUpPath });
-  await world.clock.advanceBy(70_000);
-  await world.execute('b', { lookUpPath });
-  await world.clock.advanceBy(END_MS);
-  await world.execute('b', { lookUpPath });
-  world.assertInvariants();
+  fleet.send('a', { lookUpPath });
+  await fleet.clock.advanceBy(70_000);
+  await fleet.execute('b', { lookUpPath });
+  await fleet.clock.advanceBy(END_MS);
+  await fleet.execute('b', { lookUpPath });
+  fleet.assertInvariants();
   return gate.getStepCount();
 }
--- a/packages/claims/src/guard/common/completeBody.ts
+++ b/packages/claims/src/guard/common/completeBody.ts
@@ -1,13 +1,13 @@
-/** Holds an answer until it is whole. */
+/** Buffers a response body until it is complete. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { AnswerBody } from '@parsleymux/routing';
 
 /**
- * The whole body, or undefined when it is larger than `maxBytes`. Rejects with a MuxError when
- * it breaks off: the target has run the request or part of it, and nobody knows which.
+ * Reads the complete body, or returns undefined if it is larger than `maxBytes`. Rejects with a
+ * MuxError if the body is truncated: the target may have run the request in full or in part.
  *
  * @example
- * const body = await readWholeBody(answer.body, 1 << 20);
+ * const body = await readCompleteBody(response.body, 1 << 20);
  */
 export async function readCompleteBody(
   body: AnswerBody,
--- a/packages/claims/src/guard/common/outcomeSettler.ts
+++ b/packages/claims/src/guard/common/outcomeSettler.ts
@@ -1,8 +1,8 @@
-/** Reads recorded outcomes, and asks the targets where the fleet itself does not know. */
+/** Reads recorded outcomes, and queries the targets if the fleet has no outcome. */
 import type { Clock } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
 import type { IRoutedRequest } from '@parsleymux/routing';
-import type { IStoredResponse, ICompleteResponse } from '../../claim/common/responseCodec.js';
+import type { ICompleteResponse, IStoredResponse } from '../../claim/common/responseCodec.js';
 import { decodeResponse, encodeResponse, markReplayed } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
@@ -14,9 +14,9 @@
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import {
   makeAnswerNotKept,
-  makeResponseUnavailable,
   makeOutcomeSettled,
   makeOutcomeUnknown,
+  makeResponseUnavailable,
 } from './claimErrors.js';
 
 /** Options of an {@link OutcomeSettler}. All times are in ms. */
@@ -26,13 +26,13 @@
   readonly lookUp: OutcomeLookUp;
   readonly retrier: BackgroundRetrier;
   readonly clock: Clock;
-  /** Time after which a target's "never ran" is believed of an unknown outcome. */
+  /** Minimum age of an unknown outcome at which the targets' "not run" is accepted. */
   readonly quietPeriodMs: number;
-  /** Longest time that an answer is held back for its record. */
+  /** Maximum time that a response is delayed until it is recorded. */
   readonly recordWaitMs: number;
 }
 
-/** What is to be done about a claim: give the answer, or claim the row at its version. */
+/** Resolution of a claim: a response to replay, or the version at which the row may be claimed. */
 export interface IClaimResolution {
   readonly response: ICompleteResponse | undefined;
   /** Version at which the row may be claimed again. */
@@ -40,15 +40,15 @@
 }
 
 /**
- * Settles claims that no living claimer speaks for.
+ * Settles claims that have an outcome or whose claimer has terminated.
  *
  * @example
- * const result = await settler.readOutcome(request, identity, known, timeLeftMs);
+ * const resolution = await settler.readOutcome(request, identity, known, timeLeftMs);
  */
 export class OutcomeSettler {
   constructor(private readonly options: IOutcomeSettlerOptions) {}
 
-  /** What a row that is no longer running says. Throws a MuxError when there is no answer. */
+  /** Resolves a row that is no longer running. Throws a MuxError if it has no response. */
   async readOutcome(
     request: IRoutedRequest,
     identity: IClaimIdentity,
@@ -65,9 +65,10 @@
   }
 
   /**
-   * Nobody in the fleet knows the outcome. The targets' "it ran" settles it. Their "it never ran"
-   * is believed only of a dispatch that its own claimer gave up long ago: a claimer that is
-   * merely paused may dispatch yet, and a request that was sent may still be on its way.
+   * Queries the targets for an outcome that is unknown to the fleet. A target's "ran" settles the
+   * claim. "Not run" is accepted only once the quiet period has passed since the claimer itself
+   * recorded the outcome as unknown: a claimer that is merely paused may still dispatch, and a
+   * request that was sent may still be in flight.
    */
   async settleByTargets(
     request: IRoutedRequest,
@@ -113,13 +114,13 @@
   private async recordResponse(
     identity: IClaimIdentity,
     known: IVersionedClaim,
-    answer: ICompleteResponse,
+    response: ICompleteResponse,
   ): Promise<void> {
     const claim: IClaim = {
       ...known.claim,
       state: ClaimState.Finished,
       changedAtMs: this.options.clock.getWallTime(),
-      answer: encodeResponse(answer),
+      answer: encodeResponse(response),
     };
     const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
     await this.options.retrier.start(async () => {
@@ -129,20 +130,20 @@
 }
 
 /**
- * The claim is settled by `answer`.
+ * Creates a resolution that replays `response`.
  *
  * @example
- * return makeAnswered(decodeAnswerBytes(said.answer));
+ * return makeReplayable(decodeResponseBytes(lookUpResponse.answer));
  */
-export function makeReplayable(answer: ICompleteResponse): IClaimResolution {
-  return { response: answer, claimableVersion: 0 };
+export function makeReplayable(response: ICompleteResponse): IClaimResolution {
+  return { response, claimableVersion: 0 };
 }
 
 /**
- * The row provably stands for no execution and may be claimed at `version`.
+ * Creates a resolution for a row that provably has no execution and may be claimed at `version`.
  *
  * @example
- * if (said?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
+ * if (lookUpResponse?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
  */
 export function makeClaimable(version: number): IClaimResolution {
   return { response: undefined, claimableVersion: version };
--- a/packages/claims/src/metrics/common/claimMetrics.ts
+++ b/packages/claims/src/metrics/common/claimMetrics.ts
@@ -1,14 +1,14 @@
-/** Counters of claims. Symptoms that operators act on are named in docs/operations/claims.md. */
+/** Metrics of claims. docs/operations/claims.md describes the symptoms that operators act on. */
 import { Counter, Gauge, Registry } from 'prom-client';
 
-/** What is read when metrics are collected. */
+/** Values that are read when metrics are collected. */
 export interface IClaimGauges {
   readonly getPendingRecords: () => number;
   readonly getTransactions: () => number;
   readonly getRows: () => number;
 }
 
-/** Counters by member. */
+/** Counters of claims, by member. */
 export class ClaimMetrics {
   readonly claims: Counter<'member' | 'verdict'>;
   readonly ends: Counter<'member' | 'end'>;
@@ -18,29 +18,29 @@
     const registers = [registry];
     this.claims = new Counter({
       name: 'parsleymux_claims_total',
-      help: 'Attempts to claim an idempotency key, by verdict of the store.',
+      help: 'Attempts to claim an idempotency key, by result of the write.',
       labelNames: ['member', 'verdict'],
       registers,
     });
     this.ends = new Counter({
       name: 'parsleymux_claim_ends_total',
-      help: 'Ends of claimed requests: finished, not-run, ran-not-kept or unknown.',
+      help: 'Claimed requests by how they ended: finished, not-run, ran-not-kept or unknown.',
       labelNames: ['member', 'end'],
       registers,
     });
     this.replays = new Counter({
       name: 'parsleymux_claim_replays_total',
-      help: 'Recorded answers given to retries.',
+      help: 'Recorded responses replayed to retries.',
       labelNames: ['member'],
       registers,
     });
   }
 
-  /** Adds the metrics that are read from a guard when they are collected. */
+  /** Adds the gauges whose values are read from a guard at collection. */
   addGauges(gauges: IClaimGauges): void {
     this.addGauge(
       'parsleymux_claim_records_pending',
-      'Outcomes and releases that the store does not have yet.',
+      'Outcomes and releases that are not yet written to the store.',
       gauges.getPendingRecords,
     );
     this.addGauge(
@@ -50,7 +50,7 @@
     );
     this.addGauge(
       'parsleymux_claim_rows_total',
-      'Row changes sent in those transactions.',
+      'Row changes sent in the transactions for claims.',
       gauges.getRows,
     );
   }
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.test.ts
@@ -10,17 +10,24 @@
 class FakeTransport extends TargetTransport {
   readonly paths: string[] = [];
 
-  constructor(private readonly answers: Readonly<Record<string, Partial<ITargetAnswer>>>) {
+  constructor(private readonly responses: Readonly<Record<string, Partial<ITargetAnswer>>>) {
     super();
   }
 
   override send(request: ITargetRequest): Promise<ITargetAnswer> {
     this.paths.push(request.path);
-    const answer = this.answers[request.target];
-    if (answer === undefined) return Promise.reject(new Error('silent'));
+    const response = this.responses[request.target];
+    if (response === undefined) return Promise.reject(new Error('no response'));
     const body = Buffer.from('booked');
-    const whole = { status: 200, headers: [], body, notRun: false, draining: false, latencyMs: 1 };
-    return Promise.resolve({ ...whole, ...answer });
+    const defaults = {
+      status: 200,
+      headers: [],
+      body,
+      notRun: false,
+      draining: false,
+      latencyMs: 1,
+    };
+    return Promise.resolve({ ...defaults, ...response });
   }
 
   override retireConnections(): void {
@@ -37,33 +44,40 @@
 }
 
 async function lookUp(
-  answers: Readonly<Record<string, Partial<ITargetAnswer>>>,
+  responses: Readonly<Record<string, Partial<ITargetAnswer>>>,
   targets: readonly string[] = ['x', 'y', 'z'],
 ) {
-  const transport = new FakeTransport(answers);
-  const finder = new TargetOutcomeLookUp({ transport, getTargets: () => targets });
+  const transport = new FakeTransport(responses);
+  const outcomeLookUp = new TargetOutcomeLookUp({ transport, getTargets: () => targets });
   const route = create(RouteSchema, { lookUpPath: '/jobs/{key}', service: 'booking' });
   const request = { member: 'north', route, idempotencyKey: 'a/b' } as unknown as IRoutedRequest;
-  const { result } = await finder.lookUp(request, new AbortController().signal);
+  const { result } = await outcomeLookUp.lookUp(request, new AbortController().signal);
   return { result, paths: transport.paths };
 }
 
-test('one target that executed settles it, whatever the others say', async () => {
+test('the key ran if one target executed it, whatever the others report', async () => {
   const lookUpResult = await lookUp({ x: { status: 404 }, z: { status: 200 } });
   assert.deepEqual(lookUpResult, { result: LookUpResult.Ran, paths: Array(3).fill('/jobs/a%2Fb') });
 });
 
-test('"never ran" takes the word of every target', async () => {
-  const no = { status: 404 };
-  assert.equal((await lookUp({ x: no, y: no, z: no })).result, LookUpResult.NotRun);
-  assert.equal((await lookUp({ x: no, y: no })).result, LookUpResult.NoResponse, 'one is silent');
+test('the key did not run only if every target reports so', async () => {
+  const notFound = { status: 404 };
   assert.equal(
-    (await lookUp({ x: no, y: no, z: { status: 500 } })).result,
+    (await lookUp({ x: notFound, y: notFound, z: notFound })).result,
+    LookUpResult.NotRun,
+  );
+  assert.equal(
+    (await lookUp({ x: notFound, y: notFound })).result,
+    LookUpResult.NoResponse,
+    'one does not respond',
+  );
+  assert.equal(
+    (await lookUp({ x: notFound, y: notFound, z: { status: 500 } })).result,
     LookUpResult.NoResponse,
   );
   const shed = { status: 404, notRun: true };
   assert.equal(
-    (await lookUp({ x: no, y: no, z: shed })).result,
+    (await lookUp({ x: notFound, y: notFound, z: shed })).result,
     LookUpResult.NoResponse,
     'one sheds',
   );
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
@@ -1,4 +1,4 @@
-/** Sends a route's look-up request to the targets of its service. */
+/** Sends the look-up request of a route to the targets of its service. */
 import { ResultCode, RunState } from '@parsleymux/base';
 import type { IRoutedRequest, ITargetAnswer, TargetTransport } from '@parsleymux/routing';
 import { readCompleteBody } from '../../guard/common/completeBody.js';
@@ -14,17 +14,17 @@
 /** Options of a {@link TargetOutcomeLookUp}. */
 export interface ITargetOutcomeLookUpOptions {
   readonly transport: TargetTransport;
-  /** Addresses of all targets of a service, also of those that get no work now. */
+  /** Addresses of all targets of a service, including those that currently receive no requests. */
   readonly getTargets: (member: string, service: string) => readonly string[];
-  /** Longest wait for one target, in ms. Default 1000. */
+  /** Timeout for each target, in ms. Default 1000. */
   readonly timeoutMs?: number;
-  /** Largest answer that is taken, in bytes. Default 1 MiB. */
-  readonly maxAnswerBytes?: number;
+  /** Maximum size of an accepted response body, in bytes. Default 1 MiB. */
+  readonly maxResponseBytes?: number;
 }
 
 /**
- * Asks one target after the other until one has executed the key. "Never ran" takes the word of
- * every target: each may know only of its own executions.
+ * Queries the targets one after the other until one reports that it executed the key. The result
+ * is "not run" only if every target reports it, because a target may record only its own executions.
  *
  * @example
  * const lookUp = new TargetOutcomeLookUp({ transport, getTargets });
@@ -33,14 +33,14 @@
   private readonly transport: TargetTransport;
   private readonly getTargets: (member: string, service: string) => readonly string[];
   private readonly timeoutMs: number;
-  private readonly maxAnswerBytes: number;
+  private readonly maxResponseBytes: number;
 
   constructor(options: ITargetOutcomeLookUpOptions) {
     super();
     this.transport = options.transport;
     this.getTargets = options.getTargets;
     this.timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-    this.maxAnswerBytes = options.maxAnswerBytes ?? DEFAULT_MAX_RESPONSE_BYTES;
+    this.maxResponseBytes = options.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES;
   }
 
   override async lookUp(request: IRoutedRequest, signal: AbortSignal): Promise<ITargetOutcome> {
@@ -64,7 +64,7 @@
     const { member, route } = request;
     const key = encodeURIComponent(request.idempotencyKey ?? '');
     try {
-      const answer = await this.transport.send(
+      const response = await this.transport.send(
         {
           target,
           member,
@@ -74,22 +74,22 @@
           body: new Uint8Array(),
           timeoutMs: this.timeoutMs,
         },
-        { signal, maxAnswerBytes: this.maxAnswerBytes, freshConnection: true },
+        { signal, maxAnswerBytes: this.maxResponseBytes, freshConnection: true },
       );
-      return await this.readResult(answer);
+      return await this.readResult(response);
     } catch {
       return { result: LookUpResult.NoResponse };
     }
   }
 
-  private async readResult(answer: ITargetAnswer): Promise<ITargetOutcome> {
-    const { status, headers, notRun } = answer;
-    const body = await readCompleteBody(answer.body, this.maxAnswerBytes);
-    // A target that sheds the look-up itself has said nothing about the key.
+  private async readResult(response: ITargetAnswer): Promise<ITargetOutcome> {
+    const { status, headers, notRun } = response;
+    const body = await readCompleteBody(response.body, this.maxResponseBytes);
+    // A target that sheds the look-up itself reports nothing about the key.
     if (notRun || body === undefined) return { result: LookUpResult.NoResponse };
     if (status === NOT_FOUND) return { result: LookUpResult.NotRun };
     if (status !== OK) return { result: LookUpResult.NoResponse };
-    const whole = { status, headers, body, code: ResultCode.Ok, runState: RunState.Ran };
-    return { result: LookUpResult.Ran, response: whole };
+    const completeResponse = { status, headers, body, code: ResultCode.Ok, runState: RunState.Ran };
+    return { result: LookUpResult.Ran, response: completeResponse };
   }
 }
--- a/packages/claims/src/peer/common/claimLookUpHandler.ts
+++ b/packages/claims/src/peer/common/claimLookUpHandler.ts
@@ -1,4 +1,4 @@
-/** Answers the questions of other nodes about attempts of this process. */
+/** Handles requests of other nodes for the state of attempts of this process. */
 import type { Clock } from '@parsleymux/base';
 import { ClaimLookUp } from '@parsleymux/schema';
 import type { AttemptRegistry, IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
@@ -21,7 +21,7 @@
  * The server side of ControlService.LookUpClaim.
  *
  * @example
- * const answer = await handler.handle({ member, claimKey, attemptToken, waitMs: 500 });
+ * const response = await handler.handle({ member, claimKey, attemptToken, waitMs: 500 });
  */
 export class ClaimLookUpHandler {
   private readonly registry: AttemptRegistry;
@@ -32,13 +32,13 @@
     this.clock = options.clock;
   }
 
-  /** Waits for the attempt's end, at most `waitMs`. */
-  async handle(question: IClaimLookUpRequest): Promise<IClaimLookUpResponse> {
-    const attempt = this.registry.find(question.attemptToken);
-    const rowKey = formatClaimRowKey(question.member, question.claimKey);
-    // The row must match too: a token alone must not open another member's answer.
+  /** Returns the state of the attempt, after waiting up to `waitMs` for its end. */
+  async handle(request: IClaimLookUpRequest): Promise<IClaimLookUpResponse> {
+    const attempt = this.registry.find(request.attemptToken);
+    const rowKey = formatClaimRowKey(request.member, request.claimKey);
+    // The row must match too: a token alone must not give access to another member's response.
     if (attempt?.rowKey !== rowKey) return { state: ClaimLookUp.UNKNOWN, answer: EMPTY_RESPONSE };
-    const waitMs = Math.min(question.waitMs, MAX_WAIT_MS);
+    const waitMs = Math.min(request.waitMs, MAX_WAIT_MS);
     const outcome = await waitWithTimeout(this.clock, attempt.ended, waitMs);
     if (outcome === undefined) return { state: ClaimLookUp.RUNNING, answer: EMPTY_RESPONSE };
     return describeOutcome(outcome);
--- a/packages/claims/src/peer/common/claimPeer.ts
+++ b/packages/claims/src/peer/common/claimPeer.ts
@@ -1,28 +1,28 @@
-/** Asks the node that holds a claim what became of it. */
+/** Looks up the state of a claim at the node that holds it. */
 import type { ClaimLookUp } from '@parsleymux/schema';
 
-/** One question to a claimer. */
+/** A look-up request to a claimer. */
 export interface IClaimLookUpRequest {
   readonly member: string;
   readonly claimKey: string;
   readonly attemptToken: string;
-  /** Longest time that the asker will wait, in ms. */
+  /** Maximum time that the requesting node waits, in ms. */
   readonly waitMs: number;
 }
 
-/** What the claimer said. */
+/** A claimer's response to a look-up. */
 export interface IClaimLookUpResponse {
   readonly state: ClaimLookUp;
-  /** The packed answer, when finished. */
+  /** The encoded response of the request when finished, otherwise empty. */
   readonly answer: Uint8Array;
 }
 
-/** The way to other nodes. */
+/** Sends look-up requests to other nodes. */
 export abstract class ClaimPeer {
-  /** Rejects when the node at `address` gave no answer, for whatever reason. */
+  /** Rejects if the node at `address` sent no response, for any reason. */
   abstract lookUp(
     address: string,
-    question: IClaimLookUpRequest,
+    request: IClaimLookUpRequest,
     signal: AbortSignal,
   ): Promise<IClaimLookUpResponse>;
 }
--- a/packages/claims/src/store/common/claimStore.ts
+++ b/packages/claims/src/store/common/claimStore.ts
@@ -1,4 +1,4 @@
-/** Claims in the platform's table, with every lost answer settled by asking again. */
+/** Reads and writes claims in the platform's table, and resolves lost responses by repeating the request. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { PlatformError, PlatformFailure } from '@parsleymux/store';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
@@ -7,41 +7,41 @@
 
 const RETRY_MS = 20;
 
-/** What an attempt to claim came to. */
+/** Result of an attempt to claim a row. */
 export const ClaimWriteResult = {
   Won: 'won',
-  /** The row is not as expected; nothing of ours is in it or ever will be. */
+  /** The row is not as expected; this claim was not written and never will be. */
   Lost: 'lost',
-  /** Provably not written. */
+  /** The store is unavailable; this claim was provably not written. */
   Unavailable: 'unavailable',
-  /** It may be written, now or later. */
+  /** The claim may have been written, or may still be written later. */
   Unresolved: 'unresolved',
 } as const;
 
 export type ClaimWriteResult = (typeof ClaimWriteResult)[keyof typeof ClaimWriteResult];
 
-/** The verdict, with the version won or the row that stands in the way. */
+/** Result of a claim, with the version won or the conflicting row. */
 export interface IClaimResult {
   readonly writeResult: ClaimWriteResult;
-  /** Version of the row when won. */
+  /** Version of the row if won, otherwise 0. */
   readonly version: number;
-  /** The row when lost; undefined when it has gone. */
+  /** The current row if lost; undefined if it was removed. */
   readonly current: IVersionedClaim | undefined;
 }
 
-/** The state of a row against what it was expected to be. */
+/** Result of comparing a row with its expected version. */
 export interface ICheckedRow {
   readonly isUnchanged: boolean;
-  /** The row when changed; undefined when it has gone. */
+  /** The current row if changed; undefined if it was removed. */
   readonly current: IVersionedClaim | undefined;
 }
 
-/** What became of writing an outcome. */
+/** Result of writing an outcome. */
 export const OutcomeWriteResult = {
   Written: 'written',
-  /** The row holds an outcome already, or has expired. */
+  /** The row already contains an outcome, or was removed. */
   Settled: 'settled',
-  /** The row holds another attempt. */
+  /** The row contains another attempt. */
   Overtaken: 'overtaken',
 } as const;
 
@@ -72,13 +72,13 @@
   }
 
   /**
-   * Checks whether a row still has `expectedVersion`; 0 means no row. It is a transaction
-   * without writes: a read may be served stale, and would then deny a key that has run.
+   * Checks whether a row still has `expectedVersion`; 0 means no row. This is a transaction
+   * without writes, because a stale read could miss the row of a key that has run.
    * Rejects with a PlatformError.
    */
   async check(rowKey: string, expectedVersion: number): Promise<ICheckedRow> {
     if (this.committer.isStoreUnavailable()) {
-      throw new PlatformError(PlatformFailure.NotSent, 'the store has fallen silent');
+      throw new PlatformError(PlatformFailure.NotSent, 'the store is not responding');
     }
     const change = { key: rowKey, expectedVersion, value: undefined };
     const { committed, row } = await this.committer.commit(change);
@@ -87,10 +87,10 @@
   }
 
   /**
-   * Writes `claim` if the row has `expectedVersion`; 0 means no row. An answer that is lost
-   * after the write is settled by sending the same write again: if the first took effect, the
-   * second finds our own token in the row. A read would not do, for a write that is late can
-   * land after the read. Gives up at the monotonic instant `untilMs`.
+   * Writes `claim` if the row has `expectedVersion`; 0 means no row. If the response to the write
+   * is lost, the same write is sent again: if the first was committed, the second finds this
+   * claim's token in the row. A read would not suffice, because a delayed write can be committed
+   * after it. Gives up at the monotonic time `untilMs`.
    */
   async claim(
     rowKey: string,
@@ -100,7 +100,7 @@
   ): Promise<IClaimResult> {
     if (this.committer.isStoreUnavailable()) return makeInconclusive(ClaimWriteResult.Unavailable);
     const change = { key: rowKey, expectedVersion, value: encodeClaim(claim) };
-    let mayBeWritten = false;
+    let isPossiblyWritten = false;
     for (;;) {
       try {
         const result = await this.committer.commit(change);
@@ -109,9 +109,9 @@
         return isHeldBy(current, claim.token) ? makeWon(current.version) : makeLost(current);
       } catch (error) {
         if (!(error instanceof PlatformError)) throw error;
-        mayBeWritten ||= error.failure === PlatformFailure.Unknown;
+        isPossiblyWritten ||= error.failure === PlatformFailure.Unknown;
       }
-      if (!mayBeWritten) return makeInconclusive(ClaimWriteResult.Unavailable);
+      if (!isPossiblyWritten) return makeInconclusive(ClaimWriteResult.Unavailable);
       if (this.clock.getMonotonicTime() + RETRY_MS >= untilMs) {
         return makeInconclusive(ClaimWriteResult.Unresolved);
       }
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Writes the outcome of the attempt `claim.token`, whatever version its row has come to.
-   * Rejects with a PlatformError when the platform gave no answer; calling it again is safe.
+   * Writes the outcome of the attempt `claim.token`, whatever the current version of its row.
+   * Rejects with a PlatformError if the platform did not respond; calling it again is safe.
    */
   async writeOutcome(
     rowKey: string,
@@ -146,7 +146,7 @@
   return current?.claim.token === token && current.claim.state === ClaimState.Running;
 }
 
-/** A proven outcome replaces what was open, and also an operator's word that it contradicts. */
+/** A proven outcome replaces an unsettled state, and also an operator's decision that it contradicts. */
 function isReplaceable(current: IClaim, next: IClaim): boolean {
   if (current.state === ClaimState.Running) return true;
   if (next.state === ClaimState.NotRun || next.state === ClaimState.Unknown) return false;
--- a/packages/claims/src/store/common/groupCommitter.test.ts
+++ b/packages/claims/src/store/common/groupCommitter.test.ts
@@ -33,7 +33,7 @@
   return results;
 }
 
-test('changes that come together are one transaction', async () => {
+test('concurrent changes are committed in one transaction', async () => {
   const fixture = makeFixture();
   const results = await commitAll(fixture, [
     ['x', 0],
@@ -47,10 +47,9 @@
   assert.equal(fixture.table.transactions, 1);
 });
 
-test('a condition that fails does not fail the others of its group', async () => {
-  // Symptom: a burst of bookings was refused. Sequence: one of them was a retry whose row
-  // existed; the transaction that carried all of them failed. Cause: its conditions stand or
-  // fall together.
+test('a failed condition does not fail the other changes of its group', async () => {
+  // Guards against one retry failing a burst of requests: its row exists already, and the
+  // transaction that contains all of them is committed only if every condition holds.
   const fixture = makeFixture();
   await commitAll(fixture, [['y', 0]]);
   const results = await commitAll(fixture, [
@@ -65,7 +64,7 @@
   assert.equal(results[1]?.row?.value, 'value 0');
 });
 
-test('a row that is expected and missing does not fail the others of its group', async () => {
+test('a missing row does not fail the other changes of its group', async () => {
   const fixture = makeFixture();
   const results = await commitAll(fixture, [
     ['x', 0],
@@ -79,10 +78,9 @@
   ]);
 });
 
-test('of two claims of one row in one group only one wins', async () => {
-  // Symptom: a key ran twice. Sequence: two requests with it arrived within one interval and
-  // shared a transaction; both conditions held, both were told that they won. Cause: the
-  // conditions of a transaction are checked before any of its writes.
+test('only one of two claims of the same row wins when they arrive together', async () => {
+  // Guards against a key that runs twice: two requests with it arrive within one interval, share
+  // a transaction, and both win, because conditions are checked before any of the writes.
   const fixture = makeFixture();
   const results = await commitAll(fixture, [
     ['x', 0],
@@ -95,7 +93,7 @@
   );
 });
 
-test('a lost answer is an unknown outcome for every change of the group', async () => {
+test('a lost response is an unknown outcome for every change of the group', async () => {
   const fixture = makeFixture();
   fixture.table.chooseFault = () => TableFault.LoseResponse;
   const commits = ['x', 'y'].map((key) =>
@@ -110,7 +108,7 @@
   }
 });
 
-test('while the store is slow, groups grow instead of calls', async () => {
+test('while the store is slow, groups grow instead of the number of transactions', async () => {
   const clock = new ManualClock();
   const table = new FakeTable({ clock, latencyMs: 1000 });
   const committer = new GroupCommitter({ table, clock, groupMs: GROUP_MS, maxInFlight: 2 });
--- a/packages/claims/src/store/common/groupCommitter.ts
+++ b/packages/claims/src/store/common/groupCommitter.ts
@@ -1,6 +1,7 @@
 /**
- * Commits the row changes of concurrent requests together: the table carries several hundred
- * writes a second, which single claims would exceed long before the nodes are busy.
+ * Commits the row changes of concurrent requests in common transactions. The table supports
+ * several hundred writes per second, a rate that individual claims would exceed long before the
+ * nodes are fully loaded.
  */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import { SeededRandom } from '@parsleymux/base';
@@ -13,27 +14,27 @@
 import { PlatformError, PlatformFailure } from '@parsleymux/store';
 import { StoreHealth } from './storeHealth.js';
 
-/** Two ms: docs/decisions/40-at-most-once.md has the measurements. */
+/** Delay of a change in ms; docs/decisions/40-at-most-once.md has the measurements. */
 export const DEFAULT_GROUP_MS = 2;
 const DEFAULT_MAX_ROWS = 64;
 const DEFAULT_MAX_IN_FLIGHT = 4;
-/** A key that never has a row; a condition on it asks the store without touching anything. */
+/** A key that never has a row; a condition on it probes the store without changing anything. */
 const PROBE_KEY = 'claim/';
 const JITTER_SEED = 1;
 
-/** A conditional write of one row, or only its condition. */
+/** A conditional write of one row, or a check of its version alone. */
 export interface IRowChange {
   readonly key: string;
-  /** Version that the row must have; 0 when it must not exist. */
+  /** Version that the row must have; 0 if it must not exist. */
   readonly expectedVersion: number;
-  /** Null deletes the row; undefined writes nothing and only checks the version. */
+  /** New value; null deletes the row, undefined only checks the version. */
   readonly value: string | null | undefined;
 }
 
-/** What became of a change. */
+/** Result of a change. */
 export interface IRowResult {
   readonly committed: boolean;
-  /** When not committed: the row as it is; undefined when there is none. */
+  /** The current row if not committed; undefined if there is none. */
   readonly row: ITableRow | undefined;
 }
 
@@ -41,13 +42,13 @@
 export interface IGroupCommitterOptions {
   readonly table: TableService;
   readonly clock: Clock;
-  /** Spreads probes of a silent store. Default: a fixed sequence. */
+  /** Jitters probes of an unresponsive store. Default: a fixed sequence. */
   readonly random?: RandomSource;
-  /** Time that a change waits for others, in ms. Default 2. */
+  /** Time that a change waits for others to join its transaction, in ms. Default 2. */
   readonly groupMs?: number;
-  /** Most rows in one transaction. Default 64. */
+  /** Maximum number of rows in a transaction. Default 64. */
   readonly maxRows?: number;
-  /** Most transactions in flight; beyond it groups grow instead. Default 4. */
+  /** Maximum number of transactions in flight; at this limit groups grow instead. Default 4. */
   readonly maxInFlight?: number;
 }
 
@@ -60,7 +61,7 @@
 const COMMITTED: IRowResult = { committed: true, row: undefined };
 
 /**
- * Groups row changes into transactions. Each change succeeds or fails by its own condition.
+ * Groups row changes into transactions. Each change is committed or rejected by its own condition alone.
  *
  * @example
  * const result = await committer.commit({ key, expectedVersion: 0, value });
@@ -91,12 +92,12 @@
     });
   }
 
-  /** Whether the store has fallen silent, so that a new claim had better not be sent. */
+  /** Whether the store is not responding, in which case no new claim should be sent. */
   isStoreUnavailable(): boolean {
     return this.health.isUnavailable();
   }
 
-  /** Rejects with a PlatformError when the platform gave no answer. */
+  /** Commits a change with others. Rejects with a PlatformError if the platform did not respond. */
   commit(change: IRowChange): Promise<IRowResult> {
     return new Promise((resolve, reject) => {
       this.waiting.push({ change, resolve, reject });
@@ -104,12 +105,12 @@
     });
   }
 
-  /** Transactions sent so far. */
+  /** Number of transactions sent so far. */
   getTransactionCount(): number {
     return this.transactions;
   }
 
-  /** Row changes sent so far, counting each sending. */
+  /** Number of row changes sent so far, including repeated ones. */
   getRowCount(): number {
     return this.rows;
   }
@@ -123,18 +124,18 @@
   }
 
   /**
-   * Two changes of one row must not share a transaction: both conditions would hold, both
-   * requests would be told that they won, and the key would run twice.
+   * Takes the next group. Two changes of one row must not share a transaction: both conditions
+   * would hold, both requests would win the claim, and the key would run twice.
    */
   private takeGroup(): readonly IPendingChange[] {
     const group = new Map<string, IPendingChange>();
-    const left: IPendingChange[] = [];
+    const remaining: IPendingChange[] = [];
     for (const pending of this.waiting) {
       const fits = group.size < this.maxRows && !group.has(pending.change.key);
       if (fits) group.set(pending.change.key, pending);
-      else left.push(pending);
+      else remaining.push(pending);
     }
-    this.waiting = left;
+    this.waiting = remaining;
     return [...group.values()];
   }
 
@@ -147,20 +148,20 @@
     if (this.waiting.length > 0) this.startTimer(0);
   }
 
-  /** Sends until every change of the group has its own result. */
+  /** Repeats transactions until every change of the group has its own result. */
   private async send(group: readonly IPendingChange[]): Promise<void> {
-    let left = group;
-    while (left.length > 0) {
+    let remaining = group;
+    while (remaining.length > 0) {
       try {
-        left = await this.sendOnce(left);
+        remaining = await this.sendOnce(remaining);
       } catch (error) {
-        for (const pending of left) pending.reject(error);
+        for (const pending of remaining) pending.reject(error);
         return;
       }
     }
   }
 
-  /** Returns the changes that have no result yet: one failed condition stops all the others. */
+  /** Returns the changes without a result: one failed condition rejects the whole transaction. */
   private async sendOnce(group: readonly IPendingChange[]): Promise<readonly IPendingChange[]> {
     this.transactions += 1;
     this.rows += group.length;
@@ -183,8 +184,9 @@
       this.health.recordResponse();
       return result;
     } catch (error) {
-      const isSilent = error instanceof PlatformError && error.failure === PlatformFailure.Unknown;
-      if (isSilent) this.health.recordNoResponse();
+      const isUnanswered =
+        error instanceof PlatformError && error.failure === PlatformFailure.Unknown;
+      if (isUnanswered) this.health.recordNoResponse();
       throw error;
     }
   }
@@ -194,19 +196,19 @@
     conflicts: readonly ITableRow[],
   ): Promise<readonly IPendingChange[]> {
     const rows = new Map(conflicts.map((row) => [row.key, row]));
-    const left: IPendingChange[] = [];
+    const remaining: IPendingChange[] = [];
     for (const pending of group) {
       const row = rows.get(pending.change.key);
-      if (row === undefined) left.push(pending);
+      if (row === undefined) remaining.push(pending);
       else pending.resolve({ committed: false, row });
     }
-    if (left.length < group.length) return left;
-    // No row is named, so one that was expected is missing, and the answer can't say which.
-    if (left.length === 1) {
-      left[0]?.resolve({ committed: false, row: undefined });
+    if (remaining.length < group.length) return remaining;
+    // No conflicting row was returned, so an expected row is missing, and the result can't identify it.
+    if (remaining.length === 1) {
+      remaining[0]?.resolve({ committed: false, row: undefined });
       return [];
     }
-    await Promise.all(left.map((pending) => this.send([pending])));
+    await Promise.all(remaining.map((pending) => this.send([pending])));
     return [];
   }
 }
--- a/packages/claims/src/store/common/storeHealth.ts
+++ b/packages/claims/src/store/common/storeHealth.ts
@@ -1,7 +1,7 @@
 /**
- * Knows when the store has fallen silent. Each claim that gets no answer may stand and must be
- * released later, so going on claiming into the silence would hold every caller for the platform's
- * timeout and pile up releases for hours; callers would notice slow refusals, operators memory.
+ * Detects when the store stops responding. A claim without a response may have been written and
+ * must be released later. Sending more claims to an unresponsive store would delay each refusal by
+ * the platform's timeout and accumulate pending releases, and thus memory, for hours.
  */
 import type { Clock, RandomSource } from '@parsleymux/base';
 
@@ -12,19 +12,19 @@
 export interface IStoreHealthOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Asks the store something harmless. */
+  /** Sends the store a request that has no effect. */
   readonly probe: () => Promise<unknown>;
-  /** Unanswered calls in a row from which the store counts as out. Default 3. */
+  /** Consecutive calls without a response after which the store is considered unavailable. Default 3. */
   readonly failureLimit?: number;
-  /** Mean time between two probes while it is out, in ms. Default 500. */
+  /** Mean time between two probes while the store is unavailable, in ms. Default 500. */
   readonly probeMs?: number;
 }
 
 /**
- * Counts unanswered calls, and probes while the store is out.
+ * Counts calls without a response, and probes while the store is unavailable.
  *
  * @example
- * if (health.isOut()) throw makeStoreUnavailable();
+ * if (health.isUnavailable()) throw makeStoreUnavailable();
  */
 export class StoreHealth {
   private readonly options: IStoreHealthOptions;
@@ -40,17 +40,17 @@
     this.probeMs = options.probeMs ?? DEFAULT_PROBE_MS;
   }
 
-  /** An answer came, whatever it said. */
+  /** Records a response, whatever its content. */
   recordResponse(): void {
     this.failures = 0;
   }
 
-  /** A call stayed unanswered. */
+  /** Records a call without a response. */
   recordNoResponse(): void {
     this.failures += 1;
   }
 
-  /** Whether claims are refused unsent. Asking starts a probe when one is due. */
+  /** Whether claims should be refused without sending them. Starts a probe if one is due. */
   isUnavailable(): boolean {
     if (this.failures < this.failureLimit) return false;
     const isDue = this.options.clock.getMonotonicTime() >= this.nextProbeMs;
--- a/packages/claims/src/test/claimTestFleet.ts
+++ b/packages/claims/src/test/claimTestFleet.ts
@@ -1,4 +1,4 @@
-/** Several guards over one table, with targets that count executions. For tests. */
+/** Test fleet: several guards that share a table, with targets that count executions. */
 import assert from 'node:assert/strict';
 import { create } from '@bufbuild/protobuf';
 import {
@@ -23,7 +23,7 @@
 import { GatedClock, GatedTable, ProcessGate } from './processGate.js';
 
 const STEP_MS = 5;
-/** Refusals that speak of the one request alone; what became of its key was not found out. */
+/** Refusals that cover only the refused request; the state of its key was not determined. */
 const REQUEST_SCOPED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.ClaimStoreUnavailable,
   ResultCode.IdempotencyKeyConflict,
@@ -31,7 +31,7 @@
   ResultCode.CallerGone,
 ]);
 
-/** One request and how its target takes it; every field has a default. */
+/** A test request and the behavior of its target; every field has a default. */
 export interface ITestRequest {
   readonly key?: string | undefined;
   readonly member?: string;
@@ -43,7 +43,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** A request that was sent, and what came of it. */
+/** A request that was sent, with its result. */
 export interface ITestCall {
   readonly request: IRoutedRequest;
   readonly startMs: number;
@@ -57,7 +57,7 @@
   readonly gate: ProcessGate;
 }
 
-/** A fleet in memory. */
+/** An in-memory fleet. */
 export class ClaimTestFleet extends ClaimPeer {
   readonly clock = new ManualClock({ startMs: 1_700_000_000_000 });
   readonly table = new FakeTable({ clock: this.clock });
@@ -67,7 +67,7 @@
   readonly calls: ITestCall[] = [];
   private readonly nodes = new Map<string, ITestNode>();
 
-  /** Starts a process at `address`, in place of the one that was there. */
+  /** Starts a process at `address`, replacing any earlier one. */
   addNode(
     address: string,
     fault?: IProcessFault,
@@ -96,16 +96,16 @@
 
   override async lookUp(
     address: string,
-    question: IClaimLookUpRequest,
+    request: IClaimLookUpRequest,
   ): Promise<IClaimLookUpResponse> {
     await this.clock.sleep(1);
     const { guard, gate } = this.getNode(address);
     if (gate.isDead) throw new Error('connection refused');
     await gate.advance();
-    return guard.lookUpHandler.handle(question);
+    return guard.lookUpHandler.handle(request);
   }
 
-  /** Sends a request through the node at `address` without waiting for it. */
+  /** Sends a request through the node at `address` without waiting for its result. */
   send(address: string, options: ITestRequest = {}): ITestCall {
     const { guard, gate } = this.getNode(address);
     const request = makeRequest(this.clock, `caller-${this.calls.length}`, options);
@@ -114,11 +114,11 @@
       estimateRefusal: () => options.refusal,
       run: () => this.target.serve(request, options.behavior ?? TargetBehavior.Respond, gate),
     };
-    const answer = guard.execute(guarded, options.signal ?? new AbortController().signal);
+    const response = guard.execute(guarded, options.signal ?? new AbortController().signal);
     const call: ITestCall = {
       request,
       startMs: this.clock.getMonotonicTime(),
-      done: Promise.allSettled([answer]).then(([result]) => {
+      done: Promise.allSettled([response]).then(([result]) => {
         call.result = result;
         call.endMs = this.clock.getMonotonicTime();
       }),
@@ -129,23 +129,23 @@
     return call;
   }
 
-  /** Sends a request and runs the clock until it has its result. */
+  /** Sends a request and advances the clock until it has a result. */
   async execute(address: string, options: ITestRequest = {}): Promise<ITestCall> {
     const call = this.send(address, options);
     await this.finish(call);
     return call;
   }
 
-  /** Runs the clock until the call has its result. */
+  /** Advances the clock until the call has a result. */
   async finish(call: ITestCall, limitMs = 60_000): Promise<void> {
     const untilMs = this.clock.getMonotonicTime() + limitMs;
     while (call.result === undefined && this.clock.getMonotonicTime() < untilMs) {
       await this.clock.advanceBy(STEP_MS);
     }
-    assert.ok(call.result, 'the request got no result');
+    assert.ok(call.result, 'the request has no result');
   }
 
-  /** No key ran twice, and whatever callers were told is true. */
+  /** Asserts that no key ran twice and that every result matches the executions. */
   assertInvariants(): void {
     for (const call of this.calls) {
       const executions = this.target.getExecutions(call.request);
@@ -159,17 +159,21 @@
   private assertTruthful(call: ITestCall): void {
     const executions = this.target.getExecutions(call.request);
     if (call.result?.status === 'fulfilled') {
-      assert.equal(readText(call), executions[0]?.response, 'an answer is that of the execution');
+      assert.equal(
+        readText(call),
+        executions[0]?.response,
+        'the response is that of the execution',
+      );
       return;
     }
     const { code, runState } = getError(call);
-    if (runState === RunState.Ran) assert.equal(executions.length, 1, `${code} said ran`);
+    if (runState === RunState.Ran) assert.equal(executions.length, 1, `${code} reported as run`);
     if (runState !== RunState.NotRun) return;
-    const own = executions.filter(({ request }) => request === call.request.caller);
-    assert.equal(own.length, 0, `${code} said not run, and this request ran`);
+    const ofThisRequest = executions.filter(({ request }) => request === call.request.caller);
+    assert.equal(ofThisRequest.length, 0, `${code} reported as not run, but this request ran`);
     if (REQUEST_SCOPED_CODES.has(code)) return;
     const earlier = executions.filter(({ startMs }) => startMs < call.startMs);
-    assert.equal(earlier.length, 0, `${code} said not run of a key that had run`);
+    assert.equal(earlier.length, 0, `${code} reported as not run, but the key had run`);
   }
 
   private getNode(address: string): ITestNode {
@@ -179,7 +183,7 @@
   }
 }
 
-/** The answer's body as text. */
+/** Returns the response body as text. */
 export function readText(call: ITestCall): string {
   if (call.result?.status !== 'fulfilled') return `refused: ${String(call.result?.reason)}`;
   const { body } = call.result.value;
@@ -192,9 +196,9 @@
   return call.result.value.headers.some(([name]) => name === REPLAY_HEADER);
 }
 
-/** The error that a call was refused with. */
+/** Returns the error with which a call was refused. */
 export function getError(call: ITestCall): MuxError {
-  assert.equal(call.result?.status, 'rejected', 'was refused');
+  assert.equal(call.result?.status, 'rejected', 'the call was refused');
   const reason: unknown = call.result.reason;
   assert.ok(reason instanceof MuxError, String(reason));
   return reason;
--- a/packages/claims/src/test/fakeTable.ts
+++ b/packages/claims/src/test/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory whose answers can be lost and whose writes can be late. For tests. */
+/** In-memory table for tests whose responses can be lost and whose writes can be delayed. */
 import type { Clock } from '@parsleymux/base';
 import type {
   IScanOptions,
@@ -8,17 +8,17 @@
 } from '@parsleymux/store';
 import { ObjectStore, PlatformError, PlatformFailure, TableService } from '@parsleymux/store';
 
-/** What happens to one call. */
+/** Fault of one call. */
 export const TableFault = {
   None: 'none',
-  /** Refused; nothing done. */
+  /** The call is refused and has no effect. */
   Refuse: 'refuse',
-  /** Lost on the way there; the caller can't know. */
+  /** The request is lost; the outcome is unknown to the caller. */
   LoseRequest: 'lose-request',
-  /** Done, and the answer lost. */
-  LoseResponse: 'lose-answer',
-  /** The caller is told nothing; the write lands `lateMs` after. */
-  CommitLate: 'land-late',
+  /** The call takes effect, and its response is lost. */
+  LoseResponse: 'lose-response',
+  /** The response is lost, and the write is committed `lateCommitMs` later. */
+  CommitLate: 'commit-late',
 } as const;
 
 export type TableFault = (typeof TableFault)[keyof typeof TableFault];
@@ -28,18 +28,19 @@
 /** Options of a {@link FakeTable}. */
 export interface IFakeTableOptions {
   readonly clock: Clock;
-  /** Time that each call takes, in ms. Default 1. */
+  /** Latency of each call, in ms. Default 1. */
   readonly latencyMs?: number;
 }
 
-/** Rows with versions, as the platform keeps them. */
+/** Versioned rows, as in the platform's table. */
 export class FakeTable extends TableService {
   /** Chooses the fault of each call. */
   chooseFault: () => TableFault = () => TableFault.None;
-  /** Transactions that reached the table, and rows that they wrote. */
+  /** Number of transactions that reached the table. */
   transactions = 0;
+  /** Number of rows that were written. */
   rowsWritten = 0;
-  /** Delay of writes that land late, in ms. */
+  /** Delay of a late commit, in ms. */
   lateCommitMs = 50;
   private readonly lastVersions = new Map<string, number>();
   private readonly rows = new Map<string, ITableRow>();
@@ -82,14 +83,14 @@
       case TableFault.LoseRequest:
         break;
     }
-    throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
+    throw new PlatformError(PlatformFailure.Unknown, 'response lost');
   }
 
   private async checkReadFault(): Promise<void> {
     const fault = this.chooseFault();
     await this.clock.sleep(this.latencyMs);
     if (fault === TableFault.None) return;
-    throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
+    throw new PlatformError(PlatformFailure.Unknown, 'response lost');
   }
 
   private applyTransaction(transaction: ITableTransaction): ITransactionResult {
@@ -111,7 +112,7 @@
   }
 }
 
-/** Objects in memory. */
+/** In-memory object store. */
 export class FakeObjectStore extends ObjectStore {
   readonly bytes = new Map<string, Uint8Array>();
 
--- a/packages/claims/src/test/fakeTarget.ts
+++ b/packages/claims/src/test/fakeTarget.ts
@@ -1,4 +1,4 @@
-/** A target that counts executions and misbehaves as told. For tests. */
+/** Target for tests that counts executions and simulates faults. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
@@ -6,26 +6,26 @@
 import { LookUpResult, OutcomeLookUp } from '../outcome/common/outcomeLookUp.js';
 import type { ProcessGate } from './processGate.js';
 
-/** What a target does with one request. */
+/** Behavior of a target for one request. */
 export const TargetBehavior = {
-  Respond: 'answer',
-  /** Executes, and is not heard of again. */
-  ExecuteSilently: 'fall-silent',
-  /** Executes only after the home gave up. */
+  Respond: 'respond',
+  /** Executes without a response. */
+  ExecuteWithoutResponse: 'execute-without-response',
+  /** Executes after the home has timed out. */
   ExecuteLate: 'execute-late',
-  /** Says that it did not execute. */
+  /** Reports that it did not execute. */
   Shed: 'shed',
-  /** Executes, and its answer breaks off. */
-  TruncateResponse: 'break-off',
-  /** Executes, with an answer above every limit. */
-  RespondOversized: 'answer-huge',
+  /** Executes, and its response is truncated. */
+  TruncateResponse: 'truncate-response',
+  /** Executes, and its response exceeds the size limit. */
+  RespondOversized: 'respond-oversized',
 } as const;
 
 export type TargetBehavior = (typeof TargetBehavior)[keyof typeof TargetBehavior];
 
-/** One execution. */
+/** An execution of a request. */
 export interface IExecution {
-  /** The request's caller, which tests make unique. */
+  /** Caller of the request, which tests make unique. */
   readonly request: string;
   readonly startMs: number;
   readonly response: string;
@@ -36,7 +36,7 @@
 const LATE_MS = 2000;
 const OVERSIZED_BYTES = (1 << 20) + 1;
 
-/** All targets of a service with the home before them, which checks the deadline. */
+/** Simulates all targets of a service and the home, which checks the deadline. */
 export class FakeTarget extends OutcomeLookUp {
   private readonly executions = new Map<string, IExecution[]>();
 
@@ -44,12 +44,12 @@
     super();
   }
 
-  /** Executions under a member's key. */
+  /** Returns the executions under the request's member and key. */
   getExecutions(request: IRoutedRequest): readonly IExecution[] {
     return this.executions.get(formatName(request)) ?? [];
   }
 
-  /** Sends from a process that may be killed or paused on either side of the dispatch. */
+  /** Serves a request. `gate` may kill or pause the sending process before or after the dispatch. */
   async serve(
     request: IRoutedRequest,
     behavior: TargetBehavior,
@@ -61,9 +61,9 @@
     }
     await gate?.advance();
     if (behavior === TargetBehavior.Shed) throw makeError(ResultCode.TargetShed, RunState.NotRun);
-    const answer = this.executeWithBehavior(request, behavior);
+    const response = this.executeWithBehavior(request, behavior);
     try {
-      return await answer;
+      return await response;
     } finally {
       await gate?.advance();
     }
@@ -73,7 +73,7 @@
     const execution = this.getExecutions(request)[0];
     if (execution === undefined) return Promise.resolve({ result: LookUpResult.NotRun });
     const body = Buffer.from(execution.response);
-    return Promise.resolve({ result: LookUpResult.Ran, answer: { ...makeResponse(''), body } });
+    return Promise.resolve({ result: LookUpResult.Ran, response: { ...makeResponse(''), body } });
   }
 
   private async executeWithBehavior(
@@ -87,10 +87,10 @@
     }
     const text = this.execute(request);
     await this.clock.sleep(
-      behavior === TargetBehavior.ExecuteSilently ? NO_RESPONSE_MS : SERVICE_MS,
+      behavior === TargetBehavior.ExecuteWithoutResponse ? NO_RESPONSE_MS : SERVICE_MS,
     );
     switch (behavior) {
-      case TargetBehavior.ExecuteSilently:
+      case TargetBehavior.ExecuteWithoutResponse:
         throw makeError(ResultCode.TargetTimeout, RunState.MayHaveRun);
       case TargetBehavior.TruncateResponse:
         return { ...makeResponse(text), body: streamHalf(text) };
@@ -104,14 +104,14 @@
   private execute(request: IRoutedRequest): string {
     const name = formatName(request);
     const earlier = this.executions.get(name) ?? [];
-    const answer = `booked ${name} as ${earlier.length + 1} for ${request.caller}`;
+    const response = `booked ${name} as ${earlier.length + 1} for ${request.caller}`;
     const startMs = this.clock.getMonotonicTime();
-    this.executions.set(name, [...earlier, { request: request.caller, startMs, response: answer }]);
-    return answer;
+    this.executions.set(name, [...earlier, { request: request.caller, startMs, response }]);
+    return response;
   }
 }
 
-/** An answer of a target that executed. */
+/** Makes the response of a target that executed. */
 export function makeResponse(text: string): IAnswer {
   return {
     status: 201,
@@ -127,7 +127,7 @@
 }
 
 function makeError(code: ResultCode, runState: RunState): MuxError {
-  return new MuxError({ code, runState, message: 'fake target' });
+  return new MuxError({ code, runState, message: 'simulated fault' });
 }
 
 async function* streamHalf(text: string): AsyncIterable<Uint8Array> {
--- a/packages/claims/src/test/processGate.ts
+++ b/packages/claims/src/test/processGate.ts
@@ -1,4 +1,4 @@
-/** Kills or pauses a simulated process between any two of its steps. For tests. */
+/** Kills or pauses a simulated process between any two of its steps, for tests. */
 import type { IDisposable } from '@parsleymux/base';
 import { Clock, toDisposable } from '@parsleymux/base';
 import type {
@@ -9,15 +9,15 @@
 } from '@parsleymux/store';
 import { TableService } from '@parsleymux/store';
 
-/** What befalls a process. */
+/** Fault of a process. */
 export interface IProcessFault {
-  /** Number of the step before which it happens, from 1. */
+  /** Number of the step before which the fault occurs, starting at 1. */
   readonly step: number;
-  /** Length of a pause in ms; undefined for a kill. */
+  /** Duration of the pause in ms; undefined kills the process. */
   readonly pauseMs: number | undefined;
 }
 
-/** Everything that a process waits for passes through its gate; each passage is a step. */
+/** Gate through which everything that a process waits for passes. Each call of `advance` is a step. */
 export class ProcessGate {
   isDead = false;
   private steps = 0;
@@ -32,7 +32,7 @@
     return this.steps;
   }
 
-  /** Resolves when the process may go on; never, when it is dead. */
+  /** Resolves when the process may continue; never resolves if it is dead. */
   async advance(): Promise<void> {
     this.steps += 1;
     if (this.steps === this.fault?.step) this.applyFault(this.fault);
@@ -46,7 +46,7 @@
   }
 }
 
-/** A clock whose timers fire only while the process runs. */
+/** A clock whose timers fire only while the process is running. */
 export class GatedClock extends Clock {
   constructor(
     private readonly inner: Clock,
@@ -77,7 +77,7 @@
   }
 }
 
-/** A table that the process reaches, and hears from, only while it runs. */
+/** A table that receives requests from the process, and returns results to it, only while it is running. */
 export class GatedTable extends TableService {
   constructor(
     private readonly inner: TableService,
