--- a/packages/claims/src/claim/common/responseCodec.ts
+++ b/packages/claims/src/claim/common/responseCodec.ts
@@ -1,13 +1,13 @@
 /** Encodes responses for rows and objects and for transfer between nodes. */
 import type { ResultCode } from '@parsleymux/base';
 import { RunState } from '@parsleymux/base';
-import type { Header, IAnswer } from '@parsleymux/routing';
+import type { Header, IResponse } from '@parsleymux/routing';
 
 /** Marks a replayed response, so that callers can distinguish a replay from an execution. */
 export const REPLAY_HEADER = 'idempotency-replayed';
 
 /** A complete response in memory. */
-export interface ICompleteResponse extends IAnswer {
+export interface ICompleteResponse extends IResponse {
   readonly body: Uint8Array;
 }
 
--- a/packages/claims/src/guard/common/claimGuard.test.ts
+++ b/packages/claims/src/guard/common/claimGuard.test.ts
@@ -160,7 +160,10 @@
   const fleet = new ClaimTestFleet();
   for (const address of ['a', 'b']) fleet.addNode(address);
   const lookUpPath = '/jobs/by-key/{key}';
-  const first = await fleet.execute('a', { behavior: TargetBehavior.ExecuteWithoutResponse, lookUpPath });
+  const first = await fleet.execute('a', {
+    behavior: TargetBehavior.ExecuteWithoutResponse,
+    lookUpPath,
+  });
   assert.equal(readText(first), BOOKED);
   const retry = await fleet.execute('b', { lookUpPath });
   assert.deepEqual([readText(retry), isReplayed(retry)], [BOOKED, true]);
--- a/packages/claims/src/guard/common/claimRunner.ts
+++ b/packages/claims/src/guard/common/claimRunner.ts
@@ -2,7 +2,7 @@
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { MuxError, RunState } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
-import type { IAnswer, IGuardedAttempt } from '@parsleymux/routing';
+import type { IGuardedAttempt, IResponse } from '@parsleymux/routing';
 import type { AttemptRegistry, IAttemptOutcome } from '../../attempt/common/attemptRegistry.js';
 import { Attempt, AttemptEnd } from '../../attempt/common/attemptRegistry.js';
 import type { ICompleteResponse, IStoredResponse } from '../../claim/common/responseCodec.js';
@@ -155,7 +155,7 @@
     }
   }
 
-  private async readOutcome(response: IAnswer): Promise<IAttemptOutcome> {
+  private async readOutcome(response: IResponse): Promise<IAttemptOutcome> {
     const body = await readCompleteBody(response.body, this.options.maxResponseBytes);
     if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeAnswerNotKept() };
     // A target's own refusal is returned unchanged, and the key is released.
--- a/packages/claims/src/guard/common/completeBody.ts
+++ b/packages/claims/src/guard/common/completeBody.ts
@@ -1,6 +1,6 @@
 /** Buffers a response body until it is complete. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
-import type { AnswerBody } from '@parsleymux/routing';
+import type { ResponseBody } from '@parsleymux/routing';
 
 /**
  * Reads the complete body, or returns undefined if it is larger than `maxBytes`. Rejects with a
@@ -10,7 +10,7 @@
  * const body = await readCompleteBody(response.body, 1 << 20);
  */
 export async function readCompleteBody(
-  body: AnswerBody,
+  body: ResponseBody,
   maxBytes: number,
 ): Promise<Uint8Array | undefined> {
   if (body instanceof Uint8Array) return body.length <= maxBytes ? body : undefined;
--- a/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
+++ b/packages/claims/src/outcome/common/targetOutcomeLookUp.ts
@@ -1,6 +1,6 @@
 /** Sends the look-up request of a route to the targets of its service. */
 import { ResultCode, RunState } from '@parsleymux/base';
-import type { IRoutedRequest, ITargetAnswer, TargetTransport } from '@parsleymux/routing';
+import type { IRoutedRequest, ITargetResponse, TargetTransport } from '@parsleymux/routing';
 import { readCompleteBody } from '../../guard/common/completeBody.js';
 import type { ITargetOutcome } from './outcomeLookUp.js';
 import { LookUpResult, OutcomeLookUp } from './outcomeLookUp.js';
@@ -74,7 +74,7 @@
           body: new Uint8Array(),
           timeoutMs: this.timeoutMs,
         },
-        { signal, maxAnswerBytes: this.maxResponseBytes, freshConnection: true },
+        { signal, maxResponseBytes: this.maxResponseBytes, freshConnection: true },
       );
       return await this.readResult(response);
     } catch {
@@ -82,7 +82,7 @@
     }
   }
 
-  private async readResult(response: ITargetAnswer): Promise<ITargetOutcome> {
+  private async readResult(response: ITargetResponse): Promise<ITargetOutcome> {
     const { status, headers, notRun } = response;
     const body = await readCompleteBody(response.body, this.maxResponseBytes);
     // A target that sheds the look-up itself reports nothing about the key.
--- a/packages/claims/src/test/fakeTarget.ts
+++ b/packages/claims/src/test/fakeTarget.ts
@@ -1,7 +1,7 @@
 /** Target for tests that counts executions and simulates faults. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
-import type { IAnswer, IRoutedRequest } from '@parsleymux/routing';
+import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import type { ITargetOutcome } from '../outcome/common/outcomeLookUp.js';
 import { LookUpResult, OutcomeLookUp } from '../outcome/common/outcomeLookUp.js';
 import type { ProcessGate } from './processGate.js';
@@ -54,7 +54,7 @@
     request: IRoutedRequest,
     behavior: TargetBehavior,
     gate?: ProcessGate,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     await gate?.advance();
     if (this.clock.getMonotonicTime() >= request.deadlineMs) {
       throw makeError(ResultCode.QueueTimeout, RunState.NotRun);
@@ -79,7 +79,7 @@
   private async executeWithBehavior(
     request: IRoutedRequest,
     behavior: TargetBehavior,
-  ): Promise<IAnswer> {
+  ): Promise<IResponse> {
     if (behavior === TargetBehavior.ExecuteLate) {
       this.clock.startTimer(LATE_MS, () => this.execute(request));
       await this.clock.sleep(NO_RESPONSE_MS);
@@ -112,7 +112,7 @@
 }
 
 /** Makes the response of a target that executed. */
-export function makeResponse(text: string): IAnswer {
+export function makeResponse(text: string): IResponse {
   return {
     status: 201,
     headers: [['content-type', 'text/plain']],
--- a/packages/dispatch/src/directory/node/keyLease.test.ts
+++ b/packages/dispatch/src/directory/node/keyLease.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '@parsleymux/base';
-import type { ProofWay } from '../../test/keyLeaseFleet.js';
+import type { ProofMode } from '../../test/keyLeaseFleet.js';
 import { LeaseFleet } from '../../test/keyLeaseFleet.js';
 
 const NODES = 24;
 
-async function play(seed: number, way: ProofWay) {
-  return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, way }).run();
+async function runFleet(seed: number, proofMode: ProofMode) {
+  return new LeaseFleet({ clock: new ManualClock(), seed, nodes: NODES, proofMode }).run();
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`no ended key is served later than the lease, and others are all along: seed ${seed}`, async () => {
-    // Guards against: nodes that the store turns away serve withdrawn keys, or refuse every key.
-    const figures = await play(seed, 'followers');
+  test(`no revoked key is accepted beyond the lease, and others always are: seed ${seed}`, async () => {
+    // Guards against nodes that accept revoked keys, or reject all keys, while the store rejects their reads.
+    const figures = await runFleet(seed, 'followers');
     assert.equal(figures.servedTooLate, 0);
     assert.ok(
       figures.withoutServiceS < NODES * 0.1,
@@ -23,13 +23,13 @@
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`no ended key is served later than the lease by a store that comes back older: seed ${seed}`, async () => {
-    // Guards against a key that has ended and holds again by a fresh read of an older list.
+  test(`no revoked key is accepted beyond the lease after a restore of the store: seed ${seed}`, async () => {
+    // Guards against accepting a revoked key after a fresh read of a list restored from an older copy.
     const fleet = new LeaseFleet({
       clock: new ManualClock(),
       seed,
       nodes: NODES,
-      way: 'followers',
+      proofMode: 'followers',
       restores: true,
     });
     const { servedTooLate } = await fleet.run();
--- a/packages/dispatch/src/entry/node/requestLog.ts
+++ b/packages/dispatch/src/entry/node/requestLog.ts
@@ -1,12 +1,12 @@
-/** One log line and the counters for each request. */
+/** Writes one log line per request and updates the request metrics. */
 import type { Clock, Logger } from '@parsleymux/base';
 import { ResultCode, getResultInfo } from '@parsleymux/base';
 import type { Registry } from 'prom-client';
 import { Counter, Histogram } from 'prom-client';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
-import type { IEntryAnswer, IEntryRequest } from '../common/entryRequest.js';
+import type { IEntryResponse, IEntryRequest } from '../common/entryRequest.js';
 
-/** Buckets around the objectives that services usually have, in seconds. */
+/** Histogram buckets around the usual latency objectives of services, in seconds. */
 const LATENCY_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.4, 0.7, 1, 1.5, 2.5, 4, 6];
 const FIRST_FAILURE_STATUS = 400;
 
@@ -18,7 +18,7 @@
   readonly registry: Registry;
 }
 
-/** Writes what an operator needs to get from a request's id to its cause. */
+/** Logs what an operator needs to diagnose a request by its identifier. */
 export class RequestLog {
   private readonly requests: Counter<'route' | 'code' | 'status'>;
   private readonly latency: Histogram<'route'>;
@@ -28,70 +28,70 @@
     const registers = [options.registry];
     this.requests = new Counter({
       name: 'parsleymux_entry_requests_total',
-      help: 'Requests of callers, by route, result code and status.',
+      help: 'Requests received from callers, by route, result code and status.',
       labelNames: ['route', 'code', 'status'],
       registers,
     });
     this.latency = new Histogram({
       name: 'parsleymux_entry_request_seconds',
-      help: 'Time from the arrival of a request to its answer.',
+      help: 'Time from the arrival of a request to its response, in seconds.',
       labelNames: ['route'],
       buckets: LATENCY_BUCKETS,
       registers,
     });
     this.attempts = new Counter({
       name: 'parsleymux_entry_attempts_total',
-      help: 'Attempts to have a request run by a target, by outcome.',
+      help: 'Attempts to send a request to a target, by service and outcome.',
       labelNames: ['service', 'outcome'],
       registers,
     });
   }
 
-  recordAnswer(request: IEntryRequest, answer: IEntryAnswer): void {
+  recordResponse(request: IEntryRequest, response: IEntryResponse): void {
     const ms = this.measure(request.arrivedMs);
     const route = request.route.name;
-    this.requests.inc({ route, code: String(answer.code), status: String(answer.status) });
+    this.requests.inc({ route, code: String(response.code), status: String(response.status) });
     this.latency.observe({ route }, ms / 1000);
-    for (const { outcome } of answer.attempts) {
+    for (const { outcome } of response.attempts) {
       this.attempts.inc({ service: request.service, outcome });
     }
-    const isFailure = answer.status >= FIRST_FAILURE_STATUS;
+    const isFailure = response.status >= FIRST_FAILURE_STATUS;
     this.options.log[isFailure ? 'warn' : 'info']('request', {
       request: request.id,
       fingerprints: request.fingerprints,
       route,
       service: request.service,
       tenant: request.sender.tenant?.name,
-      status: answer.status,
-      result: getResultInfo(answer.code).name,
-      runState: answer.runState,
+      status: response.status,
+      result: getResultInfo(response.code).name,
+      runState: response.runState,
       ms,
       objectiveMs: request.route.objectiveMs,
-      attempts: answer.attempts,
-      ...this.describeBeliefs(),
+      attempts: response.attempts,
+      ...this.describeDirectory(),
     });
   }
 
-  /** A request that came to no route. */
+  /** Records a request that was refused before or without a route. */
   recordUnrouted(
     request: { readonly id: string; readonly path: string },
-    answer: IEntryAnswer,
+    response: IEntryResponse,
     arrivedMs: number,
   ): void {
-    const code = getResultInfo(answer.code).name;
-    this.requests.inc({ route: '', code: String(answer.code), status: String(answer.status) });
+    const code = getResultInfo(response.code).name;
+    this.requests.inc({ route: '', code: String(response.code), status: String(response.status) });
     this.options.log.warn('request refused', {
       request: request.id,
       path: request.path,
-      status: answer.status,
+      status: response.status,
       result: code,
       ms: this.measure(arrivedMs),
-      ...this.describeBeliefs(),
+      ...this.describeDirectory(),
     });
   }
 
-  /** The caller closed its connection before the answer. */
-  recordLeft(request: IEntryRequest): void {
+  /** Records a request whose caller disconnected before the response. */
+  recordDisconnected(request: IEntryRequest): void {
     const route = request.route.name;
     this.requests.inc({ route, code: String(ResultCode.CallerGone), status: '' });
     this.options.log.warn('caller left', {
@@ -106,7 +106,7 @@
     return Math.round(this.options.clock.getMonotonicTime() - sinceMs);
   }
 
-  private describeBeliefs(): Readonly<Record<string, number | undefined>> {
+  private describeDirectory(): Readonly<Record<string, number | undefined>> {
     const { directory } = this.options;
     return {
       catalog: directory.getCatalog()?.version,
--- a/packages/dispatch/src/quarantine/common/quarantineSharing.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineSharing.ts
@@ -1,18 +1,18 @@
-/** Nodes tell each other of requests under which targets crash. */
+/** Shares the crash histories of requests between the nodes of the fleet. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { Quarantine } from '@parsleymux/schema';
 import { QuarantineSchema } from '@parsleymux/schema';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
-import type { ICaseRecord } from './crashCase.js';
+import type { ICrashHistoryRecord } from './crashHistory.js';
 import { decodeRecord, encodeRecord } from './quarantineMessages.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
-/** How often a node that knows of held requests tells some others, in ms. */
-const TELL_EVERY_MS = 1000;
-/** Others that it tells each time: a node hears twice a second on average, however large the fleet is. */
-const TOLD_EACH_TIME = 2;
-/** Records in one datagram: some 250 bytes each at most. */
+/** How often a node that tracks quarantined requests sends them to some peers, in ms. */
+const GOSSIP_INTERVAL_MS = 1000;
+/** Number of peers per round: each node receives two messages a second on average, at any fleet size. */
+const GOSSIP_FANOUT = 2;
+/** Most records in one datagram, at up to about 250 bytes each. */
 const MAX_RECORDS = 4;
 
 /** Options of a {@link QuarantineSharing}. */
@@ -26,34 +26,34 @@
 }
 
 /**
- * A request that crashes targets comes again at any node, for any home. So the node that sees a change
- * tells all others at once; and since datagrams are lost and nodes start later, each node that knows of
- * held requests goes on telling some others that it picks by chance.
+ * A request that crashes targets may be repeated at any node and scheduled by any home. So the node that
+ * observes a change immediately sends it to all others. Because datagrams get lost and nodes start later,
+ * each node that tracks quarantined requests also keeps sending them to randomly chosen peers.
  *
  * @example
- * sharing.handleQuarantine(message);
+ * gossip.handleQuarantine(message);
  */
 export class QuarantineSharing implements IDisposable {
-  private readonly changed: IDisposable;
+  private readonly changeListener: IDisposable;
   private timer: IDisposable | undefined;
-  private turn = 0;
+  private nextIndex = 0;
   private isDisposed = false;
 
   constructor(private readonly options: IQuarantineSharingOptions) {
-    this.changed = options.quarantine.onDidChange((record) => {
+    this.changeListener = options.quarantine.onDidChange((record) => {
       this.announce([record], this.listOthers());
       this.startTimer();
     });
   }
 
-  /** Takes what another node knows. */
+  /** Applies the records received from another node. */
   handleQuarantine({ records }: Quarantine): void {
     for (const record of records) this.options.quarantine.applyRecord(decodeRecord(record));
     this.startTimer();
   }
 
-  /** Takes what the store knows, and tells all others: they have started anew too. */
-  handleStored(records: readonly ICaseRecord[]): void {
+  /** Applies the records read from the store, and sends them to all others, which have just started too. */
+  handleStoredRecords(records: readonly ICrashHistoryRecord[]): void {
     for (const record of records) this.options.quarantine.applyRecord(record);
     for (let first = 0; first < records.length; first += MAX_RECORDS) {
       this.announce(records.slice(first, first + MAX_RECORDS), this.listOthers());
@@ -62,40 +62,40 @@
   }
 
   dispose(): void {
-    void this.changed.dispose();
+    void this.changeListener.dispose();
     void this.timer?.dispose();
     this.isDisposed = true;
   }
 
-  /** A node that has nothing to tell is not woken. */
+  /** Schedules the next round. The timer stops when there is nothing to send, so an idle node isn't woken. */
   private startTimer(): void {
     if (this.timer !== undefined || this.isDisposed) return;
-    this.timer = this.options.clock.startTimer(TELL_EVERY_MS, () => {
+    this.timer = this.options.clock.startTimer(GOSSIP_INTERVAL_MS, () => {
       this.timer = undefined;
-      this.announceToSome();
+      this.announceToRandomPeers();
     });
   }
 
-  private announceToSome(): void {
-    const known = this.options.quarantine.listShared();
-    if (known.length === 0) return;
-    // What doesn't fit has its turn the next times.
-    const first = this.turn % known.length;
-    this.turn = first + MAX_RECORDS;
-    const records = [...known.slice(first), ...known.slice(0, first)].slice(0, MAX_RECORDS);
-    this.announce(records, this.chooseSome());
+  private announceToRandomPeers(): void {
+    const shared = this.options.quarantine.listShared();
+    if (shared.length === 0) return;
+    // Records that don't fit in this datagram are sent in later rounds.
+    const first = this.nextIndex % shared.length;
+    this.nextIndex = first + MAX_RECORDS;
+    const records = [...shared.slice(first), ...shared.slice(0, first)].slice(0, MAX_RECORDS);
+    this.announce(records, this.chooseRandomPeers());
     this.startTimer();
   }
 
-  private chooseSome(): readonly string[] {
+  private chooseRandomPeers(): readonly string[] {
     const others = this.listOthers();
     if (others.length === 0) return [];
-    return Array.from({ length: TOLD_EACH_TIME }, () => {
+    return Array.from({ length: GOSSIP_FANOUT }, () => {
       return others[this.options.random.getInteger(others.length)];
     }).flatMap((address) => address ?? []);
   }
 
-  private announce(records: readonly ICaseRecord[], addresses: readonly string[]): void {
+  private announce(records: readonly ICrashHistoryRecord[], addresses: readonly string[]): void {
     const value = create(QuarantineSchema, { records: records.map(encodeRecord) });
     for (const address of addresses) {
       this.options.channel.send(address, { case: 'quarantine', value });
--- a/packages/routing/src/target/common/targetPicker.ts
+++ b/packages/routing/src/target/common/targetPicker.ts
@@ -1,9 +1,9 @@
 /** Chooses among the targets of a service. */
 import type { RandomSource } from '@parsleymux/base';
-import { Standing } from './targetHandle.js';
+import { HealthStatus } from './targetHandle.js';
 import type { TargetHandle } from './targetHandle.js';
 
-/** What a request asks of a target. */
+/** Options of {@link pickTarget}. */
 export interface IPickOptions {
   readonly handles: Iterable<TargetHandle>;
   /** Targets that the request already failed on. */
@@ -14,8 +14,8 @@
 }
 
 /**
- * The least loaded usable target with a free slot. A suspect target is the last choice, and for a
- * request that must not run twice it is a choice only while no other target is usable at all.
+ * Returns the least loaded usable target with a free slot. Suspected targets are the last choice; a
+ * request that must not run twice uses them only while no other target is usable at all.
  *
  * @example
  * const handle = pickTarget({ handles, excluded: new Set(), isIdempotent: true, wallTimeMs, random });
@@ -24,20 +24,20 @@
   const usable = [...options.handles].filter((handle) => {
     return handle.isUsable(options.wallTimeMs) && !options.excluded.has(handle.address);
   });
-  const trusted = usable.filter((handle) => !isDoubtful(handle));
-  const best = pickLeastLoaded(trusted, options.random);
+  const healthy = usable.filter((handle) => !isSuspected(handle));
+  const best = pickLeastLoaded(healthy, options.random);
   if (best !== undefined) return best;
-  const suspects = usable.filter(isDoubtful);
-  if (trusted.length === 0) return pickLeastLoaded(suspects, options.random);
+  const suspected = usable.filter(isSuspected);
+  if (healthy.length === 0) return pickLeastLoaded(suspected, options.random);
   if (!options.isIdempotent) return undefined;
   return pickLeastLoaded(
-    suspects.filter((handle) => !handle.isCutOff),
+    suspected.filter((handle) => !handle.isLocallyUnreachable),
     options.random,
   );
 }
 
-function isDoubtful(handle: TargetHandle): boolean {
-  return handle.standing === Standing.Suspect || handle.isUnderCheck;
+function isSuspected(handle: TargetHandle): boolean {
+  return handle.standing === HealthStatus.Suspect || handle.isBeingProbed;
 }
 
 function pickLeastLoaded(
@@ -51,5 +51,5 @@
 }
 
 function computeLoad(handle: TargetHandle): number {
-  return handle.inUse / handle.getAllowed();
+  return handle.inUse / handle.getEffectiveLimit();
 }
