--- a/packages/claims/src/admin/common/claimAdmin.ts
+++ b/packages/claims/src/admin/common/claimAdmin.ts
@@ -91,7 +91,7 @@
   ): Promise<void> {
     if (claim.state === ClaimState.Unknown) return;
     if (claim.state !== ClaimState.Running) {
-      throw refuseSettling(`its outcome is existing: ${claim.state}`);
+      throw refuseSettling(`its outcome is known: ${claim.state}`);
     }
     const isTerminated = await this.isClaimerTerminated(request.member, hashed, claim, signal);
     if (!isTerminated) throw refuseSettling(`node ${claim.claimer} still answers for it, or may`);
