--- a/packages/claims/src/test/claimWorld.ts
+++ b/packages/claims/src/test/claimTestFleet.ts
@@ -1,4 +1,4 @@
-/** Several guards over one table, with targets that count executions. For tests. */
+/** Test fleet: several guards that share a table, with targets that count executions. */
 import assert from 'node:assert/strict';
 import { create } from '@bufbuild/protobuf';
 import {
@@ -12,26 +12,26 @@
 } from '@parsleymux/base';
 import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
 import { RouteSchema } from '@parsleymux/schema';
-import { REPLAY_HEADER } from '../claim/common/answerCodec.js';
+import { REPLAY_HEADER } from '../claim/common/responseCodec.js';
 import type { IClaimGuardOptions } from '../guard/common/claimGuardOptions.js';
 import { ClaimGuard } from '../guard/common/claimGuard.js';
-import type { IClaimLookUpAnswer, IClaimLookUpQuestion } from '../peer/common/claimPeer.js';
+import type { IClaimLookUpResponse, IClaimLookUpRequest } from '../peer/common/claimPeer.js';
 import { ClaimPeer } from '../peer/common/claimPeer.js';
-import { FakeObjects, FakeTable } from './fakeTable.js';
+import { FakeObjectStore, FakeTable } from './fakeTable.js';
 import { FakeTarget, TargetBehavior } from './fakeTarget.js';
 import type { IProcessFault } from './processGate.js';
 import { GatedClock, GatedTable, ProcessGate } from './processGate.js';
 
 const STEP_MS = 5;
-/** Refusals that speak of the one request alone; what became of its key was not found out. */
-const CODES_OF_ONE_REQUEST: ReadonlySet<ResultCode> = new Set([
+/** Refusals that cover only the refused request; the state of its key was not determined. */
+const REQUEST_SCOPED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.ClaimStoreUnavailable,
   ResultCode.IdempotencyKeyConflict,
   ResultCode.DeadlinePassed,
   ResultCode.CallerGone,
 ]);
 
-/** One request and how its target takes it; every field has a default. */
+/** A test request and the behavior of its target; every field has a default. */
 export interface ITestRequest {
   readonly key?: string | undefined;
   readonly member?: string;
@@ -43,7 +43,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** A request that was sent, and what came of it. */
+/** A request that was sent, with its result. */
 export interface ITestCall {
   readonly request: IRoutedRequest;
   readonly startMs: number;
@@ -57,17 +57,17 @@
   readonly gate: ProcessGate;
 }
 
-/** A fleet in memory. */
-export class ClaimWorld extends ClaimPeer {
+/** An in-memory fleet. */
+export class ClaimTestFleet extends ClaimPeer {
   readonly clock = new ManualClock({ startMs: 1_700_000_000_000 });
   readonly table = new FakeTable({ clock: this.clock });
-  readonly objects = new FakeObjects();
+  readonly objects = new FakeObjectStore();
   readonly invariants = new InvariantRegistry();
   readonly target = new FakeTarget(this.clock);
   readonly calls: ITestCall[] = [];
   private readonly nodes = new Map<string, ITestNode>();
 
-  /** Starts a process at `address`, in place of the one that was there. */
+  /** Starts a process at `address`, replacing any earlier one. */
   addNode(
     address: string,
     fault?: IProcessFault,
@@ -96,29 +96,29 @@
 
   override async lookUp(
     address: string,
-    question: IClaimLookUpQuestion,
-  ): Promise<IClaimLookUpAnswer> {
+    request: IClaimLookUpRequest,
+  ): Promise<IClaimLookUpResponse> {
     await this.clock.sleep(1);
     const { guard, gate } = this.getNode(address);
     if (gate.isDead) throw new Error('connection refused');
     await gate.advance();
-    return guard.lookUpHandler.handle(question);
+    return guard.lookUpHandler.handle(request);
   }
 
-  /** Sends a request through the node at `address` without waiting for it. */
+  /** Sends a request through the node at `address` without waiting for its result. */
   send(address: string, options: ITestRequest = {}): ITestCall {
     const { guard, gate } = this.getNode(address);
     const request = makeRequest(this.clock, `caller-${this.calls.length}`, options);
     const guarded = {
       request,
       estimateRefusal: () => options.refusal,
-      run: () => this.target.serve(request, options.behavior ?? TargetBehavior.Answer, gate),
+      run: () => this.target.serve(request, options.behavior ?? TargetBehavior.Respond, gate),
     };
-    const answer = guard.execute(guarded, options.signal ?? new AbortController().signal);
+    const response = guard.execute(guarded, options.signal ?? new AbortController().signal);
     const call: ITestCall = {
       request,
       startMs: this.clock.getMonotonicTime(),
-      done: Promise.allSettled([answer]).then(([result]) => {
+      done: Promise.allSettled([response]).then(([result]) => {
         call.result = result;
         call.endMs = this.clock.getMonotonicTime();
       }),
@@ -129,47 +129,51 @@
     return call;
   }
 
-  /** Sends a request and runs the clock until it has its result. */
+  /** Sends a request and advances the clock until it has a result. */
   async execute(address: string, options: ITestRequest = {}): Promise<ITestCall> {
     const call = this.send(address, options);
     await this.finish(call);
     return call;
   }
 
-  /** Runs the clock until the call has its result. */
+  /** Advances the clock until the call has a result. */
   async finish(call: ITestCall, limitMs = 60_000): Promise<void> {
     const untilMs = this.clock.getMonotonicTime() + limitMs;
     while (call.result === undefined && this.clock.getMonotonicTime() < untilMs) {
       await this.clock.advanceBy(STEP_MS);
     }
-    assert.ok(call.result, 'the request got no result');
+    assert.ok(call.result, 'the request has no result');
   }
 
-  /** No key ran twice, and whatever callers were told is true. */
-  assertPromises(): void {
+  /** Asserts that no key ran twice and that every result matches the executions. */
+  assertInvariants(): void {
     for (const call of this.calls) {
       const executions = this.target.getExecutions(call.request);
       assert.ok(executions.length <= 1, `ran ${executions.length} times`);
-      if (call.result !== undefined) this.assertTruth(call);
+      if (call.result !== undefined) this.assertTruthful(call);
     }
     assert.equal(this.invariants.getViolations(InvariantName.AtMostOnce), 0);
     assert.equal(this.invariants.getViolations(InvariantName.TruthfulRefusal), 0);
   }
 
-  private assertTruth(call: ITestCall): void {
+  private assertTruthful(call: ITestCall): void {
     const executions = this.target.getExecutions(call.request);
     if (call.result?.status === 'fulfilled') {
-      assert.equal(readText(call), executions[0]?.answer, 'an answer is that of the execution');
+      assert.equal(
+        readText(call),
+        executions[0]?.response,
+        'the response is that of the execution',
+      );
       return;
     }
     const { code, runState } = getError(call);
-    if (runState === RunState.Ran) assert.equal(executions.length, 1, `${code} said ran`);
+    if (runState === RunState.Ran) assert.equal(executions.length, 1, `${code} reported as run`);
     if (runState !== RunState.NotRun) return;
-    const own = executions.filter(({ request }) => request === call.request.caller);
-    assert.equal(own.length, 0, `${code} said not run, and this request ran`);
-    if (CODES_OF_ONE_REQUEST.has(code)) return;
+    const ofThisRequest = executions.filter(({ request }) => request === call.request.caller);
+    assert.equal(ofThisRequest.length, 0, `${code} reported as not run, but this request ran`);
+    if (REQUEST_SCOPED_CODES.has(code)) return;
     const earlier = executions.filter(({ startMs }) => startMs < call.startMs);
-    assert.equal(earlier.length, 0, `${code} said not run of a key that had run`);
+    assert.equal(earlier.length, 0, `${code} reported as not run, but the key had run`);
   }
 
   private getNode(address: string): ITestNode {
@@ -179,7 +183,7 @@
   }
 }
 
-/** The answer's body as text. */
+/** Returns the response body as text. */
 export function readText(call: ITestCall): string {
   if (call.result?.status !== 'fulfilled') return `refused: ${String(call.result?.reason)}`;
   const { body } = call.result.value;
@@ -192,9 +196,9 @@
   return call.result.value.headers.some(([name]) => name === REPLAY_HEADER);
 }
 
-/** The error that a call was refused with. */
+/** Returns the error with which a call was refused. */
 export function getError(call: ITestCall): MuxError {
-  assert.equal(call.result?.status, 'rejected', 'was refused');
+  assert.equal(call.result?.status, 'rejected', 'the call was refused');
   const reason: unknown = call.result.reason;
   assert.ok(reason instanceof MuxError, String(reason));
   return reason;
