--- a/packages/node/src/admin/common/reservedAddresses.ts
+++ b/packages/node/src/admin/common/reservedAddresses.ts
@@ -6,7 +6,7 @@
 export interface IReservedAddressesInput {
   readonly platformUrl: string;
   /** This node's listening addresses, each "IP:port". */
-  readonly ownAddresses: readonly string[];
+  readonly localAddresses: readonly string[];
   readonly nodes: readonly INode[];
 }
 
@@ -24,9 +24,9 @@
   const url = new URL(input.platformUrl);
   const platform = `${url.hostname}:${url.port === '' ? (DEFAULT_PORTS[url.protocol] ?? '') : url.port}`;
   const peers = input.nodes.map((node) => node.address);
-  const known = [platform, ...input.ownAddresses, ...peers];
+  const known = [platform, ...input.localAddresses, ...peers];
   if (peers.every(isLoopbackAddress)) return known;
-  const ports = input.ownAddresses.map((address) => address.slice(address.lastIndexOf(':') + 1));
+  const ports = input.localAddresses.map((address) => address.slice(address.lastIndexOf(':') + 1));
   const hosts = peers.map((address) => address.slice(0, address.lastIndexOf(':')));
   return [...known, ...hosts.flatMap((host) => ports.map((port) => `${host}:${port}`))];
 }
--- a/packages/node/src/admin/node/createAdminApi.ts
+++ b/packages/node/src/admin/node/createAdminApi.ts
@@ -7,7 +7,7 @@
 import { PeerStatusProvider } from './peerStatusProvider.js';
 
 /** Options of {@link createAdminApi}. */
-export interface IAdminApiParts {
+export interface IAdminApiDependencies {
   readonly core: INodeCore;
   readonly claims: ClaimSettler;
   readonly clock: Clock;
@@ -27,7 +27,7 @@
  * @example
  * const server = new AdminServer(createAdminApi(parts));
  */
-export function createAdminApi(parts: IAdminApiParts): AdminApi {
+export function createAdminApi(parts: IAdminApiDependencies): AdminApi {
   const { core, clock, invariants, log } = parts;
   const { platform, random, membership, clients } = core;
   const plans = new PlanStore({
--- a/packages/node/src/app/common/configPacing.ts
+++ b/packages/node/src/app/common/configIntervals.ts
@@ -9,7 +9,7 @@
 const MAX_START_SPREAD_MS = 20_000;
 
 /** What the configuration's distributor asks before it waits. */
-export interface IConfigPacing {
+export interface IConfigIntervals {
   readonly pollMs: () => number;
   readonly startSpreadMs: () => number;
 }
@@ -20,7 +20,10 @@
  * @example
  * const config = new ConfigDistributor({ ...parts, ...makeConfigPacing(membership, 2000) });
  */
-export function makeConfigPacing(membership: MembershipService, baseMs: number): IConfigPacing {
+export function makeConfigIntervals(
+  membership: MembershipService,
+  baseMs: number,
+): IConfigIntervals {
   const computeInterval = (shortestMs: number, fleetPerSecond: number) => {
     const nodes = membership.getLiveNodes().length;
     return computeSharedInterval({ baseMs: shortestMs, nodes, fleetPerSecond });
--- a/packages/node/src/app/common/nodeState.ts
+++ b/packages/node/src/app/common/nodeState.ts
@@ -6,7 +6,7 @@
   Starting: 'starting',
   Serving: 'serving',
   /** Tells balancer and peers that it leaves, and finishes what runs. */
-  Leaving: 'leaving',
+  ShuttingDown: 'leaving',
   Stopped: 'stopped',
 } as const;
 
@@ -38,8 +38,8 @@
     this.didChangeStage.fire(stage);
   }
 
-  isLeaving(): boolean {
-    return this.stage === NodeStage.Leaving || this.stage === NodeStage.Stopped;
+  isShuttingDown(): boolean {
+    return this.stage === NodeStage.ShuttingDown || this.stage === NodeStage.Stopped;
   }
 
   getInFlight(): number {
--- a/packages/node/src/app/node/claimParts.ts
+++ b/packages/node/src/app/node/claimComponents.ts
@@ -17,8 +17,8 @@
 import type { Limits, Timing } from '@parsleymux/schema';
 import { ConnectClaimPeer } from '../../peer/node/connectClaimPeer.js';
 
-/** Options of {@link createClaimParts}. */
-export interface IClaimPartsOptions {
+/** Options of {@link createClaimComponents}. */
+export interface IClaimComponentsOptions {
   readonly store: DisposableStore;
   readonly platform: IPlatform;
   readonly clients: PeerClients;
@@ -36,7 +36,7 @@
 }
 
 /** The guard of dispatches, the operators' side of claims, and the remover of old ones. */
-export interface IClaimParts {
+export interface IClaimComponents {
   readonly guard: ClaimGuard;
   readonly admin: ClaimAdmin;
   readonly sweeper: ClaimSweeper;
@@ -48,13 +48,13 @@
  * @example
  * const { guard, admin, sweeper } = createClaimParts(options);
  */
-export function createClaimParts(options: IClaimPartsOptions): IClaimParts {
+export function createClaimComponents(options: IClaimComponentsOptions): IClaimComponents {
   const { platform, membership, clock, random, timing, store } = options;
   const { table } = platform;
   const committer = new GroupCommitter({ table, clock, random, groupMs: timing.claimGroupMs });
   const peer = new ConnectClaimPeer(options.clients);
   const isLive = (address: string) => membership.isListed(address);
-  const shared: ISharedParts = { committer, peer, isLive };
+  const shared: ISharedComponents = { committer, peer, isLive };
   return {
     guard: store.add(createGuard(options, shared)),
     admin: new ClaimAdmin({ clock, ...shared }),
@@ -62,13 +62,13 @@
   };
 }
 
-interface ISharedParts {
+interface ISharedComponents {
   readonly committer: GroupCommitter;
   readonly peer: ConnectClaimPeer;
   readonly isLive: (address: string) => boolean;
 }
 
-function createGuard(options: IClaimPartsOptions, shared: ISharedParts): ClaimGuard {
+function createGuard(options: IClaimComponentsOptions, shared: ISharedComponents): ClaimGuard {
   const { platform, clock, random, invariants, nodeAddress } = options;
   return new ClaimGuard({
     ...shared,
@@ -88,7 +88,7 @@
   });
 }
 
-function createSweeper(options: IClaimPartsOptions, committer: GroupCommitter): ClaimSweeper {
+function createSweeper(options: IClaimComponentsOptions, committer: GroupCommitter): ClaimSweeper {
   const { platform, membership, clock, random, nodeAddress } = options;
   return new ClaimSweeper({
     table: platform.table,
--- a/packages/node/src/app/node/main.ts
+++ b/packages/node/src/app/node/main.ts
@@ -23,7 +23,7 @@
   } catch (error) {
     const message = error instanceof Error ? error.message : String(error);
     output.write(`${message}\n${formatResult(ResultCode.SettingsInvalid)}\n`);
-    if (!(error instanceof SettingsError) && !isMissingFile(error)) throw error;
+    if (!(error instanceof SettingsError) && !isFileError(error)) throw error;
     return undefined;
   }
 }
@@ -34,7 +34,7 @@
   return `${BINARY_NAME}: result ${code} ${name}: ${action}`;
 }
 
-function isMissingFile(error: unknown): boolean {
+function isFileError(error: unknown): boolean {
   return typeof (error as { readonly code?: unknown }).code === 'string';
 }
 
--- a/packages/node/src/app/node/muxNode.ts
+++ b/packages/node/src/app/node/muxNode.ts
@@ -103,7 +103,7 @@
    */
   async stopGracefully(): Promise<number> {
     const { clock } = this.options;
-    this.state.setStage(NodeStage.Leaving);
+    this.state.setStage(NodeStage.ShuttingDown);
     // The balancer's view lags: until it has seen "not ready", new requests still come here, and
     // closing the port at once would refuse them at TCP, which callers can't tell from a fault.
     await clock.sleep(this.timing.shutdownNoticeMs);
@@ -113,7 +113,7 @@
     });
     const closed = this.callerServer?.dispose();
     await this.state.waitUntilIdle(limit.signal);
-    const cut = this.recordCut();
+    const cut = this.recordInterrupted();
     // Outcomes that the platform has not taken yet are known to this process alone.
     const flushed = this.core?.claims.guard.flush();
     await Promise.race([Promise.all([closed, flushed]), waitForAbort(limit.signal)]);
@@ -129,7 +129,7 @@
     await this.store.dispose();
   }
 
-  private recordCut(): number {
+  private recordInterrupted(): number {
     const cut = this.state.getInFlight();
     this.invariants.check(InvariantName.GracefulShutdown, cut === 0, () => `${cut} requests cut`);
     return cut;
@@ -167,7 +167,7 @@
       peers: core.peers,
       claims: core.claims.guard.lookUpHandler,
       transport: core.transport,
-      maxAnswerBytes: this.limits.answerBodyBytes,
+      maxResponseBytes: this.limits.answerBodyBytes,
       home: core.home,
       state: this.state,
       self,
@@ -222,7 +222,7 @@
       listReservedAddresses: () =>
         listReservedAddresses({
           platformUrl: settings.platformUrl,
-          ownAddresses: [...ownAddresses, settings.adminAddress],
+          localAddresses: [...ownAddresses, settings.adminAddress],
           nodes: core.membership.getLiveNodes(),
         }),
     });
@@ -243,7 +243,7 @@
     ]);
     core.config.waitForReady(signal).then(
       () => {
-        if (!this.state.isLeaving()) this.state.setStage(NodeStage.Serving);
+        if (!this.state.isShuttingDown()) this.state.setStage(NodeStage.Serving);
       },
       () => undefined,
     );
--- a/packages/node/src/app/node/nodeCore.ts
+++ b/packages/node/src/app/node/nodeCore.ts
@@ -20,13 +20,13 @@
 import type { NodeMetrics } from '../../metrics/node/nodeMetrics.js';
 import { LivePeerSource } from '../../peer/node/connectConfigPeer.js';
 import { ConnectTargetObserver } from '../../peer/node/connectTargetObserver.js';
-import { makeConfigPacing } from '../common/configPacing.js';
+import { makeConfigIntervals } from '../common/configIntervals.js';
 import { findConnectionShare } from '../common/connectionShare.js';
 import type { ITlsMaterial } from '../../tls/node/tlsFilesWatcher.js';
 import type { IPortTls } from '../../tls/node/portTls.js';
 import type { NodeState } from '../common/nodeState.js';
-import type { IClaimParts } from './claimParts.js';
-import { createClaimParts } from './claimParts.js';
+import type { IClaimComponents } from './claimComponents.js';
+import { createClaimComponents } from './claimComponents.js';
 
 const MAX_SEED = 0x7fff_ffff;
 
@@ -54,7 +54,7 @@
   readonly peers: LivePeerSource;
   readonly config: ConfigDistributor;
   readonly transport: HttpTargetTransport;
-  readonly claims: IClaimParts;
+  readonly claims: IClaimComponents;
   readonly home: LocalHomeService;
   readonly router: HomeRouter;
   readonly hopServer: HopServer;
@@ -69,10 +69,10 @@
  * await core.store.dispose();
  */
 export function createNodeCore(options: INodeCoreOptions): INodeCore {
-  const fleet = createFleetParts(options);
-  const parts: ICoreParts = { ...options, ...fleet };
+  const fleet = createFleetComponents(options);
+  const parts: ICoreComponents = { ...options, ...fleet };
   const transport = createTransport(parts);
-  const claims = createClaimParts({
+  const claims = createClaimComponents({
     ...parts,
     transport,
     registry: options.metrics.registry,
@@ -85,14 +85,14 @@
 }
 
 /** The platform's client, and what this node knows through it and through its peers. */
-type IFleetParts = Pick<
+type IFleetComponents = Pick<
   INodeCore,
   'store' | 'random' | 'platform' | 'membership' | 'clients' | 'peers' | 'config'
 >;
 
-type ICoreParts = INodeCoreOptions & IFleetParts;
+type ICoreComponents = INodeCoreOptions & IFleetComponents;
 
-function createFleetParts(options: INodeCoreOptions): IFleetParts {
+function createFleetComponents(options: INodeCoreOptions): IFleetComponents {
   const { self, clock, authenticator } = options;
   const store = new DisposableStore();
   const random = new SeededRandom(randomInt(MAX_SEED));
@@ -117,7 +117,7 @@
 
 function createConfig(
   options: INodeCoreOptions,
-  sources: Pick<IFleetParts, 'platform' | 'peers' | 'random' | 'membership'>,
+  sources: Pick<IFleetComponents, 'platform' | 'peers' | 'random' | 'membership'>,
 ): ConfigDistributor {
   const { clock, invariants, timing } = options;
   const { membership, ...rest } = sources;
@@ -125,12 +125,12 @@
     ...rest,
     clock,
     invariants,
-    ...makeConfigPacing(membership, timing.configPollMs),
+    ...makeConfigIntervals(membership, timing.configPollMs),
     isolationLimitMs: timing.isolationLimitMs,
   });
 }
 
-function createTransport(parts: ICoreParts): HttpTargetTransport {
+function createTransport(parts: ICoreComponents): HttpTargetTransport {
   const { clock, invariants, config, metrics } = parts;
   return parts.store.add(
     new HttpTargetTransport({
@@ -144,7 +144,7 @@
   );
 }
 
-function createHopServer(parts: ICoreParts, home: LocalHomeService): HopServer {
+function createHopServer(parts: ICoreComponents, home: LocalHomeService): HopServer {
   const { clock, config, state } = parts;
   return new HopServer({
     clock,
@@ -157,7 +157,7 @@
 }
 
 function createHome(
-  parts: ICoreParts,
+  parts: ICoreComponents,
   transport: HttpTargetTransport,
   guard: DispatchGuard,
 ): LocalHomeService {
@@ -183,7 +183,7 @@
   );
 }
 
-function createRouter(parts: ICoreParts, home: LocalHomeService): HomeRouter {
+function createRouter(parts: ICoreComponents, home: LocalHomeService): HomeRouter {
   const { clock, authenticator, membership, config, metrics, store } = parts;
   const hop = store.add(new HopClient({ clock, authenticator, tls: parts.tls.peer }));
   const placement = new RendezvousPlacement();
@@ -191,7 +191,7 @@
   store.add(
     membership.onDidChange((nodes) => {
       placement.setNodes(nodes);
-      hop.closeAbsent(nodes.map(({ address }) => address));
+      hop.closeRemovedPeers(nodes.map(({ address }) => address));
     }),
   );
   return new HomeRouter({
@@ -202,7 +202,7 @@
     hop,
     home,
     self: parts.self.address,
-    isLeaving: () => parts.state.isLeaving(),
+    isShuttingDown: () => parts.state.isShuttingDown(),
     isStale: () => config.isStale(),
     onDidTry: (outcome) => {
       metrics.recordHopTry(outcome);
--- a/packages/node/src/entry/common/homeFailover.test.ts
+++ b/packages/node/src/entry/common/homeFailover.test.ts
@@ -34,7 +34,7 @@
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Killed;
   for (let request = 0; request < 10; request += 1) {
-    const { tookMs, tried } = await fleet.serve(entry);
+    const { latencyMs: tookMs, tried } = await fleet.serve(entry);
     assert.equal(tried.at(-1), next.address);
     assert.equal(tried.length, request < 2 ? 2 : 1);
     assert.ok(tookMs <= 10);
@@ -48,7 +48,7 @@
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Paused;
   const times = [];
-  for (let request = 0; request < 4; request += 1) times.push((await fleet.serve(entry)).tookMs);
+  for (let request = 0; request < 4; request += 1) times.push((await fleet.serve(entry)).latencyMs);
   assert.ok(times[0]! >= 800 && times[1]! >= 800);
   assert.ok(times[2]! <= 10 && times[3]! <= 10);
   assert.equal(next.home.served, 4);
@@ -72,7 +72,7 @@
   // Sequence: answers from the home to this entry are lost; the home's own calls get through.
   // Cause: taking what is heard for contact. Only completed exchanges count.
   const { fleet, home, next, entry } = await openFleet(context);
-  fleet.cuts.add(`${home.address} ${entry.address}`);
+  fleet.partitions.add(`${home.address} ${entry.address}`);
   await countTries(fleet, entry, home, 2);
   const { tried } = await fleet.serve(entry);
   assert.deepEqual(tried, [next.address]);
@@ -96,7 +96,7 @@
   // Symptom: requests bounce off a leaving node until the list drops it. Sequence: SIGTERM; the
   // list lags. Cause: its own word not believed.
   const { fleet, home, next, entry } = await openFleet(context);
-  home.condition = NodeCondition.Leaving;
+  home.condition = NodeCondition.ShuttingDown;
   assert.deepEqual((await fleet.serve(entry)).tried, [home.address, next.address]);
   assert.deepEqual((await fleet.serve(entry)).tried, [next.address]);
 });
@@ -110,7 +110,7 @@
   const third = fleet.listCandidates()[2]!;
   let detours = 0;
   for (let second = 0; second < 120; second += 1) {
-    const { tookMs, tried } = await fleet.serve(entry);
+    const { latencyMs: tookMs, tried } = await fleet.serve(entry);
     assert.ok(tookMs <= 10);
     if (tried.length > 1) detours += 1;
     await fleet.clock.advanceBy(1000);
@@ -130,7 +130,7 @@
     const passedMs = fleet.clock.getMonotonicTime() - startMs;
     if (passedMs >= 120_000) break;
     home.condition = passedMs % 2000 < 1000 ? NodeCondition.Paused : NodeCondition.Up;
-    const { tookMs } = await fleet.serve(entry);
+    const { latencyMs: tookMs } = await fleet.serve(entry);
     const minute = passedMs < 60_000 ? 0 : 1;
     if (tookMs > 100) slow[minute]! += 1;
     await fleet.clock.advanceBy(50);
--- a/packages/node/src/entry/common/homeRouter.test.ts
+++ b/packages/node/src/entry/common/homeRouter.test.ts
@@ -157,7 +157,7 @@
     hop,
     home,
     self: SELF,
-    isLeaving: () => isLeaving,
+    isShuttingDown: () => isLeaving,
     isStale: () => isStale,
   });
   const serve = () => router.serve(REQUEST, new AbortController().signal);
@@ -201,7 +201,7 @@
 
 test('a refusal stays "not run" when no home can have the request', async () => {
   const gone = new HopError(HopFailure.NotDelivered, 'refused');
-  const leaving = new HopError(HopFailure.Leaving, 'leaving');
+  const leaving = new HopError(HopFailure.ShuttingDown, 'leaving');
   const behind = new HopError(HopFailure.Behind, 'behind');
   const { membership, serve } = createFixture(
     ['a:1', 'b:1', 'c:1'],
--- a/packages/node/src/entry/common/homeRouter.ts
+++ b/packages/node/src/entry/common/homeRouter.ts
@@ -24,7 +24,7 @@
   /** Peer address of this node. */
   readonly self: string;
   /** Whether this node is on its way out of the fleet. */
-  readonly isLeaving: () => boolean;
+  readonly isShuttingDown: () => boolean;
   /** Whether word of the configuration is late here. */
   readonly isStale: () => boolean;
   /** Called for each exchange with a home, for metrics. */
@@ -52,17 +52,17 @@
     let mayHaveReached = false;
     for (const candidate of this.listCandidates(request)) {
       if (candidate === this.options.self) {
-        if (!this.options.isLeaving() && !this.options.isStale()) break;
+        if (!this.options.isShuttingDown() && !this.options.isStale()) break;
         // The other entries have gone on to the next candidate; serving here as well would make
         // two homes that each count only their own share of the targets' slots.
         continue;
       }
       const outcome = await this.tryPeer(candidate, request, signal, mayHaveReached);
       if (!(outcome instanceof HopError)) return outcome;
-      mayHaveReached ||= outcome.hasPossiblyReached();
+      mayHaveReached ||= outcome.isPossiblyDelivered();
     }
     this.options.onDidTry?.('local');
-    return this.serveHere(request, signal, mayHaveReached);
+    return this.serveLocally(request, signal, mayHaveReached);
   }
 
   private listCandidates(request: IRoutedRequest): readonly string[] {
@@ -85,7 +85,7 @@
       const outcome = await this.tryOnce(peer, request, signal, mayHaveReached);
       if (!(outcome instanceof HopError)) return outcome;
       last = outcome;
-      mayHaveReached ||= outcome.hasPossiblyReached();
+      mayHaveReached ||= outcome.isPossiblyDelivered();
       if (outcome.failure !== HopFailure.Lost) break;
       this.options.hop.retireConnections(peer);
     }
@@ -115,19 +115,19 @@
       if (error instanceof MuxError) {
         this.options.membership.recordContact(peer);
         this.options.onDidTry?.('answered');
-        throw withPossibleReach(error, mayHaveReached);
+        throw withPossibleDelivery(error, mayHaveReached);
       }
       throw error;
     }
   }
 
   private recordOutcome(peer: string, error: HopError): void {
-    if (error.failure === HopFailure.Leaving) this.options.membership.recordShutdown(peer);
+    if (error.failure === HopFailure.ShuttingDown) this.options.membership.recordShutdown(peer);
     else if (error.failure === HopFailure.Behind) this.options.membership.recordContact(peer);
     else this.options.membership.recordFailure(peer);
   }
 
-  private async serveHere(
+  private async serveLocally(
     request: IRoutedRequest,
     signal: AbortSignal,
     mayHaveReached: boolean,
@@ -135,7 +135,7 @@
     try {
       return await this.options.home.handle(request, signal);
     } catch (error) {
-      throw error instanceof MuxError ? withPossibleReach(error, mayHaveReached) : error;
+      throw error instanceof MuxError ? withPossibleDelivery(error, mayHaveReached) : error;
     }
   }
 
@@ -149,6 +149,6 @@
  * A home that fell silent may still hold the request and run it later. A refusal "not run" by
  * the next home would then be false; the caller would learn of it only from a second booking.
  */
-function withPossibleReach(error: MuxError, mayHaveReached: boolean): MuxError {
+function withPossibleDelivery(error: MuxError, mayHaveReached: boolean): MuxError {
   return mayHaveReached ? error.toMayHaveRun() : error;
 }
--- a/packages/node/src/entry/node/callerConnections.test.ts
+++ b/packages/node/src/entry/node/callerConnections.test.ts
@@ -12,13 +12,13 @@
 import { generate } from 'selfsigned';
 import { CallerConnections } from './callerConnections.js';
 
-interface IBench {
+interface IFixture {
   readonly port: number;
   readonly refused: Code[];
   countConnections(): Promise<number>;
 }
 
-async function openBench(t: TestContext, server: Server, limit: number): Promise<IBench> {
+async function openFixture(t: TestContext, server: Server, limit: number): Promise<IFixture> {
   const refused: Code[] = [];
   const connections = new CallerConnections({
     server,
@@ -55,7 +55,7 @@
 }
 
 test('over TLS the limit of connections is met with a number as well', async (t) => {
-  const bench = await openBench(t, await openTlsServer(), 1);
+  const bench = await openFixture(t, await openTlsServer(), 1);
   const options = { port: bench.port, host: '127.0.0.1', rejectUnauthorized: false };
   const first = connectTls(options);
   await once(first, 'secureConnect');
@@ -69,7 +69,7 @@
 });
 
 test('plain text on a TLS port ends the connection and nothing else', async (t) => {
-  const bench = await openBench(t, await openTlsServer(), 10);
+  const bench = await openFixture(t, await openTlsServer(), 10);
   const socket = connect({ port: bench.port, host: '127.0.0.1' });
   socket.on('error', () => undefined);
   socket.write('GET / HTTP/1.1\r\nhost: x\r\n\r\n');
@@ -84,7 +84,7 @@
   // Symptom: connections pile up that carry nothing, until no caller gets one.
   // Sequence: a caller sends what is no HTTP, is refused, and neither reads nor closes.
   // Cause: ending the node's side leaves a connection half open for as long as the caller likes.
-  const bench = await openBench(t, createServer(), 10);
+  const bench = await openFixture(t, createServer(), 10);
   const socket = connect({ port: bench.port, host: '127.0.0.1', allowHalfOpen: true });
   socket.on('error', () => undefined);
   socket.write('GARBAGE\r\n\r\n');
--- a/packages/node/src/entry/node/callerConnections.ts
+++ b/packages/node/src/entry/node/callerConnections.ts
@@ -8,7 +8,7 @@
 import { writeRawRefusal } from './refusalWriter.js';
 
 /** Connections above the limit that still get an answer; beyond them the system drops. */
-const ANSWERED_ABOVE_LIMIT = 64;
+const REFUSED_ABOVE_LIMIT = 64;
 
 /** Options of a {@link CallerConnections}. */
 export interface ICallerConnectionsOptions {
@@ -35,7 +35,7 @@
   constructor(options: ICallerConnectionsOptions) {
     this.options = options;
     const { server, limit } = options;
-    server.maxConnections = limit + ANSWERED_ABOVE_LIMIT;
+    server.maxConnections = limit + REFUSED_ABOVE_LIMIT;
     // Requests over TLS come on the socket of this event, not on that of the TCP connection.
     const event = server instanceof TlsServer ? 'secureConnection' : 'connection';
     server.on(event, (socket: Socket) => {
@@ -72,7 +72,7 @@
   }
 
   /** Whether a request that arrived whole, and so may run, waits for its answer. */
-  private hasWholeRequest(socket: Duplex): boolean {
+  private hasCompleteRequest(socket: Duplex): boolean {
     return [...(this.inFlight.get(socket) ?? [])].some(({ complete }) => complete);
   }
 
@@ -94,7 +94,7 @@
     // A caller matches answers to requests by their order alone. While a request of this
     // connection has no answer, a refusal of what came behind it would be read as its answer:
     // "not run", though it may run. A cut connection claims nothing.
-    if (this.hasWholeRequest(socket) || isShakingHands(socket)) socket.destroy();
+    if (this.hasCompleteRequest(socket) || isHandshaking(socket)) socket.destroy();
     else writeRawRefusal(socket, createRefusal(code, message));
   }
 }
@@ -102,6 +102,6 @@
 const TLS_VERSIONS: ReadonlySet<string> = new Set(['TLSv1.2', 'TLSv1.3']);
 
 /** Without a session nothing that is written can be read; the socket would wait for ever. */
-function isShakingHands(socket: Duplex): boolean {
+function isHandshaking(socket: Duplex): boolean {
   return socket instanceof TLSSocket && !TLS_VERSIONS.has(socket.getProtocol() ?? '');
 }
--- a/packages/node/src/entry/node/callerRequestReader.ts
+++ b/packages/node/src/entry/node/callerRequestReader.ts
@@ -45,7 +45,7 @@
     headers: listEndToEndHeaders(request.rawHeaders),
     body: await readBody(request, options.maxBodyBytes),
     deadlineMs: options.startedMs + timeoutMs,
-    caller: getCaller(request),
+    caller: getCallerAddress(request),
     idempotencyKey,
   };
 }
@@ -63,7 +63,7 @@
 }
 
 /** The address that the platform's balancer saw, or the connection's own. */
-function getCaller(request: IncomingMessage): string {
+function getCallerAddress(request: IncomingMessage): string {
   const forwarded = request.headers['x-forwarded-for'];
   const last = typeof forwarded === 'string' ? forwarded.split(',').at(-1)?.trim() : undefined;
   return last ?? request.socket.remoteAddress ?? '';
--- a/packages/node/src/entry/node/callerServer.test.ts
+++ b/packages/node/src/entry/node/callerServer.test.ts
@@ -51,16 +51,16 @@
   }
 }
 
-interface IBench {
+interface IFixture {
   readonly state: NodeState;
   openCaller(version?: string): Promise<Socket>;
 }
 
-async function openBench(
+async function openFixture(
   t: TestContext,
   makeBody: () => ResponseBody,
   stage: NodeStage = NodeStage.Serving,
-): Promise<IBench> {
+): Promise<IFixture> {
   const state = new NodeState();
   state.setStage(stage);
   const serve = (): Promise<IResponse> => {
@@ -126,7 +126,7 @@
   // Symptom: a node's memory grows with callers that read nothing, and it never finishes leaving.
   // Sequence: callers ask for large answers and stop reading; each answer waits in memory.
   // Cause: a write waits for its reader without any limit.
-  const bench = await openBench(t, () => Buffer.alloc(LARGE_BYTES));
+  const bench = await openFixture(t, () => Buffer.alloc(LARGE_BYTES));
   const socket = await bench.openCaller();
   socket.pause();
   while (bench.state.getInFlight() === 0) await new Promise((resolve) => setImmediate(resolve));
@@ -136,7 +136,7 @@
 });
 
 test('a caller that reads slowly but steadily gets its whole answer', async (t) => {
-  const bench = await openBench(t, () => Buffer.alloc(8 * 1024 * 1024, 'x'));
+  const bench = await openFixture(t, () => Buffer.alloc(8 * 1024 * 1024, 'x'));
   const socket = await bench.openCaller();
   let received = 0;
   socket.on('data', (chunk: Buffer) => {
@@ -152,7 +152,7 @@
   // Symptom: a caller keeps half a cut list as if it were whole.
   // Sequence: the head of a streamed answer is out when the target's connection breaks.
   // Cause: ending the response in good order writes the mark of a whole chunked body.
-  const bench = await openBench(t, async function* () {
+  const bench = await openFixture(t, async function* () {
     yield Buffer.from('half');
     // So that the head and the first half are with the caller.
     await new Promise((resolve) => setTimeout(resolve, 50));
@@ -165,7 +165,7 @@
 });
 
 test('a streamed answer to HTTP/1.0 is refused, for its end could not be told from a cut', async (t) => {
-  const bench = await openBench(t, async function* () {
+  const bench = await openFixture(t, async function* () {
     yield Buffer.from('half');
     await Promise.resolve();
   });
@@ -178,7 +178,7 @@
   // Symptom: streamed answers of slow targets are cut though their callers read at once.
   // Sequence: the target sends the first part, works on, and sends the rest.
   // Cause: a limit on the connection's silence that does not ask whose silence it is.
-  const bench = await openBench(t, async function* () {
+  const bench = await openFixture(t, async function* () {
     yield Buffer.from('first');
     await new Promise((resolve) => setTimeout(resolve, STALL_MS * 3));
     yield Buffer.from('second');
@@ -190,7 +190,7 @@
 test('a streamed answer is read from its source only as fast as the caller reads', async (t) => {
   let taken = 0;
   const chunk = Buffer.alloc(64 * 1024);
-  const bench = await openBench(t, async function* () {
+  const bench = await openFixture(t, async function* () {
     while (taken < LARGE_BYTES) {
       taken += chunk.length;
       yield chunk;
@@ -209,7 +209,7 @@
   // Symptom: during a rolling replacement some callers get 404 for a host that exists.
   // Sequence: a fresh node opens its port; a lagging balancer sends it callers at once.
   // Cause: an empty table of routes looked like one without the caller's host.
-  const bench = await openBench(t, () => Buffer.alloc(1), NodeStage.Starting);
+  const bench = await openFixture(t, () => Buffer.alloc(1), NodeStage.Starting);
   const text = await readToEnd(await bench.openCaller());
   assert.match(text, /^HTTP\/1\.1 503 /);
   assert.match(text, new RegExp(`parsleymux-result: ${ResultCode.NotReady}\r\n`));
--- a/packages/node/src/entry/node/callerServer.ts
+++ b/packages/node/src/entry/node/callerServer.ts
@@ -11,8 +11,8 @@
 import { NodeStage } from '../../app/common/nodeState.js';
 import { HeaderName } from '../../http/common/headers.js';
 import { createRefusal, toMuxError } from '../../http/common/refusal.js';
-import { waitForEnd, writeAnswer } from '../../http/node/bodyWriter.js';
-import { createHangUpSignal } from '../../http/node/hangUpSignal.js';
+import { waitForEnd, writeResponse } from '../../http/node/bodyWriter.js';
+import { createDisconnectSignal } from '../../http/node/disconnectSignal.js';
 import type { NodeMetrics } from '../../metrics/node/nodeMetrics.js';
 import { createHttpServer } from '../../tls/node/httpServerFactory.js';
 import type { TlsFilesWatcher } from '../../tls/node/tlsFilesWatcher.js';
@@ -116,7 +116,7 @@
     const startedMs = this.options.clock.getMonotonicTime();
     const finish = this.options.state.startRequest();
     const leaveConnection = this.connections.startRequest(request);
-    const signal = createHangUpSignal(response, 'the caller hung up');
+    const signal = createDisconnectSignal(response, 'the caller hung up');
     let match: IRouteMatch | undefined;
     let code: ResultCode = ResultCode.Ok;
     let releaseShares: (() => void) | undefined;
@@ -128,9 +128,9 @@
       const routed = await this.readRequest(request, match, startedMs);
       const answer = await this.options.router.serve(routed, signal);
       code = answer.code;
-      await this.writeAnswer(request, response, answer);
+      await this.sendResponse(request, response, answer);
     } catch (error) {
-      const refusal = signal.aborted ? createCallerGone(error) : toMuxError(error);
+      const refusal = signal.aborted ? createCallerDisconnected(error) : toMuxError(error);
       code = refusal.code;
       await this.writeRefusal(request, response, refusal);
     } finally {
@@ -194,7 +194,7 @@
     });
   }
 
-  private async writeAnswer(
+  private async sendResponse(
     request: IncomingMessage,
     response: ServerResponse,
     answer: IResponse,
@@ -208,7 +208,7 @@
       ...this.listClosingHeaders(),
     ];
     const isHead = request.method === 'HEAD';
-    await writeAnswer(response, { status: answer.status, headers, body: answer.body, isHead });
+    await writeResponse(response, { status: answer.status, headers, body: answer.body, isHead });
   }
 
   private async writeRefusal(
@@ -234,7 +234,7 @@
 
   /** A node that leaves asks callers to come back on another connection, hence another node. */
   private listClosingHeaders(): readonly Header[] {
-    return this.options.state.isLeaving() ? [['connection', 'close']] : [];
+    return this.options.state.isShuttingDown() ? [['connection', 'close']] : [];
   }
 }
 
@@ -256,7 +256,7 @@
   });
 }
 
-function createCallerGone(cause: unknown): MuxError {
+function createCallerDisconnected(cause: unknown): MuxError {
   return new MuxError({
     code: ResultCode.CallerGone,
     message: 'the caller hung up',
--- a/packages/node/src/entry/node/entryShares.ts
+++ b/packages/node/src/entry/node/entryShares.ts
@@ -28,11 +28,11 @@
   /** Throws MemberLimit when the member's share is used up. Calling the result gives it back. */
   reserve(member: string, request: IncomingMessage): () => void {
     const releaseRequest = this.requests.reserve(member, 1);
-    if (releaseRequest === undefined) throw makeMemberLimit('requests');
+    if (releaseRequest === undefined) throw createMemberLimitError('requests');
     const releaseBytes = this.bytes.reserve(member, this.estimateBytes(request));
     if (releaseBytes === undefined) {
       releaseRequest();
-      throw makeMemberLimit('bytes of request bodies');
+      throw createMemberLimitError('bytes of request bodies');
     }
     return () => {
       releaseRequest();
@@ -47,7 +47,7 @@
   }
 }
 
-function makeMemberLimit(what: string): MuxError {
+function createMemberLimitError(what: string): MuxError {
   return createRefusal(
     ResultCode.MemberLimit,
     `the member has too many ${what} in hand on this node`,
--- a/packages/node/src/entry/node/refusalWriter.ts
+++ b/packages/node/src/entry/node/refusalWriter.ts
@@ -6,7 +6,7 @@
 import type { Header } from '@parsleymux/routing';
 import { HeaderName } from '../../http/common/headers.js';
 import type { IRefusalBody } from '../../http/common/refusal.js';
-import { writeAnswer } from '../../http/node/bodyWriter.js';
+import { writeResponse } from '../../http/node/bodyWriter.js';
 
 /** Time that a caller has to read the refusal of what was no request, in ms. */
 const LINGER_MS = 1000;
@@ -32,7 +32,7 @@
   if (hasUnreadBody(request)) headers.push(['connection', 'close']);
   const status = getResultInfo(refusal.code).httpStatus;
   const body = Buffer.from(JSON.stringify(createRefusalBody(refusal)));
-  await writeAnswer(response, { status, headers, body, isHead: request.method === 'HEAD' });
+  await writeResponse(response, { status, headers, body, isHead: request.method === 'HEAD' });
 }
 
 /**
--- a/packages/node/src/entry/test/failoverFleet.ts
+++ b/packages/node/src/entry/test/failoverFleet.ts
@@ -26,7 +26,7 @@
   Killed: 'killed',
   /** Its process is stopped: connections open and nothing answers. */
   Paused: 'paused',
-  Leaving: 'leaving',
+  ShuttingDown: 'leaving',
 } as const;
 
 export type NodeCondition = (typeof NodeCondition)[keyof typeof NodeCondition];
@@ -113,7 +113,7 @@
       hop: new TestHop(fleet, address),
       home: this.home,
       self: address,
-      isLeaving: () => this.condition === NodeCondition.Leaving,
+      isShuttingDown: () => this.condition === NodeCondition.ShuttingDown,
       isStale: () => false,
     });
     this.running = this.membership.run(this.abort.signal);
@@ -127,8 +127,8 @@
 }
 
 /** What one request met. */
-export interface IServed {
-  readonly tookMs: number;
+export interface IServedRequest {
+  readonly latencyMs: number;
   /** Hops that were tried, in order. */
   readonly tried: readonly string[];
 }
@@ -147,7 +147,7 @@
   readonly nodes = new Map<string, FailoverNode>();
   readonly random = new SeededRandom(9);
   /** Cut one-way paths, as "from to". */
-  readonly cuts = new Set<string>();
+  readonly partitions = new Set<string>();
   tried: string[] = [];
 
   static async open(count: number): Promise<FailoverFleet> {
@@ -188,7 +188,7 @@
   }
 
   /** Serves one request that came to `entry`, advancing the clock until it is answered. */
-  async serve(entry: FailoverNode): Promise<IServed> {
+  async serve(entry: FailoverNode): Promise<IServedRequest> {
     const startMs = this.clock.getMonotonicTime();
     this.tried = [];
     let answer: IResponse | undefined;
@@ -197,7 +197,7 @@
     });
     while (answer === undefined) await this.clock.advanceBy(1);
     await done;
-    return { tookMs: this.clock.getMonotonicTime() - startMs, tried: this.tried };
+    return { latencyMs: this.clock.getMonotonicTime() - startMs, tried: this.tried };
   }
 
   async stop(): Promise<void> {
@@ -216,7 +216,7 @@
   }
 
   override async send(peer: string): Promise<IResponse> {
-    const { clock, cuts, random } = this.fleet;
+    const { clock, partitions: cuts, random } = this.fleet;
     this.fleet.tried.push(peer);
     const node = this.fleet.getNode(peer);
     if (node.condition === NodeCondition.Killed) {
@@ -230,8 +230,8 @@
       throw new HopError(HopFailure.Lost, 'no heartbeat');
     }
     await clock.sleep(HOP_MS);
-    if (node.condition === NodeCondition.Leaving) {
-      throw new HopError(HopFailure.Leaving, 'leaving');
+    if (node.condition === NodeCondition.ShuttingDown) {
+      throw new HopError(HopFailure.ShuttingDown, 'leaving');
     }
     return node.home.handle();
   }
--- a/packages/node/src/hop/common/hopError.ts
+++ b/packages/node/src/hop/common/hopError.ts
@@ -8,7 +8,7 @@
   /** No heartbeat in time, or the connection broke: the request may have been delivered. */
   Lost: 'lost',
   /** The home says that it is leaving and did not take the request. */
-  Leaving: 'leaving',
+  ShuttingDown: 'leaving',
   /** The home's configuration is older than the entry's and it did not take the request. */
   Behind: 'behind',
 } as const;
@@ -31,7 +31,7 @@
   }
 
   /** Whether the home may have taken the request. */
-  hasPossiblyReached(): boolean {
+  isPossiblyDelivered(): boolean {
     return this.failure === HopFailure.Lost;
   }
 }
--- a/packages/node/src/hop/common/hopProtocol.ts
+++ b/packages/node/src/hop/common/hopProtocol.ts
@@ -37,6 +37,6 @@
 } as const;
 
 /** Whether the home answers with the target's answer or refuses. */
-export const HopKind = { Answer: 'answer', Refusal: 'refusal' } as const;
+export const HopKind = { Response: 'answer', Refusal: 'refusal' } as const;
 
 export type HopKind = (typeof HopKind)[keyof typeof HopKind];
--- a/packages/node/src/hop/node/hopClient.test.ts
+++ b/packages/node/src/hop/node/hopClient.test.ts
@@ -14,7 +14,7 @@
 
 const clock = new SystemClock();
 
-async function openHop(t: TestContext, listener: RequestListener) {
+async function openHopServer(t: TestContext, listener: RequestListener) {
   const server = createServer(listener);
   const peer = await listenOn(server, '127.0.0.1:0');
   const authenticator = new PeerAuthenticator({ keys: [], clock, selfAddress: '127.0.0.1:1' });
@@ -47,11 +47,11 @@
   };
 }
 
-function writeAs(response: ServerResponse, exchange: string, text: string): void {
+function writeResponseTo(response: ServerResponse, exchange: string, text: string): void {
   response.writeHead(200, {
     [HopHeader.Code]: '0',
     [HopHeader.RunState]: 'ran',
-    [HopHeader.Kind]: HopKind.Answer,
+    [HopHeader.Kind]: HopKind.Response,
     [HopHeader.Exchange]: exchange,
     'content-length': text.length,
   });
@@ -62,7 +62,7 @@
   return String(request.headers[HopHeader.Exchange]);
 }
 
-async function takeFailure(run: Promise<unknown>): Promise<HopFailure> {
+async function getFailure(run: Promise<unknown>): Promise<HopFailure> {
   const outcome: unknown = await run.catch((error: unknown) => error);
   assert.ok(outcome instanceof HopError, `expected a HopError, got ${String(outcome)}`);
   return outcome.failure;
@@ -73,36 +73,36 @@
   // Sequence: a home answers two requests in the wrong order, each on the other's connection.
   // Cause: HTTP/1.1 has no identifier of its own; both answers are whole and well-formed.
   const held: [IncomingMessage, ServerResponse][] = [];
-  const send = await openHop(t, (request, response) => {
+  const send = await openHopServer(t, (request, response) => {
     held.push([request, response]);
     if (held.length < 2) return;
     const [first, second] = held;
-    writeAs(second![1], getExchange(first![0]), 'to first');
-    writeAs(first![1], getExchange(second![0]), 'to second');
+    writeResponseTo(second![1], getExchange(first![0]), 'to first');
+    writeResponseTo(first![1], getExchange(second![0]), 'to second');
   });
-  const failures = await Promise.all([takeFailure(send('/first')), takeFailure(send('/second'))]);
+  const failures = await Promise.all([getFailure(send('/first')), getFailure(send('/second'))]);
   assert.deepEqual(failures, [HopFailure.Lost, HopFailure.Lost]);
 });
 
 test('an answer that is cut anywhere is a lost exchange, not a short answer', async (t) => {
-  const send = await openHop(t, (request, response) => {
+  const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
-      [HopHeader.Kind]: HopKind.Answer,
+      [HopHeader.Kind]: HopKind.Response,
       [HopHeader.Exchange]: getExchange(request),
       'content-length': 10,
     });
     response.write('half');
     setImmediate(() => response.destroy());
   });
-  assert.equal(await takeFailure(send('/')), HopFailure.Lost);
+  assert.equal(await getFailure(send('/')), HopFailure.Lost);
 });
 
 test('a streamed answer that is cut throws after what came', async (t) => {
-  const send = await openHop(t, (request, response) => {
+  const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
-      [HopHeader.Kind]: HopKind.Answer,
+      [HopHeader.Kind]: HopKind.Response,
       [HopHeader.Exchange]: getExchange(request),
       [HopHeader.Streamed]: '1',
     });
--- a/packages/node/src/hop/node/hopClient.ts
+++ b/packages/node/src/hop/node/hopClient.ts
@@ -22,7 +22,7 @@
 /** Longest wait for the first heartbeat. Loopback and one domain crossing take a few ms. */
 const DEFAULT_FIRST_HEARTBEAT_MS = 400;
 /** Missed heartbeats after which a home counts as lost. */
-const MISSED_HEARTBEATS = 3;
+const MAX_MISSED_HEARTBEATS = 3;
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -90,7 +90,7 @@
       });
       watch.recordHeartbeat();
       checkExchange(answer, exchange);
-      return await this.readAnswer(answer, watch);
+      return await this.readResponse(answer, watch);
     } catch (error) {
       throw toHopError(error, signal);
     } finally {
@@ -106,7 +106,7 @@
   }
 
   /** Closes what leads to nodes that are not among `peers`: with every replaced VM one is left. */
-  closeAbsent(peers: readonly string[]): void {
+  closeRemovedPeers(peers: readonly string[]): void {
     const present = new Set(peers);
     for (const peer of this.pools.keys()) {
       if (!present.has(peer)) this.retireConnections(peer);
@@ -151,7 +151,7 @@
     return headers;
   }
 
-  private async readAnswer(
+  private async readResponse(
     answer: Dispatcher.ResponseData,
     watch: HeartbeatWatch,
   ): Promise<IResponse> {
@@ -166,14 +166,14 @@
     const isStreamed = answer.headers[HopHeader.Streamed] !== undefined;
     return {
       status: answer.statusCode,
-      headers: listAnswerHeaders(answer),
-      body: isStreamed ? streamBody(answer, watch) : await this.readWhole(answer),
+      headers: listResponseHeaders(answer),
+      body: isStreamed ? streamBody(answer, watch) : await this.readComplete(answer),
       code: Number(code) as ResultCode,
       runState: (answer.headers[HopHeader.RunState] ?? RunState.MayHaveRun) as RunState,
     };
   }
 
-  private async readWhole(answer: Dispatcher.ResponseData): Promise<Uint8Array> {
+  private async readComplete(answer: Dispatcher.ResponseData): Promise<Uint8Array> {
     const body = await answer.body.bytes();
     const declared = Number(answer.headers['content-length'] ?? body.length);
     if (declared !== body.length) throw new HopError(HopFailure.Lost, 'answer is not whole');
@@ -200,7 +200,7 @@
 
   recordHeartbeat(): void {
     this.stop();
-    this.timer = this.startTimer(HEARTBEAT_MS * MISSED_HEARTBEATS);
+    this.timer = this.startTimer(HEARTBEAT_MS * MAX_MISSED_HEARTBEATS);
   }
 
   stop(): void {
@@ -242,7 +242,7 @@
   });
 }
 
-function listAnswerHeaders(answer: Dispatcher.ResponseData): readonly Header[] {
+function listResponseHeaders(answer: Dispatcher.ResponseData): readonly Header[] {
   const headers: Header[] = [];
   for (const [name, value] of Object.entries(answer.headers)) {
     if (value === undefined || name.startsWith('parsleymux-hop-')) continue;
@@ -263,7 +263,7 @@
 
 function toRefusal(answer: Dispatcher.ResponseData, message: string): Error {
   const code = Number(answer.headers[HopHeader.Code]) as ResultCode;
-  if (code === ResultCode.NodeLeaving) return new HopError(HopFailure.Leaving, message);
+  if (code === ResultCode.NodeLeaving) return new HopError(HopFailure.ShuttingDown, message);
   if (code === ResultCode.PeerBehind) return new HopError(HopFailure.Behind, message);
   const retryAfter = answer.headers[HopHeader.RetryAfterMs];
   return new MuxError({
--- a/packages/node/src/hop/node/hopServer.ts
+++ b/packages/node/src/hop/node/hopServer.ts
@@ -8,8 +8,8 @@
 import type { NodeState } from '../../app/common/nodeState.js';
 import { listEndToEndHeaders } from '../../http/common/headers.js';
 import { readBody } from '../../http/node/bodyReader.js';
-import { createHangUpSignal } from '../../http/node/hangUpSignal.js';
-import { waitForEnd, writeAnswer } from '../../http/node/bodyWriter.js';
+import { createDisconnectSignal } from '../../http/node/disconnectSignal.js';
+import { waitForEnd, writeResponse } from '../../http/node/bodyWriter.js';
 import { createRefusal, toMuxError } from '../../http/common/refusal.js';
 import { HEARTBEAT_MS, HopHeader, HopKind } from '../common/hopProtocol.js';
 
@@ -43,15 +43,15 @@
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const finish = this.options.state.startRequest();
     const heartbeat = new Heartbeat(this.options.clock, response);
-    const signal = createHangUpSignal(response, 'the entry hung up');
+    const signal = createDisconnectSignal(response, 'the entry hung up');
     try {
       const routed = await this.readRequest(request);
       const answer = await this.options.home.handle(routed, signal);
       heartbeat.stop();
-      await writeHomeAnswer(response, answer, listEcho(request));
+      await writeHomeResponse(response, answer, listEchoHeaders(request));
     } catch (error) {
       heartbeat.stop();
-      await writeRefusal(response, toMuxError(error), listEcho(request));
+      await writeRefusal(response, toMuxError(error), listEchoHeaders(request));
     } finally {
       heartbeat.stop();
       await waitForEnd(response);
@@ -60,10 +60,10 @@
   }
 
   private async readRequest(request: IncomingMessage): Promise<IRoutedRequest> {
-    if (this.options.state.isLeaving()) throw createNotTaken(ResultCode.NodeLeaving);
+    if (this.options.state.isShuttingDown()) throw createNotAccepted(ResultCode.NodeLeaving);
     // A home that was paused finds requests in its sockets that are as old as the pause, and would
     // serve them by a configuration of that age: targets that have left would get new work.
-    if (this.options.isStale()) throw createNotTaken(ResultCode.PeerBehind);
+    if (this.options.isStale()) throw createNotAccepted(ResultCode.PeerBehind);
     const member = getHeader(request, HopHeader.Member);
     const route = this.findRoute(request, member);
     const key = request.headers[HopHeader.Key];
@@ -88,10 +88,10 @@
     const ownRevision = Number(memberConfig?.memberRevision ?? 0);
     // A home that missed a change would send work to targets that a confirmed plan took away.
     // The entry's newer revision shows it; refusing lets the entry go to a home that is current.
-    if (ownRevision < entryRevision) throw createNotTaken(ResultCode.PeerBehind);
+    if (ownRevision < entryRevision) throw createNotAccepted(ResultCode.PeerBehind);
     const name = getHeader(request, HopHeader.Route);
     const route = memberConfig?.intent?.routes.find((candidate) => candidate.name === name);
-    if (route === undefined) throw createNotTaken(ResultCode.UnknownRoute);
+    if (route === undefined) throw createNotAccepted(ResultCode.UnknownRoute);
     return route;
   }
 }
@@ -131,12 +131,12 @@
 }
 
 /** The identifier of the exchange, which the entry looks for on the answer. */
-function listEcho(request: IncomingMessage): readonly Header[] {
+function listEchoHeaders(request: IncomingMessage): readonly Header[] {
   const exchange = request.headers[HopHeader.Exchange];
   return typeof exchange === 'string' ? [[HopHeader.Exchange, exchange]] : [];
 }
 
-async function writeHomeAnswer(
+async function writeHomeResponse(
   response: ServerResponse,
   answer: IResponse,
   echo: readonly Header[],
@@ -146,7 +146,7 @@
     ...answer.headers.filter(([name]) => name !== 'content-length'),
     [HopHeader.Code, String(answer.code)],
     [HopHeader.RunState, answer.runState],
-    [HopHeader.Kind, HopKind.Answer],
+    [HopHeader.Kind, HopKind.Response],
   ];
   if (!(answer.body instanceof Uint8Array)) {
     headers.push([HopHeader.Streamed, '1']);
@@ -154,7 +154,7 @@
     // (see PausableSocket); an answer that is streamed therefore never carries that mark.
     headers.push(['connection', 'keep-alive']);
   }
-  await writeAnswer(response, { status: answer.status, headers, body: answer.body });
+  await writeResponse(response, { status: answer.status, headers, body: answer.body });
 }
 
 async function writeRefusal(
@@ -176,10 +176,10 @@
     headers.push([HopHeader.RetryAfterMs, String(Math.ceil(refusal.retryAfterMs))]);
   }
   const body = Buffer.from(refusal.message);
-  await writeAnswer(response, { status: OK, headers, body });
+  await writeResponse(response, { status: OK, headers, body });
 }
 
-function createNotTaken(code: ResultCode): MuxError {
+function createNotAccepted(code: ResultCode): MuxError {
   return createRefusal(code, 'not taken by this node');
 }
 
--- a/packages/node/src/http/node/bodyReader.ts
+++ b/packages/node/src/http/node/bodyReader.ts
@@ -11,7 +11,7 @@
  */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
   const declared = Number(request.headers['content-length'] ?? 0);
-  if (declared > maxBytes) throw createTooLarge(maxBytes);
+  if (declared > maxBytes) throw createBodyTooLarge(maxBytes);
   const chunks: Uint8Array[] = [];
   let length = 0;
   try {
@@ -19,7 +19,7 @@
       length += chunk.length;
       // A chunked body declares no length: without a count of our own one caller could fill
       // the memory that all members share.
-      if (length > maxBytes) throw createTooLarge(maxBytes);
+      if (length > maxBytes) throw createBodyTooLarge(maxBytes);
       chunks.push(chunk);
     }
   } catch (error) {
@@ -34,6 +34,6 @@
   return chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks);
 }
 
-function createTooLarge(maxBytes: number): MuxError {
+function createBodyTooLarge(maxBytes: number): MuxError {
   return createRefusal(ResultCode.BodyTooLarge, `the body is larger than ${maxBytes} bytes`);
 }
--- a/packages/node/src/http/node/bodyWriter.ts
+++ b/packages/node/src/http/node/bodyWriter.ts
@@ -10,7 +10,7 @@
 const NOT_MODIFIED = 304;
 
 /** Head and body of what is written. */
-export interface IOutgoing {
+export interface IOutgoingResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: ResponseBody;
@@ -40,20 +40,27 @@
  * @example
  * await writeAnswer(response, { status: 200, headers: [], body: new Uint8Array() });
  */
-export async function writeAnswer(response: ServerResponse, outgoing: IOutgoing): Promise<void> {
+export async function writeResponse(
+  response: ServerResponse,
+  outgoing: IOutgoingResponse,
+): Promise<void> {
   if (response.destroyed) {
     await discardBody(outgoing.body);
     return;
   }
   if (outgoing.body instanceof Uint8Array) {
-    writeWhole(response, outgoing, outgoing.body);
+    writeComplete(response, outgoing, outgoing.body);
     return;
   }
   response.writeHead(outgoing.status, toRawHeaders(outgoing.headers));
   await streamBody(response, outgoing.body);
 }
 
-function writeWhole(response: ServerResponse, outgoing: IOutgoing, body: Uint8Array): void {
+function writeComplete(
+  response: ServerResponse,
+  outgoing: IOutgoingResponse,
+  body: Uint8Array,
+): void {
   const hasBody = outgoing.status !== NO_CONTENT && outgoing.status !== NOT_MODIFIED;
   if (!hasBody || outgoing.isHead === true) {
     response.writeHead(outgoing.status, toRawHeaders(outgoing.headers));
--- a/packages/node/src/http/node/hangUpSignal.ts
+++ b/packages/node/src/http/node/disconnectSignal.ts
@@ -8,7 +8,7 @@
  * @example
  * const answer = await home.handle(request, createHangUpSignal(response, 'the entry hung up'));
  */
-export function createHangUpSignal(response: ServerResponse, reason: string): AbortSignal {
+export function createDisconnectSignal(response: ServerResponse, reason: string): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) abort.abort(new Error(reason));
--- a/packages/node/src/peer/node/controlImplementation.ts
+++ b/packages/node/src/peer/node/controlImplementation.ts
@@ -16,7 +16,7 @@
   readonly home: HomeService;
   readonly transport: TargetTransport;
   /** Largest answer that an observation takes, in bytes. */
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
   readonly state: NodeState;
   /** Peer address of this node. */
   readonly self: string;
@@ -54,7 +54,7 @@
         failureDomain: options.failureDomain,
         fleetRevision: BigInt(config.getCurrent().fleetRevision),
         ready: config.isReady() && state.getStage() === NodeStage.Serving,
-        leaving: state.isLeaving(),
+        leaving: state.isShuttingDown(),
         shards: [...shards],
       };
     },
--- a/packages/node/src/peer/node/targetObservation.ts
+++ b/packages/node/src/peer/node/targetObservation.ts
@@ -9,14 +9,14 @@
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 
 /** No answer came over this node's path. */
-const NOTHING: IObservation = { succeeded: false, status: 0, latencyMs: 0 };
+const NO_RESPONSE: IObservation = { succeeded: false, status: 0, latencyMs: 0 };
 
 /** Options of {@link observeTarget}. */
 export interface IObserveTargetOptions {
   readonly config: ConfigService;
   readonly transport: TargetTransport;
   /** Largest answer that is read. */
-  readonly maxAnswerBytes: number;
+  readonly maxResponseBytes: number;
 }
 
 /**
@@ -31,9 +31,9 @@
   request: IObservationRequest,
   signal: AbortSignal,
 ): Promise<IObservation> {
-  if (!SAFE_METHODS.has(request.method)) return NOTHING;
+  if (!SAFE_METHODS.has(request.method)) return NO_RESPONSE;
   const host = findHost(options.config, request);
-  if (host === undefined) return NOTHING;
+  if (host === undefined) return NO_RESPONSE;
   try {
     const answer = await options.transport.send(
       {
@@ -45,12 +45,12 @@
         body: new Uint8Array(),
         timeoutMs: Math.min(request.timeoutMs, MAX_TIMEOUT_MS),
       },
-      { signal, freshConnection: true, maxResponseBytes: options.maxAnswerBytes },
+      { signal, freshConnection: true, maxResponseBytes: options.maxResponseBytes },
     );
     const succeeded = answer.status < FIRST_FAILURE_STATUS && !answer.notRun;
     return { succeeded, status: answer.status, latencyMs: answer.latencyMs };
   } catch (error) {
-    if (error instanceof TransportError) return NOTHING;
+    if (error instanceof TransportError) return NO_RESPONSE;
     throw error;
   }
 }
--- a/packages/node/src/tls/node/tlsFilesWatcher.test.ts
+++ b/packages/node/src/tls/node/tlsFilesWatcher.test.ts
@@ -13,16 +13,16 @@
 import type { ITlsMaterial } from './tlsFilesWatcher.js';
 import { TlsFilesWatcher } from './tlsFilesWatcher.js';
 
-interface IPair {
+interface IKeyPair {
   readonly cert: string;
   readonly private: string;
 }
 
-function makePair(name: string): Promise<IPair> {
+function makeKeyPair(name: string): Promise<IKeyPair> {
   return generate([{ name: 'commonName', value: name }], { keySize: 2048 });
 }
 
-interface IBench {
+interface IFixture {
   readonly clock: ManualClock;
   readonly files: {
     readonly certificateFile: string;
@@ -39,7 +39,11 @@
   return folder;
 }
 
-async function openBench(t: TestContext, pair: IPair, clientAuthority?: string): Promise<IBench> {
+async function openFixture(
+  t: TestContext,
+  pair: IKeyPair,
+  clientAuthority?: string,
+): Promise<IFixture> {
   const folder = await makeFolder(t);
   const files = {
     certificateFile: join(folder, 'cert.pem'),
@@ -76,7 +80,7 @@
 }
 
 /** The name in the certificate of a server that answers; 'refused' when it does not. */
-async function readPeerName(port: number, client?: IPair): Promise<string> {
+async function readPeerName(port: number, client?: IKeyPair): Promise<string> {
   const identity = client === undefined ? {} : { cert: client.cert, key: client.private };
   const socket = connect({ port, host: '127.0.0.1', rejectUnauthorized: false, ...identity });
   let name = '';
@@ -93,10 +97,10 @@
 }
 
 test('a renewed certificate is served to new connections without a restart', async (t) => {
-  const bench = await openBench(t, await makePair('first'));
+  const bench = await openFixture(t, await makeKeyPair('first'));
   const port = await listen(t, bench.watcher);
   assert.equal(await readPeerName(port), 'first');
-  const renewed = await makePair('second');
+  const renewed = await makeKeyPair('second');
   await writeFile(bench.files.certificateFile, renewed.cert);
   await writeFile(bench.files.keyFile, renewed.private);
   await bench.watcher.update();
@@ -109,9 +113,9 @@
   // Symptom: handshakes fail for as long as a renewal takes, or for good.
   // Sequence: the certificate file is replaced; the node reads both files; then the key is.
   // Cause: two files can't be replaced at one instant.
-  const bench = await openBench(t, await makePair('first'));
+  const bench = await openFixture(t, await makeKeyPair('first'));
   const port = await listen(t, bench.watcher);
-  const renewed = await makePair('second');
+  const renewed = await makeKeyPair('second');
   await writeFile(bench.files.certificateFile, renewed.cert);
   await bench.watcher.update();
   assert.equal(await readPeerName(port), 'first');
@@ -124,8 +128,8 @@
 });
 
 test('the files are looked at again on a timer', async (t) => {
-  const bench = await openBench(t, await makePair('first'));
-  const renewed = await makePair('second');
+  const bench = await openFixture(t, await makeKeyPair('first'));
+  const renewed = await makeKeyPair('second');
   await writeFile(bench.files.certificateFile, renewed.cert);
   await writeFile(bench.files.keyFile, renewed.private);
   const changed = new Promise<ITlsMaterial>((resolve) => bench.watcher.onDidChange(resolve));
@@ -134,11 +138,11 @@
 });
 
 test('with a client authority, clients without its certificate are refused', async (t) => {
-  const client = await makePair('client');
-  const bench = await openBench(t, await makePair('server'), client.cert);
+  const client = await makeKeyPair('client');
+  const bench = await openFixture(t, await makeKeyPair('server'), client.cert);
   const port = await listen(t, bench.watcher);
   assert.equal(await readPeerName(port), 'refused');
-  assert.equal(await readPeerName(port, await makePair('stranger')), 'refused');
+  assert.equal(await readPeerName(port, await makeKeyPair('stranger')), 'refused');
   assert.equal(await readPeerName(port, client), 'server');
 });
 
--- a/packages/node/src/tls/node/tlsFilesWatcher.ts
+++ b/packages/node/src/tls/node/tlsFilesWatcher.ts
@@ -49,7 +49,7 @@
   private readonly clock: Clock;
   private readonly didChange = new Emitter<ITlsMaterial>();
   private material: ITlsMaterial;
-  private lastFault = '';
+  private lastError = '';
   private timer: IDisposable | undefined;
   private isDisposed = false;
 
@@ -70,7 +70,7 @@
     } catch (cause) {
       throw new MuxError({
         code: ResultCode.SettingsInvalid,
-        message: `TLS files of the ${options.port} port: ${formatFault(cause)}`,
+        message: `TLS files of the ${options.port} port: ${formatError(cause)}`,
         runState: RunState.NotRun,
         cause,
       });
@@ -88,13 +88,13 @@
   async update(): Promise<void> {
     try {
       const material = await readMaterial(this.options.files);
-      this.lastFault = '';
+      this.lastError = '';
       if (this.isDisposed || isSameMaterial(material, this.material)) return;
       this.material = material;
       this.options.log.info('TLS files replaced', { port: this.options.port });
       this.didChange.fire(material);
     } catch (error) {
-      this.logFault(formatFault(error));
+      this.logError(formatError(error));
     }
   }
 
@@ -114,9 +114,9 @@
   }
 
   /** One line for each new fault, not for each look. */
-  private logFault(fault: string): void {
-    if (fault === this.lastFault) return;
-    this.lastFault = fault;
+  private logError(fault: string): void {
+    if (fault === this.lastError) return;
+    this.lastError = fault;
     const { port } = this.options;
     this.options.log.error('TLS files not in order, the former stay in force', { port, fault });
   }
@@ -148,6 +148,6 @@
   return left.cert.equals(right.cert) && left.key.equals(right.key) && leftCa.equals(rightCa);
 }
 
-function formatFault(error: unknown): string {
+function formatError(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
