--- a/packages/node/src/admin/common/reservedAddresses.ts
+++ b/packages/node/src/admin/common/reservedAddresses.ts
@@ -1,8 +1,8 @@
-/** Addresses that no member may name as a target: the platform's and the nodes' own. */
+/** Addresses that no member may declare as a target: those of the platform and of the nodes. */
 import { isLoopbackAddress } from '@parsleymux/config';
 import type { INode } from '@parsleymux/fleet';
 
-/** What the list is made from. */
+/** Options of {@link listReservedAddresses}. */
 export interface IReservedAddressesInput {
   readonly platformUrl: string;
   /** This node's listening addresses, each "IP:port". */
@@ -13,9 +13,9 @@
 const DEFAULT_PORTS: Readonly<Record<string, string>> = { 'http:': '80', 'https:': '443' };
 
 /**
- * The platform, and every node's VM at the ports that this node listens on: a fleet's nodes have
- * the same settings. On loopback, where a fleet shares one computer with its targets, only the
- * addresses that are known themselves.
+ * Lists the address of the platform and, for each node's VM, the ports that this node listens on,
+ * since all nodes of a fleet have the same settings. When all nodes are on loopback, a fleet shares
+ * its host with its targets, so only the addresses that are known exactly are reserved.
  *
  * @example
  * const reserved = listReservedAddresses({ platformUrl, ownAddresses, nodes });
--- a/packages/node/src/admin/node/adminServer.ts
+++ b/packages/node/src/admin/node/adminServer.ts
@@ -1,4 +1,4 @@
-/** The port of the administration API. */
+/** HTTP server of the administration API. */
 import { endServer, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
@@ -9,7 +9,7 @@
 import { writeRefusal } from '../../entry/node/refusalWriter.js';
 import { toMuxError } from '../../http/common/refusal.js';
 
-/** Operators are few; the file descriptors of the node are for callers. */
+/** Low, because operators are few and the node's file descriptors are needed for callers. */
 const MAX_CONNECTIONS = 256;
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 30_000;
@@ -18,12 +18,12 @@
 /** Options of an {@link AdminServer}. */
 export interface IAdminServerOptions {
   readonly api: AdminApi;
-  /** Absent: plain HTTP. */
+  /** When absent, the server uses plain HTTP. */
   readonly tls?: TlsFilesWatcher | undefined;
 }
 
 /**
- * Serves operators.
+ * Serves the administration API to operators.
  *
  * @example
  * const address = await new AdminServer({ api }).listen('127.0.0.1:0');
--- a/packages/node/src/admin/node/claimAdminSettler.ts
+++ b/packages/node/src/admin/node/claimAdminSettler.ts
@@ -1,11 +1,11 @@
-/** Claims as the administration API sees them. */
+/** Gives the administration API access to claims. */
 import type { ClaimAdmin } from '@parsleymux/claims';
 import type { ISettleRequest } from '@parsleymux/operators';
 import { ClaimSettler } from '@parsleymux/operators';
 import type { ClaimInfo } from '@parsleymux/schema';
 
 /**
- * Joins the layers: claims know nothing of operators.
+ * Adapts {@link ClaimAdmin} to the operators package, on which the claims package must not depend.
  *
  * @example
  * const claims = new ClaimAdminSettler(core.claims.admin);
--- a/packages/node/src/admin/node/peerStatusProvider.ts
+++ b/packages/node/src/admin/node/peerStatusProvider.ts
@@ -1,23 +1,23 @@
-/** Asks every live node for its status on behalf of an operator. */
+/** Requests the status of every live node on behalf of an operator. */
 import type { MembershipService, PeerClients } from '@parsleymux/fleet';
 import type { IFleetStatus } from '@parsleymux/operators';
 import { StatusProvider } from '@parsleymux/operators';
 import type { GetNodeStatusResponse } from '@parsleymux/schema';
 
 const TIMEOUT_MS = 1500;
-/** Nodes asked at once; a fleet of thousands must not be asked in one burst. */
+/** Concurrent status requests; limited so that a fleet of thousands gets no burst of requests. */
 const MAX_CONCURRENT = 16;
 
 /** Options of a {@link PeerStatusProvider}. */
 export interface IPeerStatusProviderOptions {
   readonly membership: MembershipService;
   readonly clients: PeerClients;
-  /** Peer address of this node, which is asked like the others. */
+  /** Peer address of this node, whose status is requested in the same way. */
   readonly self: string;
 }
 
 /**
- * Collects statuses over control calls, a few nodes at a time.
+ * Collects statuses over control calls, with a bounded number of concurrent requests.
  *
  * @example
  * const status = await provider.getStatus('relinieri', signal);
@@ -31,17 +31,21 @@
   }
 
   override async getStatus(member: string, signal: AbortSignal): Promise<IFleetStatus> {
-    const waiting = this.options.membership.getLiveNodes().map(({ address }) => address);
+    const remainingAddresses = this.options.membership.getLiveNodes().map(({ address }) => address);
     const nodes: GetNodeStatusResponse[] = [];
     const silentNodes: string[] = [];
-    const work = async () => {
-      for (let address = waiting.shift(); address !== undefined; address = waiting.shift()) {
+    const fetchRemaining = async () => {
+      for (
+        let address = remainingAddresses.shift();
+        address !== undefined;
+        address = remainingAddresses.shift()
+      ) {
         const status = await this.fetchStatus(address, member, signal);
         if (status === undefined) silentNodes.push(address);
         else nodes.push(status);
       }
     };
-    await Promise.all(Array.from({ length: MAX_CONCURRENT }, work));
+    await Promise.all(Array.from({ length: MAX_CONCURRENT }, fetchRemaining));
     nodes.sort((left, right) => (left.node < right.node ? -1 : 1));
     return { nodes, silentNodes: silentNodes.sort() };
   }
--- a/packages/node/src/app/common/configIntervals.ts
+++ b/packages/node/src/app/common/configIntervals.ts
@@ -1,24 +1,25 @@
-/** How often nodes read the configuration, so that the whole fleet keeps to the platform's rates. */
+/** Intervals at which nodes read the configuration, so that the fleet respects the platform's rate limits. */
 import type { MembershipService } from '@parsleymux/fleet';
 import { computeSharedInterval } from '@parsleymux/fleet';
 
-/** Reads of the head row that the whole fleet may make in a second. */
+/** Reads of the head row per second that the whole fleet may make. */
 const HEAD_READS_PER_SECOND = 300;
-/** Fresh nodes of the whole fleet that may read every configuration from the store in a second. */
+/** Newly started nodes per second of the whole fleet that may read every configuration from the store. */
 const STARTS_PER_SECOND = 10;
 const MAX_START_SPREAD_MS = 20_000;
 
-/** What the configuration's distributor asks before it waits. */
+/** Intervals that the configuration distributor reads before each wait. */
 export interface IConfigIntervals {
   readonly pollMs: () => number;
   readonly startSpreadMs: () => number;
 }
 
 /**
- * Follows the size of the fleet as this node sees it; docs/CAPACITY.md reckons with these rates.
+ * Derives the intervals from the number of nodes that this node considers live; the calculations in
+ * docs/CAPACITY.md assume these rates.
  *
  * @example
- * const config = new ConfigDistributor({ ...parts, ...makeConfigPacing(membership, 2000) });
+ * const config = new ConfigDistributor({ ...sources, ...makeConfigIntervals(membership, 2000) });
  */
 export function makeConfigIntervals(
   membership: MembershipService,
--- a/packages/node/src/app/common/connectionShare.test.ts
+++ b/packages/node/src/app/common/connectionShare.test.ts
@@ -4,14 +4,14 @@
 import { MemberConfigSchema } from '@parsleymux/schema';
 import { computeConnectionShare, findConnectionShare } from './connectionShare.js';
 
-test('a share is a quarter, at least the slots, and never more than the target takes', () => {
+test('a share is a quarter of the limit, at least the slots, and never above the limit', () => {
   assert.equal(computeConnectionShare({ slots: 4, maxConnections: 400 }), 100);
   assert.equal(computeConnectionShare({ slots: 4, maxConnections: 8 }), 4);
   assert.equal(computeConnectionShare({ slots: 4, maxConnections: 2 }), 2);
   assert.equal(computeConnectionShare({ slots: 1, maxConnections: 1 }), 1);
 });
 
-test("a member's share is of its own target, also when another lists the same address", () => {
+test("a member's share comes from its own target, also when another member lists the same address", () => {
   const makeMember = (member: string, maxConnections: number) =>
     create(MemberConfigSchema, {
       member,
--- a/packages/node/src/app/common/connectionShare.ts
+++ b/packages/node/src/app/common/connectionShare.ts
@@ -1,18 +1,18 @@
-/** How many of a target's connections one node may hold. */
+/** The number of a target's connections that one node may hold. */
 import type { IFleetConfig } from '@parsleymux/config';
 import type { Target } from '@parsleymux/schema';
 
 /**
- * A target is reached by its home, for a while by a second node that also takes itself for home,
- * and by observers. A quarter each leaves room for all of them.
+ * A target gets connections from its home, temporarily from a second node that also considers itself
+ * the home, and from observers. A quarter of the limit for each leaves enough for all of them.
  */
 const SHARE = 1 / 4;
-/** For targets that the configuration no longer names but that still finish work. */
+/** For targets that are no longer in the configuration but still have requests in flight. */
 const UNKNOWN_TARGET_CONNECTIONS = 8;
 
 /**
- * The share of one target's limit, but never less than its slots: a home that may use four slots
- * and hold one connection would leave three slots empty.
+ * Computes the share of one target's limit, at least the number of its slots: a home with four slots
+ * and a single connection would leave three slots unused.
  *
  * @example
  * computeConnectionShare(create(TargetSchema, { slots: 4, maxConnections: 400 })); // 100
@@ -23,7 +23,7 @@
 }
 
 /**
- * The share of a target by its address, as the configuration in force has it.
+ * Finds the share of the target with this address, according to the configuration in force.
  *
  * @example
  * const limit = findConnectionShare(config.getCurrent(), 'dobrescu', '10.0.0.7:9000');
--- a/packages/node/src/app/common/nodeState.ts
+++ b/packages/node/src/app/common/nodeState.ts
@@ -1,11 +1,11 @@
-/** Whether this node takes work, and how many requests it has in flight. */
+/** The lifecycle stage of this node and its number of requests in flight. */
 import { Emitter } from '@parsleymux/base';
 
-/** Stages in the life of a node, in their order. */
+/** Stages in the lifecycle of a node, in their order. */
 export const NodeStage = {
   Starting: 'starting',
   Serving: 'serving',
-  /** Tells balancer and peers that it leaves, and finishes what runs. */
+  /** The node notifies the balancer and its peers, and finishes the requests in flight. */
   ShuttingDown: 'leaving',
   Stopped: 'stopped',
 } as const;
@@ -13,7 +13,7 @@
 export type NodeStage = (typeof NodeStage)[keyof typeof NodeStage];
 
 /**
- * The stage of the node and its count of requests in flight.
+ * Tracks the stage of the node and counts its requests in flight.
  *
  * @example
  * const state = new NodeState();
@@ -46,7 +46,7 @@
     return this.inFlight;
   }
 
-  /** Counts a request in; the returned function counts it out, once. */
+  /** Counts a request as in flight until the returned function is called; further calls do nothing. */
   startRequest(): () => void {
     this.inFlight += 1;
     let isFinished = false;
@@ -58,7 +58,7 @@
     };
   }
 
-  /** Resolves when nothing is in flight, or when `signal` aborts. */
+  /** Resolves when no request is in flight, or when `signal` aborts. */
   waitUntilIdle(signal: AbortSignal): Promise<void> {
     if (this.inFlight === 0 || signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
--- a/packages/node/src/app/node/burnLoops.ts
+++ b/packages/node/src/app/node/burnLoops.ts
@@ -1,4 +1,4 @@
-/** Counts this node's requests for the report on service-level burn. */
+/** Records this node's requests for the report on the burn rate of service-level objectives. */
 import type { Clock, DisposableStore } from '@parsleymux/base';
 import { BurnMerger, BurnRecorder, registerBurnMetrics } from '@parsleymux/operators';
 import type { NodeMetrics } from '../../metrics/node/nodeMetrics.js';
@@ -13,7 +13,7 @@
 }
 
 /**
- * Runs until `signal` aborts, and then writes once more what was counted.
+ * Runs until `signal` aborts, and then writes the remaining counts.
  *
  * @example
  * const running = runBurnLoops({ core, metrics, clock, store }, signal);
--- a/packages/node/src/app/node/claimComponents.ts
+++ b/packages/node/src/app/node/claimComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that keep requests from running twice. */
+/** The components of a node that prevent duplicate execution of requests. */
 import type { Clock, DisposableStore, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import {
   ClaimAdmin,
@@ -35,7 +35,7 @@
   readonly nodeAddress: string;
 }
 
-/** The guard of dispatches, the operators' side of claims, and the remover of old ones. */
+/** The guard of dispatches, the administration of claims, and the sweeper of expired claims. */
 export interface IClaimComponents {
   readonly guard: ClaimGuard;
   readonly admin: ClaimAdmin;
@@ -43,10 +43,11 @@
 }
 
 /**
- * Joins them; all share one committer, so that concurrent claims make one transaction.
+ * Creates the components. All share one committer, so that concurrent claims are committed in one
+ * transaction.
  *
  * @example
- * const { guard, admin, sweeper } = createClaimParts(options);
+ * const { guard, admin, sweeper } = createClaimComponents(options);
  */
 export function createClaimComponents(options: IClaimComponentsOptions): IClaimComponents {
   const { platform, membership, clock, random, timing, store } = options;
--- a/packages/node/src/app/node/fleetKeys.ts
+++ b/packages/node/src/app/node/fleetKeys.ts
@@ -1,9 +1,9 @@
-/** The secrets that the nodes of one fleet share. */
+/** The secret keys that are shared by the nodes of a fleet. */
 import { readFile } from 'node:fs/promises';
 
 /**
- * Reads the keys from a file, one a line; an empty name stands for a fleet without a key. More than
- * one line is there while a key is being replaced: PeerAuthenticator says how.
+ * Reads the keys from a file, one per line; an empty file name means a fleet without a key. The file
+ * has several lines while a key is being rotated, as PeerAuthenticator describes.
  *
  * @example
  * const keys = await loadFleetKeys(settings.security?.fleetKeyFile ?? '');
--- a/packages/node/src/app/node/main.ts
+++ b/packages/node/src/app/node/main.ts
@@ -1,4 +1,4 @@
-/** The command line of the node. */
+/** Command line of the node. */
 import { readFile } from 'node:fs/promises';
 import { createLogger, getResultInfo, ResultCode, SystemClock } from '@parsleymux/base';
 import type { NodeSettings } from '@parsleymux/schema';
@@ -13,7 +13,7 @@
 const EXIT_USAGE = 2;
 const BINARY_NAME = 'parsleymux';
 
-/** Reads a settings file, printing every problem of it; undefined when there are any. */
+/** Reads a settings file. Prints every problem in it and returns undefined when there are any. */
 async function loadSettings(
   file: string,
   output: NodeJS.WritableStream,
@@ -28,7 +28,7 @@
   }
 }
 
-/** The last line of every refusal, for whoever looks it up in docs/RESULT-CODES.md. */
+/** Formats the last line of every rejection; docs/RESULT-CODES.md describes the codes. */
 function formatResult(code: ResultCode): string {
   const { name, action } = getResultInfo(code);
   return `${BINARY_NAME}: result ${code} ${name}: ${action}`;
@@ -61,7 +61,7 @@
     description: 'Run a node until SIGTERM or SIGINT.',
     details:
       'Prints one line of JSON with the addresses in use. The first signal starts a graceful ' +
-      'shutdown: requests in flight are finished. A second one ends the process at once.',
+      'shutdown: requests in flight are finished. A second one ends the process immediately.',
     examples: [['Run a node', '$0 serve node.jsonc']],
   });
 
@@ -80,17 +80,17 @@
       const addresses = await node.start();
       this.context.stdout.write(`${JSON.stringify(addresses)}\n`);
     } catch (error) {
-      log.error('the node cannot start', { cause: error instanceof Error ? error.message : '' });
+      log.error('node failed to start', { cause: error instanceof Error ? error.message : '' });
       await node.dispose();
       return EXIT_FAILED;
     }
     await waitForSignal();
-    const cut = await node.stopGracefully();
-    return cut === 0 ? EXIT_OK : EXIT_FAILED;
+    const interrupted = await node.stopGracefully();
+    return interrupted === 0 ? EXIT_OK : EXIT_FAILED;
   }
 }
 
-/** Resolves on the first SIGTERM or SIGINT; a second one ends the process at once. */
+/** Resolves on the first SIGTERM or SIGINT; a second one ends the process immediately. */
 function waitForSignal(): Promise<void> {
   return new Promise((resolve) => {
     let isStopping = false;
@@ -132,6 +132,6 @@
   cli.register(Builtins.HelpCommand);
   cli.register(Builtins.VersionCommand);
   process.exitCode = await runCommand(cli, args);
-  // Idle connections to peers and targets would hold the process for their keep-alive time.
+  // Idle connections to peers and targets would keep the process running for their keep-alive time.
   process.exit();
 }
--- a/packages/node/src/app/node/muxNode.ts
+++ b/packages/node/src/app/node/muxNode.ts
@@ -1,4 +1,4 @@
-/** One node: opens its ports, joins its parts, and leaves without cutting a request. */
+/** One node: opens its ports, connects its components, and shuts down without interrupting requests. */
 import type { Clock, IDisposable, Logger } from '@parsleymux/base';
 import {
   DisposableStore,
@@ -29,18 +29,18 @@
 import type { INodeCore } from './nodeCore.js';
 import { createNodeCore } from './nodeCore.js';
 
-/** Headers of the hop come on top of the caller's own. */
+/** Space for the headers of the hop, in addition to those of the caller. */
 const HOP_HEADER_BYTES = 16_384;
 
 /** Options of a {@link MuxNode}. */
 export interface IMuxNodeOptions {
-  /** Settings with every default filled in. */
+  /** Settings with all defaults applied. */
   readonly settings: NodeSettings;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
-/** Addresses in use, ports chosen by the system filled in. */
+/** Addresses in use, with the actual ports where the operating system chose them. */
 export interface INodeAddresses {
   readonly caller: string;
   readonly peer: string;
@@ -49,12 +49,12 @@
 }
 
 /**
- * A node from start to exit.
+ * Runs a node from its start to its shutdown.
  *
  * @example
  * const node = new MuxNode({ settings, clock: new SystemClock(), log });
  * const addresses = await node.start();
- * const cutRequests = await node.stopGracefully();
+ * const interruptedRequests = await node.stopGracefully();
  */
 export class MuxNode implements IDisposable {
   private readonly options: IMuxNodeOptions;
@@ -76,7 +76,7 @@
     this.timing = timing;
   }
 
-  /** Opens the ports and starts the loops. Readiness follows once the configuration is known. */
+  /** Opens the ports and starts the loops. The node is ready once it has loaded the configuration. */
   async start(): Promise<INodeAddresses> {
     const { settings, clock, log } = this.options;
     this.logChanges();
@@ -98,14 +98,14 @@
   }
 
   /**
-   * Leaves the fleet: tells balancer and peers, finishes what is in flight, closes. Resolves with
-   * the number of requests that were cut because the limit passed.
+   * Leaves the fleet: notifies the balancer and the peers, finishes the requests in flight and closes.
+   * Resolves with the number of requests that were interrupted because the time limit expired.
    */
   async stopGracefully(): Promise<number> {
     const { clock } = this.options;
     this.state.setStage(NodeStage.ShuttingDown);
-    // The balancer's view lags: until it has seen "not ready", new requests still come here, and
-    // closing the port at once would refuse them at TCP, which callers can't tell from a fault.
+    // The balancer lags: until it has received "not ready", it still sends new requests here. Closing
+    // the port immediately would reject them at TCP, which callers can't distinguish from a fault.
     await clock.sleep(this.timing.shutdownNoticeMs);
     const limit = new AbortController();
     const timer = clock.startTimer(this.timing.shutdownLimitMs, () => {
@@ -113,14 +113,14 @@
     });
     const closed = this.callerServer?.dispose();
     await this.state.waitUntilIdle(limit.signal);
-    const cut = this.recordInterrupted();
-    // Outcomes that the platform has not taken yet are known to this process alone.
+    const interrupted = this.recordInterrupted();
+    // Outcomes that the platform has not stored yet exist only in this process.
     const flushed = this.core?.claims.guard.flush();
     await Promise.race([Promise.all([closed, flushed]), waitForAbort(limit.signal)]);
     void timer.dispose();
     await this.dispose();
     this.state.setStage(NodeStage.Stopped);
-    return cut;
+    return interrupted;
   }
 
   async dispose(): Promise<void> {
@@ -130,9 +130,13 @@
   }
 
   private recordInterrupted(): number {
-    const cut = this.state.getInFlight();
-    this.invariants.check(InvariantName.GracefulShutdown, cut === 0, () => `${cut} requests cut`);
-    return cut;
+    const interrupted = this.state.getInFlight();
+    this.invariants.check(
+      InvariantName.GracefulShutdown,
+      interrupted === 0,
+      () => `${interrupted} requests interrupted`,
+    );
+    return interrupted;
   }
 
   private createCore(
--- a/packages/node/src/app/node/nodeCore.ts
+++ b/packages/node/src/app/node/nodeCore.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that decide and serve, joined together. Ports are opened by MuxNode. */
+/** Creates and connects the components of a node; MuxNode opens its ports. */
 import { randomInt } from 'node:crypto';
 import type { Clock, InvariantRegistry, Logger, RandomSource } from '@parsleymux/base';
 import { DisposableStore, SeededRandom } from '@parsleymux/base';
@@ -45,7 +45,7 @@
   readonly log: Logger;
 }
 
-/** The joined parts. Disposing of `store` closes all of them. */
+/** The connected components. Disposing of `store` closes all of them. */
 export interface INodeCore {
   readonly store: DisposableStore;
   readonly random: RandomSource;
@@ -62,7 +62,7 @@
 }
 
 /**
- * Builds the parts from the lowest layer up.
+ * Creates the components, starting with the lowest layer.
  *
  * @example
  * const core = createNodeCore(options);
@@ -70,21 +70,21 @@
  */
 export function createNodeCore(options: INodeCoreOptions): INodeCore {
   const fleet = createFleetComponents(options);
-  const parts: ICoreComponents = { ...options, ...fleet };
-  const transport = createTransport(parts);
+  const components: ICoreComponents = { ...options, ...fleet };
+  const transport = createTransport(components);
   const claims = createClaimComponents({
-    ...parts,
+    ...components,
     transport,
     registry: options.metrics.registry,
     nodeAddress: options.self.address,
   });
-  const home = createHome(parts, transport, claims.guard);
-  const router = createRouter(parts, home);
-  const hopServer = createHopServer(parts, home);
+  const home = createHome(components, transport, claims.guard);
+  const router = createRouter(components, home);
+  const hopServer = createHopServer(components, home);
   return { ...fleet, transport, claims, home, router, hopServer };
 }
 
-/** The platform's client, and what this node knows through it and through its peers. */
+/** The client of the platform, and the components that use it and the peers as sources. */
 type IFleetComponents = Pick<
   INodeCore,
   'store' | 'random' | 'platform' | 'membership' | 'clients' | 'peers' | 'config'
@@ -130,9 +130,9 @@
   });
 }
 
-function createTransport(parts: ICoreComponents): HttpTargetTransport {
-  const { clock, invariants, config, metrics } = parts;
-  return parts.store.add(
+function createTransport(components: ICoreComponents): HttpTargetTransport {
+  const { clock, invariants, config, metrics } = components;
+  return components.store.add(
     new HttpTargetTransport({
       clock,
       invariants,
@@ -144,27 +144,28 @@
   );
 }
 
-function createHopServer(parts: ICoreComponents, home: LocalHomeService): HopServer {
-  const { clock, config, state } = parts;
+function createHopServer(components: ICoreComponents, home: LocalHomeService): HopServer {
+  const { clock, config, state } = components;
   return new HopServer({
     clock,
     config,
     home,
     state,
     isStale: () => config.isStale(),
-    maxBodyBytes: parts.limits.requestBodyBytes,
+    maxBodyBytes: components.limits.requestBodyBytes,
   });
 }
 
 function createHome(
-  parts: ICoreComponents,
+  components: ICoreComponents,
   transport: HttpTargetTransport,
   guard: DispatchGuard,
 ): LocalHomeService {
-  const { platform, clock, random, invariants, self, config, clients, membership, log } = parts;
-  const { registry } = parts.metrics;
+  const { platform, clock, random, invariants, self, config, clients, membership, log } =
+    components;
+  const { registry } = components.metrics;
   const { table } = platform;
-  return parts.store.add(
+  return components.store.add(
     new LocalHomeService({
       configService: config,
       clock,
@@ -175,17 +176,17 @@
       invariants,
       observer: new ConnectTargetObserver({ clients, membership, random, self }),
       metrics: new HomeMetrics(registry),
-      maxAnswerBytes: parts.limits.answerBodyBytes,
+      maxAnswerBytes: components.limits.answerBodyBytes,
       onStandingChange: ({ member, service, target, standing, reason }) => {
-        log.info('target standing', { member, service, target, standing, reason });
+        log.info('target health status changed', { member, service, target, standing, reason });
       },
     }),
   );
 }
 
-function createRouter(parts: ICoreComponents, home: LocalHomeService): HomeRouter {
-  const { clock, authenticator, membership, config, metrics, store } = parts;
-  const hop = store.add(new HopClient({ clock, authenticator, tls: parts.tls.peer }));
+function createRouter(components: ICoreComponents, home: LocalHomeService): HomeRouter {
+  const { clock, authenticator, membership, config, metrics, store } = components;
+  const hop = store.add(new HopClient({ clock, authenticator, tls: components.tls.peer }));
   const placement = new RendezvousPlacement();
   placement.setNodes(membership.getLiveNodes());
   store.add(
@@ -201,8 +202,8 @@
     placement,
     hop,
     home,
-    self: parts.self.address,
-    isShuttingDown: () => parts.state.isShuttingDown(),
+    self: components.self.address,
+    isShuttingDown: () => components.state.isShuttingDown(),
     isStale: () => config.isStale(),
     onDidTry: (outcome) => {
       metrics.recordHopTry(outcome);
@@ -210,7 +211,7 @@
   });
 }
 
-/** Certificates for control calls are read at start; a renewed authority needs a restart. */
+/** Certificates for control calls are read at start, so a renewed certificate authority needs a restart. */
 function makePeerTls(tls: IPortTls): { readonly tls?: ITlsMaterial } {
   return tls.peer === undefined ? {} : { tls: tls.peer.getMaterial() };
 }
--- a/packages/node/src/entry/common/callerRequest.test.ts
+++ b/packages/node/src/entry/common/callerRequest.test.ts
@@ -11,9 +11,9 @@
   return parsed;
 }
 
-// Symptom: the setting timing.defaultDeadlineMs changes nothing. Sequence: an intent leaves the
-// deadline of a route out; reading it fills in 10 s. Cause: the schema had a default of its own.
-test('the time of a request is its caller’s word, else its route’s, else the node’s', () => {
+// Guards against a schema default for the deadline of a route: it would be filled in when an intent
+// omits the deadline, so that the setting timing.defaultDeadlineMs would have no effect.
+test('the timeout of a request comes from its caller, else its route, else the settings of the node', () => {
   assert.equal(parseTimeout('77', readRoute({ deadlineMs: 500 }), 1234), 77);
   assert.equal(parseTimeout(undefined, readRoute({ deadlineMs: 500 }), 1234), 500);
   assert.equal(parseTimeout(undefined, readRoute({}), 1234), 1234);
--- a/packages/node/src/entry/common/callerRequest.ts
+++ b/packages/node/src/entry/common/callerRequest.ts
@@ -1,4 +1,4 @@
-/** What a caller's request says of itself, checked before anything is done for it. */
+/** Parses and validates the host, path, timeout and key of a caller's request before it is processed. */
 import { ResultCode } from '@parsleymux/base';
 import type { IRouteMatch, RouteTable } from '@parsleymux/config';
 import { RouteMiss } from '@parsleymux/config';
@@ -7,26 +7,26 @@
 
 const MAX_DEADLINE_MS = 600_000;
 const MAX_KEY_LENGTH = 256;
-/** Visible ASCII, so that a key means the same in a header, a row and a log. */
+/** Visible ASCII, so that a key has the same form in a header, a row and a log. */
 const KEY_PATTERN = /^[\x21-\x7e]+$/;
 
 /**
- * The host name of the one Host header: lower case, without port or trailing dot. Two of them
- * are refused: whichever we took, the next proxy or the target could take the other.
+ * Returns the host name of the Host header in lower case, without port or trailing dot. A request
+ * with two Host headers is rejected, since the next proxy or the target could use the other one.
  *
  * @example
  * parseHost(['Booking.Example.:8080']); // 'booking.example'
  */
 export function parseHost(headers: readonly string[] | undefined): string {
-  const [header, ...others] = headers ?? [];
-  if (header === undefined || others.length > 0) {
+  const [header, ...duplicates] = headers ?? [];
+  if (header === undefined || duplicates.length > 0) {
     throw createRefusal(ResultCode.MalformedRequest, 'there must be exactly one Host header');
   }
   return header.replace(/:\d*$/, '').replace(/\.$/, '').toLowerCase();
 }
 
 /**
- * The route of a request; throws the numbered refusal when there is none.
+ * Returns the route of a request; throws a refusal with a result code when there is none.
  *
  * @example
  * const { member, route } = findRoute(table, 'booking.example', '/jobs?day=3', 'POST');
@@ -55,7 +55,7 @@
 };
 
 /**
- * Time that the request may take, in ms: the caller's word, else the route's, else the default.
+ * Returns the timeout of the request, in ms: the caller's, else the route's, else the default.
  *
  * @example
  * const timeoutMs = parseTimeout(headers['parsleymux-timeout-ms'], route, 10_000);
@@ -71,7 +71,7 @@
 }
 
 /**
- * The idempotency key; throws when the route needs one and there is no well-formed one.
+ * Returns the idempotency key; throws when the route needs one and it is missing or malformed.
  *
  * @example
  * const key = parseKey(request.headers[route.keyHeader], route);
--- a/packages/node/src/entry/common/homeFailover.test.ts
+++ b/packages/node/src/entry/common/homeFailover.test.ts
@@ -11,7 +11,7 @@
   return { fleet, home: home!, next: next!, entry: fleet.getEntry() };
 }
 
-/** Serves `count` requests 50 ms apart; returns how many of them tried `node`. */
+/** Serves `count` requests at intervals of 50 ms; returns how many of them tried `node`. */
 async function countTries(
   fleet: FailoverFleet,
   entry: FailoverNode,
@@ -27,24 +27,24 @@
   return tries;
 }
 
-test('a killed home: the next candidate serves from the first request on, and soon without a detour', async (context) => {
-  // Symptom: requests fail, or each waits for the dead home, until the platform's list notices.
-  // Sequence: the home's process dies; the list shows it as live for as long as the test lasts.
-  // Cause: going by the list, or giving up at the first candidate.
+test('when the home is killed, the next candidate serves every request, directly from the third on', async (context) => {
+  // Guards against requests that fail or wait for a crashed home until the platform's list is updated.
+  // It arises when the entry relies on the list, which here shows the home as live throughout, or gives
+  // up after the first candidate.
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Killed;
   for (let request = 0; request < 10; request += 1) {
-    const { latencyMs: tookMs, tried } = await fleet.serve(entry);
+    const { latencyMs, tried } = await fleet.serve(entry);
     assert.equal(tried.at(-1), next.address);
     assert.equal(tried.length, request < 2 ? 2 : 1);
-    assert.ok(tookMs <= 10);
+    assert.ok(latencyMs <= 10);
   }
   assert.equal(next.home.served, 10);
 });
 
-test('a paused home: two requests wait for it, and none after', async (context) => {
-  // Symptom: every request takes seconds. Sequence: the home's process is stopped; its port
-  // still accepts connections. Cause: silence not taken as failure.
+test('when the home is paused, two requests wait for it, and no later ones', async (context) => {
+  // Guards against every request taking seconds. It arises when missing heartbeats do not count as a
+  // failure, although the stopped process of the home still accepts connections.
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Paused;
   const times = [];
@@ -54,9 +54,10 @@
   assert.equal(next.home.served, 4);
 });
 
-test('a home that returns gets its requests back, and had none twice', async (context) => {
-  // Symptom: after a pause two nodes are home for good, each with half of the evidence; or the
-  // home is never used again. Sequence: paused, passed over, resumed. Cause: suspicion without end.
+test('a home that recovers gets its requests again, and gets none twice', async (context) => {
+  // Guards against two nodes permanently acting as the home after a pause, each with half of the
+  // evidence, and against a home that is never used again. Both arise when the suspicion against a home
+  // that was paused, skipped and resumed does not expire.
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Paused;
   for (let request = 0; request < 3; request += 1) await fleet.serve(entry);
@@ -67,10 +68,10 @@
   assert.equal(next.home.served, 3);
 });
 
-test('a path cut one way: only the entry behind it goes on to the next candidate', async (context) => {
-  // Symptom: an entry keeps sending to a home that it can't reach, because it hears from it.
-  // Sequence: answers from the home to this entry are lost; the home's own calls get through.
-  // Cause: taking what is heard for contact. Only completed exchanges count.
+test('when a path is partitioned one way, only the entry on it uses the next candidate', async (context) => {
+  // Guards against an entry that keeps sending to a home that it can't reach because it still receives
+  // calls from it. Responses of the home to this entry are lost, but the home's own calls arrive. Only
+  // completed exchanges may count as contact.
   const { fleet, home, next, entry } = await openFleet(context);
   fleet.partitions.add(`${home.address} ${entry.address}`);
   await countTries(fleet, entry, home, 2);
@@ -80,9 +81,9 @@
   assert.deepEqual((await fleet.serve(other)).tried, [home.address]);
 });
 
-test('an overloaded home that answers most requests stays home; one that answers none does not', async (context) => {
-  // Symptom: a busy home is declared dead, its requests move, the next home is overloaded in turn.
-  // Sequence: one hop in four is left unanswered. Cause: a single silence taken for death.
+test('an overloaded home stays the home while it responds to most requests', async (context) => {
+  // Guards against a cascade of overload: a busy home that leaves one hop in four unanswered is
+  // considered failed after a single missing response, and its requests overload the next home.
   const { fleet, home, entry } = await openFleet(context);
   home.unansweredShare = 0.25;
   const tries = await countTries(fleet, entry, home, 60);
@@ -92,37 +93,36 @@
   assert.equal(await countTries(fleet, entry, home, 5), 0);
 });
 
-test('a leaving home gets one request more from each entry, which the next candidate serves', async (context) => {
-  // Symptom: requests bounce off a leaving node until the list drops it. Sequence: SIGTERM; the
-  // list lags. Cause: its own word not believed.
+test('a home that shuts down gets one more request per entry, served by the next candidate', async (context) => {
+  // Guards against requests that a node rejects because it shuts down until the lagging list omits it.
+  // It arises when an entry ignores the node's own notice of its shutdown.
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.ShuttingDown;
   assert.deepEqual((await fleet.serve(entry)).tried, [home.address, next.address]);
   assert.deepEqual((await fleet.serve(entry)).tried, [next.address]);
 });
 
-test('a list that lags by minutes: a new node is used late, a gone one is passed over at once', async (context) => {
-  // Symptom: requests fail for as long as the list lags. Sequence: two of five nodes are gone,
-  // still listed. Cause: trusting the list.
+test('when the list lags by minutes, crashed nodes are skipped immediately', async (context) => {
+  // Guards against requests that fail for as long as the list lags. It arises when the entry relies on
+  // the list, which still contains two crashed nodes of five.
   const { fleet, home, next, entry } = await openFleet(context);
   home.condition = NodeCondition.Killed;
   next.condition = NodeCondition.Killed;
   const third = fleet.listCandidates()[2]!;
-  let detours = 0;
+  let retried = 0;
   for (let second = 0; second < 120; second += 1) {
-    const { latencyMs: tookMs, tried } = await fleet.serve(entry);
-    assert.ok(tookMs <= 10);
-    if (tried.length > 1) detours += 1;
+    const { latencyMs, tried } = await fleet.serve(entry);
+    assert.ok(latencyMs <= 10);
+    if (tried.length > 1) retried += 1;
     await fleet.clock.advanceBy(1000);
   }
   assert.equal(third.home.served, 120);
-  assert.ok(detours <= 20, `${detours} of 120 requests tried a node that was gone`);
+  assert.ok(retried <= 20, `${retried} of 120 requests tried a crashed node`);
 });
 
-test('a flapping home is met ever more rarely', async (context) => {
-  // Symptom: a steady share of requests waits for a home that is up one second in two.
-  // Sequence: it alternates between paused and up for two minutes. Cause: forgiving it each time
-  // after the same short while.
+test('a flapping home is tried less and less often', async (context) => {
+  // Guards against a constant share of requests that wait for a home that is up every other second, here
+  // for two minutes. It arises when each suspicion expires after the same short time.
   const { fleet, home, entry } = await openFleet(context);
   const slow = [0, 0];
   const startMs = fleet.clock.getMonotonicTime();
@@ -130,9 +130,9 @@
     const passedMs = fleet.clock.getMonotonicTime() - startMs;
     if (passedMs >= 120_000) break;
     home.condition = passedMs % 2000 < 1000 ? NodeCondition.Paused : NodeCondition.Up;
-    const { latencyMs: tookMs } = await fleet.serve(entry);
+    const { latencyMs } = await fleet.serve(entry);
     const minute = passedMs < 60_000 ? 0 : 1;
-    if (tookMs > 100) slow[minute]! += 1;
+    if (latencyMs > 100) slow[minute]! += 1;
     await fleet.clock.advanceBy(50);
   }
   assert.ok(slow[0]! + slow[1]! <= 24, `${slow.join(' and ')} slow requests`);
--- a/packages/node/src/entry/common/homeRouter.test.ts
+++ b/packages/node/src/entry/common/homeRouter.test.ts
@@ -16,7 +16,7 @@
 
 const SELF = 'self:1';
 const ROUTE = create(RouteSchema, { name: 'book', host: 'h', service: 'booking' });
-const ANSWER: IResponse = {
+const RESPONSE: IResponse = {
   status: 200,
   headers: [],
   body: new Uint8Array(),
@@ -35,7 +35,7 @@
 }
 
 class RecordingMembership extends MembershipService {
-  readonly seen: string[] = [];
+  readonly recorded: string[] = [];
   override readonly onDidChange = () => ({ dispose: () => undefined });
 
   override getLiveNodes(): readonly INode[] {
@@ -43,15 +43,15 @@
   }
 
   override recordContact(address: string): void {
-    this.seen.push(`contact ${address}`);
+    this.recorded.push(`contact ${address}`);
   }
 
   override recordFailure(address: string): void {
-    this.seen.push(`failure ${address}`);
+    this.recorded.push(`failure ${address}`);
   }
 
   override recordShutdown(address: string): void {
-    this.seen.push(`leaving ${address}`);
+    this.recorded.push(`shutdown ${address}`);
   }
 }
 
@@ -69,23 +69,23 @@
   }
 }
 
-type Reaction = IResponse | Error;
+type Outcome = IResponse | Error;
 
 class ScriptedHop extends HopTransport {
   readonly sent: string[] = [];
   retired = 0;
 
-  constructor(private readonly reactions: Readonly<Record<string, readonly Reaction[]>>) {
+  constructor(private readonly outcomes: Readonly<Record<string, readonly Outcome[]>>) {
     super();
   }
 
   override send(peer: string): Promise<IResponse> {
     const index = this.sent.filter((sent) => sent === peer).length;
     this.sent.push(peer);
-    const reactions = this.reactions[peer] ?? [];
-    const reaction = reactions[Math.min(index, reactions.length - 1)];
-    assert.ok(reaction !== undefined, `no reaction of ${peer}`);
-    return reaction instanceof Error ? Promise.reject(reaction) : Promise.resolve(reaction);
+    const outcomes = this.outcomes[peer] ?? [];
+    const outcome = outcomes[Math.min(index, outcomes.length - 1)];
+    assert.ok(outcome !== undefined, `no outcome of ${peer}`);
+    return outcome instanceof Error ? Promise.reject(outcome) : Promise.resolve(outcome);
   }
 
   override retireConnections(): void {
@@ -96,15 +96,15 @@
 class ScriptedHome extends HomeService {
   served = 0;
 
-  constructor(private readonly reaction: Reaction) {
+  constructor(private readonly outcome: Outcome) {
     super();
   }
 
   override handle(): Promise<IResponse> {
     this.served += 1;
-    return this.reaction instanceof Error
-      ? Promise.reject(this.reaction)
-      : Promise.resolve(this.reaction);
+    return this.outcome instanceof Error
+      ? Promise.reject(this.outcome)
+      : Promise.resolve(this.outcome);
   }
 
   override getSpareSlots(): number {
@@ -132,7 +132,7 @@
   idempotencyKey: 'k',
 };
 
-const LOST = new HopError(HopFailure.Lost, 'silent');
+const LOST = new HopError(HopFailure.Lost, 'no response');
 const REFUSED = new MuxError({
   code: ResultCode.QueueFull,
   message: 'full',
@@ -141,12 +141,12 @@
 
 function createFixture(
   order: readonly string[],
-  reactions: Readonly<Record<string, readonly Reaction[]>>,
-  local: Reaction = ANSWER,
-  isLeaving = false,
+  outcomes: Readonly<Record<string, readonly Outcome[]>>,
+  local: Outcome = RESPONSE,
+  isShuttingDown = false,
   isStale = false,
 ) {
-  const hop = new ScriptedHop(reactions);
+  const hop = new ScriptedHop(outcomes);
   const home = new ScriptedHome(local);
   const membership = new RecordingMembership();
   const router = new HomeRouter({
@@ -157,87 +157,87 @@
     hop,
     home,
     self: SELF,
-    isShuttingDown: () => isLeaving,
+    isShuttingDown: () => isShuttingDown,
     isStale: () => isStale,
   });
   const serve = () => router.serve(REQUEST, new AbortController().signal);
   return { hop, home, membership, serve };
 }
 
-test('a connection gone silent is retired, and the same home is asked on a new one', async () => {
-  const { hop, membership, serve } = createFixture(['a:1'], { 'a:1': [LOST, ANSWER] });
-  assert.equal(await serve(), ANSWER);
+test('a connection without responses is retired, and the same home is tried on a new one', async () => {
+  const { hop, membership, serve } = createFixture(['a:1'], { 'a:1': [LOST, RESPONSE] });
+  assert.equal(await serve(), RESPONSE);
   assert.equal(hop.retired, 1);
-  assert.deepEqual(membership.seen, ['contact a:1']);
+  assert.deepEqual(membership.recorded, ['contact a:1']);
 });
 
-test('a home that stays silent is passed over, and is not trusted next time', async () => {
+test('a home that sends no response is skipped, and its failure is recorded', async () => {
   const { hop, membership, serve } = createFixture(['a:1', 'b:1'], {
     'a:1': [LOST],
-    'b:1': [ANSWER],
+    'b:1': [RESPONSE],
   });
-  assert.equal(await serve(), ANSWER);
+  assert.equal(await serve(), RESPONSE);
   assert.deepEqual(hop.sent, ['a:1', 'a:1', 'b:1']);
-  assert.deepEqual(membership.seen, ['failure a:1', 'contact b:1']);
+  assert.deepEqual(membership.recorded, ['failure a:1', 'contact b:1']);
 });
 
 /*
- * Symptom: a caller is told "not run", and its booking is made all the same.
- * Sequence: home A takes the request and is paused; the entry hears nothing and goes to home B;
- * B is full and refuses; A resumes, claims the key and dispatches.
- * Cause: B's refusal is true of B only. Since A may hold the request, the answer must say so.
+ * Guards against a caller that receives "not run" although its booking is made. Home A receives the
+ * request and is paused; the entry gets no response and tries home B, whose queue is full and which
+ * refuses; then A resumes, claims the key and dispatches. B's refusal describes only B: since A may
+ * have the request, the response must be "may have run".
  */
-test('a refusal after a home fell silent does not say "not run"', async () => {
+test('a refusal after a home sent no response is not reported as "not run"', async () => {
   const { serve } = createFixture(['a:1', 'b:1'], { 'a:1': [LOST], 'b:1': [REFUSED] });
   await assert.rejects(serve(), { code: ResultCode.QueueFull, runState: RunState.MayHaveRun });
 });
 
-test('the same holds when the silent home answers at the second try, and for this node', async () => {
+test('a later refusal by the same home or by this node is not reported as "not run" either', async () => {
   const second = createFixture(['a:1'], { 'a:1': [LOST, REFUSED] });
   await assert.rejects(second.serve(), { runState: RunState.MayHaveRun });
-  const here = createFixture(['a:1'], { 'a:1': [LOST] }, REFUSED);
-  await assert.rejects(here.serve(), { runState: RunState.MayHaveRun });
+  const local = createFixture(['a:1'], { 'a:1': [LOST] }, REFUSED);
+  await assert.rejects(local.serve(), { runState: RunState.MayHaveRun });
 });
 
-test('a refusal stays "not run" when no home can have the request', async () => {
-  const gone = new HopError(HopFailure.NotDelivered, 'refused');
-  const leaving = new HopError(HopFailure.ShuttingDown, 'leaving');
+test('a refusal is reported as "not run" when no home can have received the request', async () => {
+  const unreachable = new HopError(HopFailure.NotDelivered, 'refused');
+  const shuttingDown = new HopError(HopFailure.ShuttingDown, 'shutting down');
   const behind = new HopError(HopFailure.Behind, 'behind');
   const { membership, serve } = createFixture(
     ['a:1', 'b:1', 'c:1'],
-    { 'a:1': [gone], 'b:1': [leaving], 'c:1': [behind] },
+    { 'a:1': [unreachable], 'b:1': [shuttingDown], 'c:1': [behind] },
     REFUSED,
   );
   await assert.rejects(serve(), { runState: RunState.NotRun });
-  assert.deepEqual(membership.seen, ['failure a:1', 'leaving b:1', 'contact c:1']);
+  assert.deepEqual(membership.recorded, ['failure a:1', 'shutdown b:1', 'contact c:1']);
 });
 
-test('a node that is home itself serves without a hop', async () => {
+test('a node that is the home itself serves without a hop', async () => {
   const { hop, home, serve } = createFixture([SELF, 'b:1'], {});
-  assert.equal(await serve(), ANSWER);
+  assert.equal(await serve(), RESPONSE);
   assert.deepEqual(hop.sent, []);
   assert.equal(home.served, 1);
 });
 
-test('a node that leaves sends what it is home of to the next candidate', async () => {
-  const { hop, home, serve } = createFixture([SELF, 'b:1'], { 'b:1': [ANSWER] }, ANSWER, true);
-  assert.equal(await serve(), ANSWER);
+test('a node that shuts down sends requests of which it is the home to the next candidate', async () => {
+  const { hop, home, serve } = createFixture([SELF, 'b:1'], { 'b:1': [RESPONSE] }, RESPONSE, true);
+  assert.equal(await serve(), RESPONSE);
   assert.deepEqual(hop.sent, ['b:1']);
   assert.equal(home.served, 0);
 });
 
-test('a node that missed word of the configuration serves by itself only when nobody else can', async () => {
+test('a node with a stale configuration serves requests locally only when no other home can', async () => {
   const { hop, home, serve } = createFixture(
     [SELF, 'b:1'],
-    { 'b:1': [ANSWER] },
-    ANSWER,
+    { 'b:1': [RESPONSE] },
+    RESPONSE,
     false,
     true,
   );
-  assert.equal(await serve(), ANSWER);
+  assert.equal(await serve(), RESPONSE);
   assert.deepEqual([hop.sent, home.served], [['b:1'], 0]);
-  const gone = new HopError(HopFailure.NotDelivered, 'refused');
-  const alone = createFixture([SELF, 'b:1'], { 'b:1': [gone] }, ANSWER, false, true);
-  assert.equal(await alone.serve(), ANSWER);
+  const unreachable = new HopError(HopFailure.NotDelivered, 'refused');
+  const alone = createFixture([SELF, 'b:1'], { 'b:1': [unreachable] }, RESPONSE, false, true);
+  assert.equal(await alone.serve(), RESPONSE);
   assert.equal(alone.home.served, 1);
 });
--- a/packages/node/src/entry/common/homeRouter.ts
+++ b/packages/node/src/entry/common/homeRouter.ts
@@ -1,4 +1,4 @@
-/** The entry's choice of a home for each request, and its way on when a home does not answer. */
+/** Chooses a home for each request at the entry, and the next candidate when a home does not respond. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError } from '@parsleymux/base';
 import type { ConfigService } from '@parsleymux/config';
@@ -10,7 +10,7 @@
 
 /** Homes that are tried before this node serves the request itself. */
 const MAX_CANDIDATES = 3;
-/** Tries of one peer: the second, on new connections, tells a lost connection from a lost peer. */
+/** Tries of one peer. The second uses new connections, to distinguish a lost connection from a lost peer. */
 const TRIES_PER_PEER = 2;
 
 /** Options of a {@link HomeRouter}. */
@@ -23,19 +23,19 @@
   readonly home: HomeService;
   /** Peer address of this node. */
   readonly self: string;
-  /** Whether this node is on its way out of the fleet. */
+  /** Whether this node is shutting down. */
   readonly isShuttingDown: () => boolean;
-  /** Whether word of the configuration is late here. */
+  /** Whether the configuration of this node may be out of date. */
   readonly isStale: () => boolean;
-  /** Called for each exchange with a home, for metrics. */
+  /** Called after each exchange with a home, for metrics. */
   readonly onDidTry?: (outcome: HopFailure | 'answered' | 'local') => void;
 }
 
 /**
- * Serves requests through their home.
+ * Forwards requests to their homes.
  *
  * @example
- * const answer = await router.serve(request, signal);
+ * const response = await router.serve(request, signal);
  */
 export class HomeRouter {
   private readonly options: IHomeRouterOptions;
@@ -45,24 +45,24 @@
   }
 
   /**
-   * Goes through the candidates in their order, the last being this node itself. Trying another
-   * home is safe: reads may run twice, and everything else is claimed before it is dispatched.
+   * Tries the candidates in their order, and this node itself last. Trying another home is safe:
+   * idempotent requests may run twice, and all others are claimed before they are dispatched.
    */
   async serve(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
-    let mayHaveReached = false;
+    let isPossiblyDelivered = false;
     for (const candidate of this.listCandidates(request)) {
       if (candidate === this.options.self) {
         if (!this.options.isShuttingDown() && !this.options.isStale()) break;
-        // The other entries have gone on to the next candidate; serving here as well would make
-        // two homes that each count only their own share of the targets' slots.
+        // The other entries already use the next candidate. Serving locally as well would create two
+        // homes that each count only their own part of the targets' slots in use.
         continue;
       }
-      const outcome = await this.tryPeer(candidate, request, signal, mayHaveReached);
+      const outcome = await this.tryPeer(candidate, request, signal, isPossiblyDelivered);
       if (!(outcome instanceof HopError)) return outcome;
-      mayHaveReached ||= outcome.isPossiblyDelivered();
+      isPossiblyDelivered ||= outcome.isPossiblyDelivered();
     }
     this.options.onDidTry?.('local');
-    return this.serveLocally(request, signal, mayHaveReached);
+    return this.serveLocally(request, signal, isPossiblyDelivered);
   }
 
   private listCandidates(request: IRoutedRequest): readonly string[] {
@@ -77,36 +77,36 @@
     peer: string,
     request: IRoutedRequest,
     signal: AbortSignal,
-    hasReachedOther: boolean,
+    isPossiblyDeliveredBefore: boolean,
   ): Promise<IResponse | HopError> {
-    let mayHaveReached = hasReachedOther;
+    let isPossiblyDelivered = isPossiblyDeliveredBefore;
     let last: HopError | undefined;
     for (let attempt = 0; attempt < TRIES_PER_PEER; attempt += 1) {
-      const outcome = await this.tryOnce(peer, request, signal, mayHaveReached);
+      const outcome = await this.tryOnce(peer, request, signal, isPossiblyDelivered);
       if (!(outcome instanceof HopError)) return outcome;
       last = outcome;
-      mayHaveReached ||= outcome.isPossiblyDelivered();
+      isPossiblyDelivered ||= outcome.isPossiblyDelivered();
       if (outcome.failure !== HopFailure.Lost) break;
       this.options.hop.retireConnections(peer);
     }
-    // Errors cost a stack trace each: none is made for the usual request that is answered.
+    // Each error captures a stack trace, so none is created for a request that succeeds.
     last ??= new HopError(HopFailure.NotDelivered, 'peer not tried');
     this.recordOutcome(peer, last);
-    return mayHaveReached ? new HopError(HopFailure.Lost, last.message, last) : last;
+    return isPossiblyDelivered ? new HopError(HopFailure.Lost, last.message, last) : last;
   }
 
   private async tryOnce(
     peer: string,
     request: IRoutedRequest,
     signal: AbortSignal,
-    mayHaveReached: boolean,
+    isPossiblyDelivered: boolean,
   ): Promise<IResponse | HopError> {
     try {
       const memberRevision = this.getMemberRevision(request.member);
-      const answer = await this.options.hop.send(peer, { request, memberRevision }, signal);
+      const response = await this.options.hop.send(peer, { request, memberRevision }, signal);
       this.options.membership.recordContact(peer);
       this.options.onDidTry?.('answered');
-      return answer;
+      return response;
     } catch (error) {
       if (error instanceof HopError) {
         this.options.onDidTry?.(error.failure);
@@ -115,7 +115,7 @@
       if (error instanceof MuxError) {
         this.options.membership.recordContact(peer);
         this.options.onDidTry?.('answered');
-        throw withPossibleDelivery(error, mayHaveReached);
+        throw withPossibleDelivery(error, isPossiblyDelivered);
       }
       throw error;
     }
@@ -130,12 +130,12 @@
   private async serveLocally(
     request: IRoutedRequest,
     signal: AbortSignal,
-    mayHaveReached: boolean,
+    isPossiblyDelivered: boolean,
   ): Promise<IResponse> {
     try {
       return await this.options.home.handle(request, signal);
     } catch (error) {
-      throw error instanceof MuxError ? withPossibleDelivery(error, mayHaveReached) : error;
+      throw error instanceof MuxError ? withPossibleDelivery(error, isPossiblyDelivered) : error;
     }
   }
 
@@ -146,9 +146,9 @@
 }
 
 /**
- * A home that fell silent may still hold the request and run it later. A refusal "not run" by
- * the next home would then be false; the caller would learn of it only from a second booking.
+ * A home that stopped responding may still have the request and run it later. A "not run" refusal by
+ * the next home would then be false, and a retry of the caller could cause a duplicate execution.
  */
-function withPossibleDelivery(error: MuxError, mayHaveReached: boolean): MuxError {
-  return mayHaveReached ? error.toMayHaveRun() : error;
+function withPossibleDelivery(error: MuxError, isPossiblyDelivered: boolean): MuxError {
+  return isPossiblyDelivered ? error.toMayHaveRun() : error;
 }
--- a/packages/node/src/entry/common/shards.ts
+++ b/packages/node/src/entry/common/shards.ts
@@ -1,10 +1,10 @@
-/** How services are cut into shards for placement. */
+/** Division of services into shards for placement. */
 import type { IShard } from '@parsleymux/fleet';
 import type { Service } from '@parsleymux/schema';
 
 /**
- * The one shard of a service. Pooling all slots of a service at one home keeps its queue short;
- * docs/CAPACITY.md says from which size on a service has to be split.
+ * Describes the only shard of a service. Pooling all slots of a service at one home keeps its queue
+ * short; docs/CAPACITY.md states the size from which a service has to be split.
  *
  * @example
  * placement.rank(describeShard('relinieri', service), 3);
--- a/packages/node/src/entry/node/callerConnections.test.ts
+++ b/packages/node/src/entry/node/callerConnections.test.ts
@@ -54,9 +54,9 @@
   return createTlsServer({ cert: pair.cert, key: pair.private });
 }
 
-test('over TLS the limit of connections is met with a number as well', async (t) => {
-  const bench = await openFixture(t, await openTlsServer(), 1);
-  const options = { port: bench.port, host: '127.0.0.1', rejectUnauthorized: false };
+test('a connection above the limit gets a result code over TLS too', async (t) => {
+  const fixture = await openFixture(t, await openTlsServer(), 1);
+  const options = { port: fixture.port, host: '127.0.0.1', rejectUnauthorized: false };
   const first = connectTls(options);
   await once(first, 'secureConnect');
   const second = connectTls(options);
@@ -68,30 +68,30 @@
   second.destroy();
 });
 
-test('plain text on a TLS port ends the connection and nothing else', async (t) => {
-  const bench = await openFixture(t, await openTlsServer(), 10);
-  const socket = connect({ port: bench.port, host: '127.0.0.1' });
+test('plain text on a TLS port ends only that connection', async (t) => {
+  const fixture = await openFixture(t, await openTlsServer(), 10);
+  const socket = connect({ port: fixture.port, host: '127.0.0.1' });
   socket.on('error', () => undefined);
   socket.write('GET / HTTP/1.1\r\nhost: x\r\n\r\n');
   socket.resume();
   await once(socket, 'close');
-  while ((await bench.countConnections()) > 0)
+  while ((await fixture.countConnections()) > 0)
     await new Promise((resolve) => setImmediate(resolve));
-  assert.deepEqual(bench.refused, [ResultCode.MalformedRequest]);
+  assert.deepEqual(fixture.refused, [ResultCode.MalformedRequest]);
 });
 
-test('a refused connection is closed though its caller keeps its side open', async (t) => {
-  // Symptom: connections pile up that carry nothing, until no caller gets one.
-  // Sequence: a caller sends what is no HTTP, is refused, and neither reads nor closes.
-  // Cause: ending the node's side leaves a connection half open for as long as the caller likes.
-  const bench = await openFixture(t, createServer(), 10);
-  const socket = connect({ port: bench.port, host: '127.0.0.1', allowHalfOpen: true });
+test('a refused connection is closed even if the caller keeps its side open', async (t) => {
+  // Guards against unused connections that accumulate until no caller can connect. It arises when the
+  // node only ends its side of the connection of a caller that sends invalid HTTP, is refused, and
+  // neither reads nor closes: the connection stays half open.
+  const fixture = await openFixture(t, createServer(), 10);
+  const socket = connect({ port: fixture.port, host: '127.0.0.1', allowHalfOpen: true });
   socket.on('error', () => undefined);
   socket.write('GARBAGE\r\n\r\n');
   socket.resume();
   await once(socket, 'end');
-  while ((await bench.countConnections()) > 0)
+  while ((await fixture.countConnections()) > 0)
     await new Promise((resolve) => setImmediate(resolve));
   socket.destroy();
-  assert.deepEqual(bench.refused, [ResultCode.MalformedRequest]);
+  assert.deepEqual(fixture.refused, [ResultCode.MalformedRequest]);
 });
--- a/packages/node/src/entry/node/callerConnections.ts
+++ b/packages/node/src/entry/node/callerConnections.ts
@@ -1,4 +1,4 @@
-/** What callers do to connections beyond sending requests: too many, too slow, not HTTP. */
+/** Limits the connections of callers, and refuses slow or malformed input on them. */
 import type { IncomingMessage, Server } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
@@ -7,20 +7,20 @@
 import { createRefusal } from '../../http/common/refusal.js';
 import { writeRawRefusal } from './refusalWriter.js';
 
-/** Connections above the limit that still get an answer; beyond them the system drops. */
+/** Connections above the limit that still get a refusal; further ones are dropped. */
 const REFUSED_ABOVE_LIMIT = 64;
 
 /** Options of a {@link CallerConnections}. */
 export interface ICallerConnectionsOptions {
   readonly server: Server;
-  /** Connections whose requests are served. */
+  /** Maximum number of connections whose requests are served. */
   readonly limit: number;
-  /** Called for each refusal that answers no request, for metrics. */
+  /** Called for each refusal that does not belong to a request, for metrics. */
   readonly onDidRefuse: (code: ResultCode) => void;
 }
 
 /**
- * Watches the connections of a server, and answers what is no request.
+ * Tracks the connections of a server, and refuses input that is not a valid request.
  *
  * @example
  * const connections = new CallerConnections({ server, limit: 4000, onDidRefuse });
@@ -29,14 +29,14 @@
   private readonly options: ICallerConnectionsOptions;
   private readonly open = new Set<Duplex>();
   private readonly aboveLimit = new WeakSet<Duplex>();
-  /** Requests of each connection that have no whole answer yet. */
+  /** Requests of each connection whose response is not complete yet. */
   private readonly inFlight = new WeakMap<Duplex, Set<IncomingMessage>>();
 
   constructor(options: ICallerConnectionsOptions) {
     this.options = options;
     const { server, limit } = options;
     server.maxConnections = limit + REFUSED_ABOVE_LIMIT;
-    // Requests over TLS come on the socket of this event, not on that of the TCP connection.
+    // Requests over TLS have the socket of this event, not that of the TCP connection.
     const event = server instanceof TlsServer ? 'secureConnection' : 'connection';
     server.on(event, (socket: Socket) => {
       this.track(socket);
@@ -44,13 +44,13 @@
     server.on('clientError', (error, socket) => {
       this.refuseMalformed(error, socket);
     });
-    // Without a listener Node would end the connection without a word.
+    // Without a listener, Node.js would close the connection without a response.
     server.on('connect', (_request, socket) => {
       this.refuse(socket, ResultCode.MethodNotAllowed, 'tunnels are not offered');
     });
   }
 
-  /** Takes note of a request; the returned function says that its answer is whole. */
+  /** Tracks a request until the returned function is called, when its response is complete. */
   startRequest(request: IncomingMessage): () => void {
     const requests = this.inFlight.get(request.socket) ?? new Set();
     this.inFlight.set(request.socket, requests.add(request));
@@ -71,7 +71,7 @@
     socket.once('close', () => this.open.delete(socket));
   }
 
-  /** Whether a request that arrived whole, and so may run, waits for its answer. */
+  /** Whether a request that was received completely, and so may run, has no complete response yet. */
   private hasCompleteRequest(socket: Duplex): boolean {
     return [...(this.inFlight.get(socket) ?? [])].some(({ complete }) => complete);
   }
@@ -91,9 +91,9 @@
 
   private refuse(socket: Duplex, code: ResultCode, message: string): void {
     this.options.onDidRefuse(code);
-    // A caller matches answers to requests by their order alone. While a request of this
-    // connection has no answer, a refusal of what came behind it would be read as its answer:
-    // "not run", though it may run. A cut connection claims nothing.
+    // A caller matches responses to requests only by their order. While a request of this connection
+    // has no response, the caller would read a refusal of later input as that response: "not run",
+    // although the request may run. A closed connection makes no such statement.
     if (this.hasCompleteRequest(socket) || isHandshaking(socket)) socket.destroy();
     else writeRawRefusal(socket, createRefusal(code, message));
   }
@@ -101,7 +101,7 @@
 
 const TLS_VERSIONS: ReadonlySet<string> = new Set(['TLSv1.2', 'TLSv1.3']);
 
-/** Without a session nothing that is written can be read; the socket would wait for ever. */
+/** Before the handshake is complete no response can be sent; the socket would wait forever. */
 function isHandshaking(socket: Duplex): boolean {
   return socket instanceof TLSSocket && !TLS_VERSIONS.has(socket.getProtocol() ?? '');
 }
--- a/packages/node/src/entry/node/callerRequestReader.ts
+++ b/packages/node/src/entry/node/callerRequestReader.ts
@@ -1,4 +1,4 @@
-/** Reading of a caller's request whole, once its route is known. */
+/** Reads a caller's complete request once its route is known. */
 import type { IncomingMessage } from 'node:http';
 import { ResultCode } from '@parsleymux/base';
 import type { IRouteMatch } from '@parsleymux/config';
@@ -11,16 +11,16 @@
 /** Options of {@link readCallerRequest}. */
 export interface ICallerRequestOptions {
   readonly match: IRouteMatch;
-  /** Instant at which the request came, on the monotonic clock, in ms. */
+  /** Time at which the request arrived, on the monotonic clock, in ms. */
   readonly startedMs: number;
-  /** Time that it may take when neither caller nor route says, in ms. */
+  /** Timeout when neither the caller nor the route sets one, in ms. */
   readonly defaultDeadlineMs: number;
   readonly maxBodyBytes: number;
 }
 
 /**
- * Reads the rest of the request. Throws the numbered refusal of one that is malformed, too large
- * or ends early.
+ * Reads the rest of the request. Throws a refusal with a result code when it is malformed, too large
+ * or incomplete.
  *
  * @example
  * const routed = await readCallerRequest(request, { match, startedMs, defaultDeadlineMs, maxBodyBytes });
@@ -51,7 +51,7 @@
 }
 
 /**
- * Throws for an expectation other than the only one that has a meaning (RFC 9110, section 10.1.1).
+ * Throws for any expectation but `100-continue`, the only one that is defined (RFC 9110, section 10.1.1).
  *
  * @example
  * checkExpectation(request);
@@ -62,7 +62,7 @@
   throw createRefusal(ResultCode.MalformedRequest, 'the expectation is not known');
 }
 
-/** The address that the platform's balancer saw, or the connection's own. */
+/** Returns the address that the platform's balancer forwarded, or that of the connection. */
 function getCallerAddress(request: IncomingMessage): string {
   const forwarded = request.headers['x-forwarded-for'];
   const last = typeof forwarded === 'string' ? forwarded.split(',').at(-1)?.trim() : undefined;
--- a/packages/node/src/entry/node/callerServer.test.ts
+++ b/packages/node/src/entry/node/callerServer.test.ts
@@ -64,8 +64,8 @@
   const state = new NodeState();
   state.setStage(stage);
   const serve = (): Promise<IResponse> => {
-    const answer = { status: 200, headers: [], code: ResultCode.Ok, runState: RunState.Ran };
-    return Promise.resolve({ ...answer, body: makeBody() });
+    const head = { status: 200, headers: [], code: ResultCode.Ok, runState: RunState.Ran };
+    return Promise.resolve({ ...head, body: makeBody() });
   };
   const server = new CallerServer({
     clock: new SystemClock(),
@@ -122,22 +122,21 @@
   await state.waitUntilIdle(new AbortController().signal);
 }
 
-test('a caller that reads nothing of its answer is cut, and its memory is free again', async (t) => {
-  // Symptom: a node's memory grows with callers that read nothing, and it never finishes leaving.
-  // Sequence: callers ask for large answers and stop reading; each answer waits in memory.
-  // Cause: a write waits for its reader without any limit.
-  const bench = await openFixture(t, () => Buffer.alloc(LARGE_BYTES));
-  const socket = await bench.openCaller();
+test('a caller that does not read its response is disconnected, and its memory is released', async (t) => {
+  // Guards against a node whose memory grows and whose shutdown never ends. It arises when callers
+  // request large responses and stop reading, and a write waits for its reader without a time limit.
+  const fixture = await openFixture(t, () => Buffer.alloc(LARGE_BYTES));
+  const socket = await fixture.openCaller();
   socket.pause();
-  while (bench.state.getInFlight() === 0) await new Promise((resolve) => setImmediate(resolve));
-  await waitUntilIdle(bench.state);
+  while (fixture.state.getInFlight() === 0) await new Promise((resolve) => setImmediate(resolve));
+  await waitUntilIdle(fixture.state);
   const text = await readToEnd(socket.resume());
   assert.ok(text.length < LARGE_BYTES);
 });
 
-test('a caller that reads slowly but steadily gets its whole answer', async (t) => {
-  const bench = await openFixture(t, () => Buffer.alloc(8 * 1024 * 1024, 'x'));
-  const socket = await bench.openCaller();
+test('a caller that reads slowly but steadily gets its complete response', async (t) => {
+  const fixture = await openFixture(t, () => Buffer.alloc(8 * 1024 * 1024, 'x'));
+  const socket = await fixture.openCaller();
   let received = 0;
   socket.on('data', (chunk: Buffer) => {
     received += chunk.length;
@@ -148,69 +147,68 @@
   assert.ok(received > 8 * 1024 * 1024);
 });
 
-test('a streamed answer whose source breaks is cut visibly', async (t) => {
-  // Symptom: a caller keeps half a cut list as if it were whole.
-  // Sequence: the head of a streamed answer is out when the target's connection breaks.
-  // Cause: ending the response in good order writes the mark of a whole chunked body.
-  const bench = await openFixture(t, async function* () {
+test('a streamed response whose source fails is visibly truncated', async (t) => {
+  // Guards against a caller that accepts a truncated list as complete. It arises when the target's
+  // connection breaks after the head was sent, and the response is ended normally: that writes the last
+  // chunk, which marks a chunked body as complete.
+  const fixture = await openFixture(t, async function* () {
     yield Buffer.from('half');
-    // So that the head and the first half are with the caller.
+    // Leaves time for the head and the first half to reach the caller.
     await new Promise((resolve) => setTimeout(resolve, 50));
-    throw new Error('the source broke');
+    throw new Error('the source failed');
   });
-  const text = await readToEnd(await bench.openCaller());
+  const text = await readToEnd(await fixture.openCaller());
   assert.match(text, /^HTTP\/1\.1 200 /);
   assert.match(text, /half/);
   assert.doesNotMatch(text, /\r\n0\r\n\r\n$/);
 });
 
-test('a streamed answer to HTTP/1.0 is refused, for its end could not be told from a cut', async (t) => {
-  const bench = await openFixture(t, async function* () {
+test('a streamed response to HTTP/1.0 is refused, since its end looks like a truncation', async (t) => {
+  const fixture = await openFixture(t, async function* () {
     yield Buffer.from('half');
     await Promise.resolve();
   });
-  const text = await readToEnd(await bench.openCaller('1.0'));
+  const text = await readToEnd(await fixture.openCaller('1.0'));
   assert.match(text, /parsleymux-result: 3006/);
   assert.match(text, /parsleymux-run-state: ran/);
 });
 
-test('a source that pauses for longer than callers may is not taken for a caller that does', async (t) => {
-  // Symptom: streamed answers of slow targets are cut though their callers read at once.
-  // Sequence: the target sends the first part, works on, and sends the rest.
-  // Cause: a limit on the connection's silence that does not ask whose silence it is.
-  const bench = await openFixture(t, async function* () {
+test('a source that pauses beyond the stall limit of callers is not treated as a stalled caller', async (t) => {
+  // Guards against truncated responses of slow targets whose callers read immediately. It arises when a
+  // target pauses between two parts, and the limit on an idle connection does not distinguish a pause of
+  // the target from one of the caller.
+  const fixture = await openFixture(t, async function* () {
     yield Buffer.from('first');
     await new Promise((resolve) => setTimeout(resolve, STALL_MS * 3));
     yield Buffer.from('second');
   });
-  const text = await readToEnd(await bench.openCaller());
+  const text = await readToEnd(await fixture.openCaller());
   assert.match(text, /first[^]*second[^]*\r\n0\r\n\r\n$/);
 });
 
-test('a streamed answer is read from its source only as fast as the caller reads', async (t) => {
-  let taken = 0;
+test('a streamed response is read from its source only as fast as the caller reads', async (t) => {
+  let bytesRead = 0;
   const chunk = Buffer.alloc(64 * 1024);
-  const bench = await openFixture(t, async function* () {
-    while (taken < LARGE_BYTES) {
-      taken += chunk.length;
+  const fixture = await openFixture(t, async function* () {
+    while (bytesRead < LARGE_BYTES) {
+      bytesRead += chunk.length;
       yield chunk;
       await Promise.resolve();
     }
   });
-  const socket = await bench.openCaller();
+  const socket = await fixture.openCaller();
   socket.pause();
-  while (bench.state.getInFlight() === 0) await new Promise((resolve) => setImmediate(resolve));
-  // The caller reads nothing, so the node cuts it; until then it must not have taken all.
-  await waitUntilIdle(bench.state);
-  assert.ok(taken < LARGE_BYTES / 2, `${taken} bytes were taken from the source`);
+  while (fixture.state.getInFlight() === 0) await new Promise((resolve) => setImmediate(resolve));
+  // The caller reads nothing, so the node disconnects it; until then it must not have read everything.
+  await waitUntilIdle(fixture.state);
+  assert.ok(bytesRead < LARGE_BYTES / 2, `${bytesRead} bytes were read from the source`);
 });
 
-test('a node without configuration says "not ready", and no host is unknown to it', async (t) => {
-  // Symptom: during a rolling replacement some callers get 404 for a host that exists.
-  // Sequence: a fresh node opens its port; a lagging balancer sends it callers at once.
-  // Cause: an empty table of routes looked like one without the caller's host.
-  const bench = await openFixture(t, () => Buffer.alloc(1), NodeStage.Starting);
-  const text = await readToEnd(await bench.openCaller());
+test('a node without configuration responds "not ready" instead of "unknown host"', async (t) => {
+  // Guards against a 404 for an existing host during a rolling replacement. It arises when a lagging
+  // balancer sends callers to a node that has just opened its port and whose route table is still empty.
+  const fixture = await openFixture(t, () => Buffer.alloc(1), NodeStage.Starting);
+  const text = await readToEnd(await fixture.openCaller());
   assert.match(text, /^HTTP\/1\.1 503 /);
   assert.match(text, new RegExp(`parsleymux-result: ${ResultCode.NotReady}\r\n`));
   assert.match(text, /retry-after: 1\r\n/);
--- a/packages/node/src/entry/node/callerServer.ts
+++ b/packages/node/src/entry/node/callerServer.ts
@@ -1,4 +1,4 @@
-/** The port on which callers are served. */
+/** HTTP server for callers. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import { closeServer, listenOn, MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -23,10 +23,10 @@
 import { EntryShares } from './entryShares.js';
 import { writeRefusal } from './refusalWriter.js';
 
-/** How often connections are looked at for requests that take too long to arrive. */
+/** Interval between checks for requests that take too long to arrive. */
 const CHECKING_INTERVAL_MS = 1000;
 const KEEP_ALIVE_MS = 65_000;
-/** Time after which a caller may come back to a node that can't serve now. */
+/** Time after which a caller may retry at a node that can't serve now. */
 const RETRY_AFTER_MS = 1000;
 
 /** Options of a {@link CallerServer}. */
@@ -38,14 +38,14 @@
   readonly metrics: NodeMetrics;
   readonly limits: Limits;
   readonly timing: Timing;
-  /** Absent: plain HTTP. */
+  /** When absent, the server uses plain HTTP. */
   readonly tls?: TlsFilesWatcher | undefined;
-  /** Whether the node must not take new work now: cut off from store and peers for too long. */
+  /** Whether the node must not accept requests because it has been isolated from store and peers too long. */
   readonly isIsolated: () => boolean;
 }
 
 /**
- * Accepts callers' requests and gives each its own whole answer or a numbered refusal.
+ * Accepts callers' requests and sends each its complete response or a refusal with a result code.
  *
  * @example
  * const server = new CallerServer(options);
@@ -80,7 +80,7 @@
     return listenOn(this.server, address);
   }
 
-  /** Stops accepting; resolves when every connection has ended. */
+  /** Stops accepting connections; resolves when every connection has ended. */
   async dispose(): Promise<void> {
     await this.configSubscription.dispose();
     await closeServer(this.server);
@@ -99,14 +99,14 @@
         requestTimeout: timing.callerRequestMs,
         connectionsCheckingInterval: CHECKING_INTERVAL_MS,
         keepAliveTimeout: KEEP_ALIVE_MS,
-        // Checked here, for a numbered answer.
+        // Checked by parseHost instead, so that the refusal has a result code.
         requireHostHeader: false,
       },
       listener,
     );
-    // The size of the header bounds their number; dropping some silently would change requests.
+    // The header size bounds the number of headers; silently dropping some would change requests.
     server.maxHeadersCount = 0;
-    // Without listeners Node would answer these by itself, without a number.
+    // Without listeners, Node.js would respond to these itself, without a result code.
     server.on('checkContinue', listener);
     server.on('checkExpectation', listener);
     return server;
@@ -115,20 +115,20 @@
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const startedMs = this.options.clock.getMonotonicTime();
     const finish = this.options.state.startRequest();
-    const leaveConnection = this.connections.startRequest(request);
-    const signal = createDisconnectSignal(response, 'the caller hung up');
+    const finishOnConnection = this.connections.startRequest(request);
+    const signal = createDisconnectSignal(response, 'the caller disconnected');
     let match: IRouteMatch | undefined;
     let code: ResultCode = ResultCode.Ok;
     let releaseShares: (() => void) | undefined;
     try {
       match = this.acceptRequest(request);
       releaseShares = this.shares.reserve(match.member, request);
-      // Only now: a request that is refused needs no body.
+      // Sent only after the checks, since a request that is refused needs no body.
       if (request.headers.expect !== undefined) response.writeContinue();
       const routed = await this.readRequest(request, match, startedMs);
-      const answer = await this.options.router.serve(routed, signal);
-      code = answer.code;
-      await this.sendResponse(request, response, answer);
+      const homeResponse = await this.options.router.serve(routed, signal);
+      code = homeResponse.code;
+      await this.sendResponse(request, response, homeResponse);
     } catch (error) {
       const refusal = signal.aborted ? createCallerDisconnected(error) : toMuxError(error);
       code = refusal.code;
@@ -136,7 +136,7 @@
     } finally {
       await waitForEnd(response);
       releaseShares?.();
-      leaveConnection();
+      finishOnConnection();
       finish();
       this.recordRequest(match, code, startedMs);
     }
@@ -160,8 +160,8 @@
   }
 
   /**
-   * A node that has no configuration yet would answer "unknown host" to every caller that a
-   * lagging balancer sends it, and callers take that for final.
+   * A node that has no configuration yet would respond "unknown host" to every caller that a lagging
+   * balancer sends to it, and callers treat that response as final.
    */
   private checkServing(): void {
     if (this.options.state.getStage() === NodeStage.Starting) {
@@ -197,18 +197,23 @@
   private async sendResponse(
     request: IncomingMessage,
     response: ServerResponse,
-    answer: IResponse,
+    homeResponse: IResponse,
   ): Promise<void> {
     this.watchStalls(response);
-    await checkFraming(request, answer);
+    await checkFraming(request, homeResponse);
     const headers: Header[] = [
-      ...answer.headers,
-      [HeaderName.Result, String(answer.code)],
-      [HeaderName.RunState, answer.runState],
+      ...homeResponse.headers,
+      [HeaderName.Result, String(homeResponse.code)],
+      [HeaderName.RunState, homeResponse.runState],
       ...this.listClosingHeaders(),
     ];
     const isHead = request.method === 'HEAD';
-    await writeResponse(response, { status: answer.status, headers, body: answer.body, isHead });
+    await writeResponse(response, {
+      status: homeResponse.status,
+      headers,
+      body: homeResponse.body,
+      isHead,
+    });
   }
 
   private async writeRefusal(
@@ -222,37 +227,37 @@
   }
 
   /**
-   * Bounds the time in which a caller takes nothing. An answer is in this node's memory until it
-   * is read: callers that never read would fill it, and keep a leaving node from its end.
+   * Bounds the time in which a caller reads nothing. A response stays in this node's memory until it is
+   * read: callers that never read would exhaust the memory and block the node's shutdown.
    */
   private watchStalls(response: ServerResponse): void {
     response.setTimeout(this.options.timing.callerStallMs, () => {
-      // With nothing left to take, the pause is the target's, and its own limit is on it.
+      // When nothing is buffered, the target is pausing, for which a separate limit applies.
       if (response.writableLength > 0) response.destroy();
     });
   }
 
-  /** A node that leaves asks callers to come back on another connection, hence another node. */
+  /** During shutdown, makes callers open new connections, which reach other nodes. */
   private listClosingHeaders(): readonly Header[] {
     return this.options.state.isShuttingDown() ? [['connection', 'close']] : [];
   }
 }
 
 /**
- * HTTP/1.0 knows no chunks: a streamed answer of unknown length would end where its connection
- * ends, and one that broke off would look whole.
+ * HTTP/1.0 has no chunked encoding: a streamed response of unknown length would end with its
+ * connection, and a truncated one would look complete.
  */
-async function checkFraming(request: IncomingMessage, answer: IResponse): Promise<void> {
+async function checkFraming(request: IncomingMessage, homeResponse: IResponse): Promise<void> {
   const isFramed =
     request.httpVersion !== '1.0' ||
-    answer.body instanceof Uint8Array ||
-    answer.headers.some(([name]) => name === 'content-length');
+    homeResponse.body instanceof Uint8Array ||
+    homeResponse.headers.some(([name]) => name === 'content-length');
   if (isFramed) return;
-  await discardBody(answer.body);
+  await discardBody(homeResponse.body);
   throw new MuxError({
     code: ResultCode.AnswerTooLarge,
     message: 'the answer is streamed, which HTTP/1.0 cannot show the end of; use HTTP/1.1',
-    runState: answer.runState,
+    runState: homeResponse.runState,
   });
 }
 
--- a/packages/node/src/entry/node/entryShares.ts
+++ b/packages/node/src/entry/node/entryShares.ts
@@ -1,4 +1,4 @@
-/** What each member may have in progress at one entry: requests, and bytes of their bodies. */
+/** Limits the requests, and the bytes of their bodies, that each member may have in progress at an entry. */
 import type { IncomingMessage } from 'node:http';
 import type { MuxError } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
@@ -9,7 +9,7 @@
 const RETRY_AFTER_MS = 1000;
 
 /**
- * Admits requests before their bodies are read: what is refused costs no memory.
+ * Admits requests before their bodies are read, so that a refused request uses no memory for its body.
  *
  * @example
  * const release = shares.reserve('relinieri', request);
@@ -25,7 +25,7 @@
     this.maxBodyBytes = limits.requestBodyBytes;
   }
 
-  /** Throws MemberLimit when the member's share is used up. Calling the result gives it back. */
+  /** Reserves a part of the member's share until the result is called. Throws MemberLimit if none is left. */
   reserve(member: string, request: IncomingMessage): () => void {
     const releaseRequest = this.requests.reserve(member, 1);
     if (releaseRequest === undefined) throw createMemberLimitError('requests');
@@ -40,7 +40,7 @@
     };
   }
 
-  /** A chunked body declares no length and may grow to the limit of one body. */
+  /** A chunked body declares no length, so it is counted with the maximum length of a body. */
   private estimateBytes(request: IncomingMessage): number {
     if (request.headers['transfer-encoding'] !== undefined) return this.maxBodyBytes;
     return Math.min(Number(request.headers['content-length'] ?? 0), this.maxBodyBytes);
--- a/packages/node/src/entry/node/refusalWriter.ts
+++ b/packages/node/src/entry/node/refusalWriter.ts
@@ -1,4 +1,4 @@
-/** Writing of numbered refusals to callers, with and without a request to answer. */
+/** Writes refusals with a result code to callers, with or without a request that they belong to. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { MuxError } from '@parsleymux/base';
@@ -8,11 +8,11 @@
 import type { IRefusalBody } from '../../http/common/refusal.js';
 import { writeResponse } from '../../http/node/bodyWriter.js';
 
-/** Time that a caller has to read the refusal of what was no request, in ms. */
+/** Time that a caller has to read the refusal of malformed input, in ms. */
 const LINGER_MS = 1000;
 
 /**
- * Answers a request with a refusal; an answer that has begun is cut instead.
+ * Responds to a request with a refusal. If a response has already begun, closes the connection instead.
  *
  * @example
  * await writeRefusal(request, response, toMuxError(error), [['connection', 'close']]);
@@ -28,7 +28,7 @@
     return;
   }
   const headers: Header[] = [...listRefusalHeaders(refusal), ...extra];
-  // The rest of a body that was refused would be read as the next request.
+  // The rest of a body that was not read would be parsed as the next request.
   if (hasUnreadBody(request)) headers.push(['connection', 'close']);
   const status = getResultInfo(refusal.code).httpStatus;
   const body = Buffer.from(JSON.stringify(createRefusalBody(refusal)));
@@ -36,7 +36,7 @@
 }
 
 /**
- * Writes a refusal to a connection on which no request could be read, and ends it.
+ * Writes a refusal to a connection on which no request could be parsed, and ends it.
  *
  * @example
  * server.on('clientError', (error, socket) => writeRawRefusal(socket, refusal));
@@ -55,8 +55,8 @@
   const lines = headers.map(([name, value]) => `${name}: ${value}\r\n`).join('');
   const { httpStatus } = getResultInfo(refusal.code);
   socket.end(`HTTP/1.1 ${httpStatus} Refused\r\n${lines}\r\n${body}`);
-  // A caller that never closes its side would keep the connection for ever; closing at once could
-  // reset it before the refusal is read.
+  // A caller that never closes its side would keep the connection open forever; destroying it
+  // immediately could reset it before the refusal is read.
   const timer = setTimeout(() => socket.destroy(), LINGER_MS);
   socket.once('close', () => {
     clearTimeout(timer);
--- a/packages/node/src/entry/test/failoverFleet.ts
+++ b/packages/node/src/entry/test/failoverFleet.ts
@@ -1,4 +1,4 @@
-/** Nodes with their own membership, placement and router, on a fake network; for tests. */
+/** Nodes with their own membership, placement and router on a simulated network, for tests. */
 import { create } from '@bufbuild/protobuf';
 import type { Event } from '@parsleymux/base';
 import { ManualClock, ResultCode, RunState, SeededRandom, toDisposable } from '@parsleymux/base';
@@ -16,22 +16,22 @@
 
 const ROUTE = create(RouteSchema, { name: 'read', host: 'h', service: 'survey', idempotent: true });
 const HOP_MS = 2;
-/** An entry waits this long for the first heartbeat. */
-const SILENCE_MS = 400;
+/** Time that an entry waits for the first heartbeat, in ms. */
+const HEARTBEAT_TIMEOUT_MS = 400;
 
-/** How a node treats hops that reach it. */
+/** How a node responds to hops. */
 export const NodeCondition = {
   Up: 'up',
-  /** Its process is gone: connections are refused. */
+  /** The process has ended: connections are refused. */
   Killed: 'killed',
-  /** Its process is stopped: connections open and nothing answers. */
+  /** The process is stopped: connections are accepted, but no response is sent. */
   Paused: 'paused',
-  ShuttingDown: 'leaving',
+  ShuttingDown: 'shutting-down',
 } as const;
 
 export type NodeCondition = (typeof NodeCondition)[keyof typeof NodeCondition];
 
-/** The platform's list, which lags for as long as a test wants. */
+/** The platform's list of VMs, which changes only when the test sets it. */
 class TestVmList extends VmList {
   vms: readonly IVm[] = [];
 
@@ -86,7 +86,7 @@
   readonly membership: ListedMembershipService;
   readonly router: HomeRouter;
   condition: NodeCondition = NodeCondition.Up;
-  /** Share of hops that it leaves unanswered for too long, as an overloaded process does. */
+  /** Share of hops without a response in time, as with an overloaded process. */
   unansweredShare = 0;
   private readonly abort = new AbortController();
   private readonly running: Promise<void>;
@@ -126,7 +126,7 @@
   }
 }
 
-/** What one request met. */
+/** Result of one request. */
 export interface IServedRequest {
   readonly latencyMs: number;
   /** Hops that were tried, in order. */
@@ -134,7 +134,7 @@
 }
 
 /**
- * A fleet in one failure domain.
+ * A fleet whose nodes are all in one failure domain.
  *
  * @example
  * const fleet = await FailoverFleet.open(5);
@@ -146,7 +146,7 @@
   readonly vms = new TestVmList();
   readonly nodes = new Map<string, FailoverNode>();
   readonly random = new SeededRandom(9);
-  /** Cut one-way paths, as "from to". */
+  /** Partitioned one-way paths, as "from to". */
   readonly partitions = new Set<string>();
   tried: string[] = [];
 
@@ -167,7 +167,7 @@
     });
   }
 
-  /** The nodes in the order in which they are candidates for home, as if all were live. */
+  /** Lists the nodes in the order in which they are candidates for the home, as if all were live. */
   listCandidates(): readonly FailoverNode[] {
     const placement = new RendezvousPlacement();
     const nodes = [...this.nodes.keys()].map((address) => ({ address, failureDomain: 'north' }));
@@ -176,7 +176,7 @@
     return ranked.map(({ address }) => this.getNode(address));
   }
 
-  /** A node that is neither of the first three candidates. */
+  /** Returns a node that is not among the first three candidates. */
   getEntry(): FailoverNode {
     return this.listCandidates()[3] ?? this.getNode('');
   }
@@ -187,15 +187,15 @@
     return node;
   }
 
-  /** Serves one request that came to `entry`, advancing the clock until it is answered. */
+  /** Serves one request that arrived at `entry`, advancing the clock until there is a response. */
   async serve(entry: FailoverNode): Promise<IServedRequest> {
     const startMs = this.clock.getMonotonicTime();
     this.tried = [];
-    let answer: IResponse | undefined;
+    let response: IResponse | undefined;
     const done = entry.router.serve(makeRequest(), new AbortController().signal).then((value) => {
-      answer = value;
+      response = value;
     });
-    while (answer === undefined) await this.clock.advanceBy(1);
+    while (response === undefined) await this.clock.advanceBy(1);
     await done;
     return { latencyMs: this.clock.getMonotonicTime() - startMs, tried: this.tried };
   }
@@ -223,15 +223,15 @@
       await clock.sleep(HOP_MS);
       throw new HopError(HopFailure.NotDelivered, 'refused');
     }
-    const isOut = cuts.has(`${this.from} ${peer}`) || cuts.has(`${peer} ${this.from}`);
-    const isSilent = isOut || random.getFloat() < node.unansweredShare;
-    if (isSilent || node.condition === NodeCondition.Paused) {
-      await clock.sleep(SILENCE_MS);
+    const isPartitioned = cuts.has(`${this.from} ${peer}`) || cuts.has(`${peer} ${this.from}`);
+    const isUnanswered = isPartitioned || random.getFloat() < node.unansweredShare;
+    if (isUnanswered || node.condition === NodeCondition.Paused) {
+      await clock.sleep(HEARTBEAT_TIMEOUT_MS);
       throw new HopError(HopFailure.Lost, 'no heartbeat');
     }
     await clock.sleep(HOP_MS);
     if (node.condition === NodeCondition.ShuttingDown) {
-      throw new HopError(HopFailure.ShuttingDown, 'leaving');
+      throw new HopError(HopFailure.ShuttingDown, 'shutting down');
     }
     return node.home.handle();
   }
--- a/packages/node/src/hop/common/hopError.ts
+++ b/packages/node/src/hop/common/hopError.ts
@@ -1,22 +1,22 @@
-/** Why a home gave no answer over the hop. */
+/** Reasons why a hop got no response from the home. */
 import VError from 'verror';
 
-/** What is known of a request that got no answer from the home. */
+/** State of a request that got no response from the home. */
 export const HopFailure = {
-  /** No connection: the request was not delivered. */
+  /** No connection could be established: the request was not delivered. */
   NotDelivered: 'not-delivered',
   /** No heartbeat in time, or the connection broke: the request may have been delivered. */
   Lost: 'lost',
-  /** The home says that it is leaving and did not take the request. */
+  /** The home is shutting down and did not accept the request. */
   ShuttingDown: 'leaving',
-  /** The home's configuration is older than the entry's and it did not take the request. */
+  /** The home's configuration is older than the entry's, and it did not accept the request. */
   Behind: 'behind',
 } as const;
 
 export type HopFailure = (typeof HopFailure)[keyof typeof HopFailure];
 
 /**
- * An exchange over the hop that brought no answer of a home.
+ * An exchange over the hop that got no response from the home.
  *
  * @example
  * throw new HopError(HopFailure.Lost, 'no heartbeat');
@@ -30,7 +30,7 @@
     this.failure = failure;
   }
 
-  /** Whether the home may have taken the request. */
+  /** Whether the home may have received the request. */
   isPossiblyDelivered(): boolean {
     return this.failure === HopFailure.Lost;
   }
--- a/packages/node/src/hop/common/hopProtocol.ts
+++ b/packages/node/src/hop/common/hopProtocol.ts
@@ -2,8 +2,9 @@
  * The request hop between an entry and a home: plain HTTP/1.1 on the peer port.
  *
  * `POST /hop` carries the caller's end-to-end headers and body; the headers below carry the rest.
- * The home answers `102 Processing` at once and again every {@link HEARTBEAT_MS} while it works,
- * so that an entry tells a home that is paused, cut off or gone from one that waits for a target.
+ * The home sends `102 Processing` immediately and then every {@link HEARTBEAT_MS} until it responds,
+ * so that an entry can distinguish a home that is paused, partitioned or crashed from one that waits
+ * for a target.
  */
 export const HOP_PATH = '/hop';
 
@@ -18,25 +19,25 @@
   Path: 'parsleymux-hop-path',
   Caller: 'parsleymux-hop-caller',
   Key: 'parsleymux-hop-key',
-  /** The caller's Host. As `host` it would be taken for the peer's name in TLS. */
+  /** The caller's Host. A `host` header would be used as the peer's server name in TLS. */
   Host: 'parsleymux-hop-host',
-  /** Time left to the caller's deadline, in ms. */
+  /** Time until the caller's deadline, in ms. */
   TimeLeft: 'parsleymux-hop-time-left-ms',
-  /** Revision of the member's configuration that the entry routed by. */
+  /** Revision of the member's configuration that the entry used for routing. */
   MemberRevision: 'parsleymux-hop-member-revision',
-  /** Identifies one exchange; the home echoes it, so that no answer is taken for another's. */
+  /** Identifies one exchange. The home echoes it, so that a response to another exchange is detected. */
   Exchange: 'parsleymux-hop-exchange',
-  /** On the answer: numbered result. Its absence means that no home wrote the answer. */
+  /** On the response: the result code. Without it, the response does not come from a home. */
   Code: 'parsleymux-hop-code',
   RunState: 'parsleymux-hop-run-state',
-  /** On the answer: "answer", or "refusal" when the body is a message for people. */
+  /** On the response: "answer", or "refusal" when the body is an error message. */
   Kind: 'parsleymux-hop-kind',
   RetryAfterMs: 'parsleymux-hop-retry-after-ms',
-  /** On an answer that the home streams: its length is not known beforehand. */
+  /** On a response that the home streams, whose length is not known in advance. */
   Streamed: 'parsleymux-hop-streamed',
 } as const;
 
-/** Whether the home answers with the target's answer or refuses. */
+/** Whether the home sends the target's response or a refusal. */
 export const HopKind = { Response: 'answer', Refusal: 'refusal' } as const;
 
 export type HopKind = (typeof HopKind)[keyof typeof HopKind];
--- a/packages/node/src/hop/node/hopClient.test.ts
+++ b/packages/node/src/hop/node/hopClient.test.ts
@@ -68,15 +68,15 @@
   return outcome.failure;
 }
 
-test('an answer to another exchange is never given to a caller', async (t) => {
-  // Symptom: two callers of one entry get each other's answers.
-  // Sequence: a home answers two requests in the wrong order, each on the other's connection.
-  // Cause: HTTP/1.1 has no identifier of its own; both answers are whole and well-formed.
-  const held: [IncomingMessage, ServerResponse][] = [];
+test('a response to another exchange is never passed to a caller', async (t) => {
+  // Guards against two callers of one entry that get each other's responses. It arises when a home
+  // responds to two requests in the wrong order, each on the other's connection: HTTP/1.1 has no exchange
+  // identifier, and both responses are complete and well-formed.
+  const pending: [IncomingMessage, ServerResponse][] = [];
   const send = await openHopServer(t, (request, response) => {
-    held.push([request, response]);
-    if (held.length < 2) return;
-    const [first, second] = held;
+    pending.push([request, response]);
+    if (pending.length < 2) return;
+    const [first, second] = pending;
     writeResponseTo(second![1], getExchange(first![0]), 'to first');
     writeResponseTo(first![1], getExchange(second![0]), 'to second');
   });
@@ -84,7 +84,7 @@
   assert.deepEqual(failures, [HopFailure.Lost, HopFailure.Lost]);
 });
 
-test('an answer that is cut anywhere is a lost exchange, not a short answer', async (t) => {
+test('a truncated response is a lost exchange, not a short response', async (t) => {
   const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
@@ -98,7 +98,7 @@
   assert.equal(await getFailure(send('/')), HopFailure.Lost);
 });
 
-test('a streamed answer that is cut throws after what came', async (t) => {
+test('a streamed response that is truncated throws after the received part', async (t) => {
   const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
@@ -109,9 +109,9 @@
     response.write('half');
     setImmediate(() => response.destroy());
   });
-  const answer = await send('/');
-  assert.ok(!(answer.body instanceof Uint8Array));
-  const body = answer.body;
+  const response = await send('/');
+  assert.ok(!(response.body instanceof Uint8Array));
+  const body = response.body;
   await assert.rejects(async () => {
     for await (const chunk of body) assert.equal(Buffer.from(chunk).toString(), 'half');
   });
--- a/packages/node/src/hop/node/hopClient.ts
+++ b/packages/node/src/hop/node/hopClient.ts
@@ -1,4 +1,4 @@
-/** The entry's side of the request hop. */
+/** Client of the request hop, used by the entry. */
 import { randomBytes } from 'node:crypto';
 import type { Clock, IDisposable } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -17,11 +17,11 @@
 
 const DEFAULT_CONNECTIONS = 64;
 const EXCHANGE_PREFIX_BYTES = 8;
-/** Longest silence in the middle of an answer, in ms. */
+/** Maximum pause within a response body, in ms. */
 const BODY_TIMEOUT_MS = 30_000;
-/** Longest wait for the first heartbeat. Loopback and one domain crossing take a few ms. */
+/** Maximum wait for the first heartbeat. Loopback and a path between two failure domains take a few ms. */
 const DEFAULT_FIRST_HEARTBEAT_MS = 400;
-/** Missed heartbeats after which a home counts as lost. */
+/** Missed heartbeats after which the home is considered lost. */
 const MAX_MISSED_HEARTBEATS = 3;
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
@@ -34,19 +34,19 @@
 export interface IHopClientOptions {
   readonly clock: Clock;
   readonly authenticator: PeerAuthenticator;
-  /** Absent: plain HTTP. */
+  /** When absent, the client uses plain HTTP. */
   readonly tls?: TlsFilesWatcher | undefined;
-  /** Connections to one peer. Default 64. */
+  /** Maximum number of connections to one peer. Default 64. */
   readonly connections?: number;
-  /** Longest wait for a home's first heartbeat, in ms. Default 400. */
+  /** Maximum wait for a home's first heartbeat, in ms. Default 400. */
   readonly firstHeartbeatMs?: number;
 }
 
 /**
- * Sends requests to homes and tells, when no answer comes, whether the home may have them.
+ * Sends requests to homes and reports, when there is no response, whether the home may have received them.
  *
  * @example
- * const answer = await client.send('127.0.0.2:7002', { request, memberRevision: 3 }, signal);
+ * const response = await client.send('127.0.0.2:7002', { request, memberRevision: 3 }, signal);
  */
 export class HopClient extends HopTransport implements IDisposable {
   private readonly clock: Clock;
@@ -71,7 +71,7 @@
     const watch = new HeartbeatWatch(this.clock, this.firstHeartbeatMs, signal);
     const exchange = `${this.exchangePrefix}-${this.exchanges++}`;
     try {
-      const answer = await this.getPool(peer).request({
+      const response = await this.getPool(peer).request({
         method: 'POST',
         path: HOP_PATH,
         headers: toRawHeaders([
@@ -81,7 +81,7 @@
         ]),
         body: hop.request.body,
         signal: watch.signal,
-        // Without this, undici would give up on a home that waits for a slow target.
+        // Otherwise undici would abort the request to a home that waits for a slow target.
         headersTimeout: 0,
         bodyTimeout: BODY_TIMEOUT_MS,
         onInfo: () => {
@@ -89,8 +89,8 @@
         },
       });
       watch.recordHeartbeat();
-      checkExchange(answer, exchange);
-      return await this.readResponse(answer, watch);
+      checkExchange(response, exchange);
+      return await this.readResponse(response, watch);
     } catch (error) {
       throw toHopError(error, signal);
     } finally {
@@ -105,11 +105,11 @@
     void pool.close();
   }
 
-  /** Closes what leads to nodes that are not among `peers`: with every replaced VM one is left. */
+  /** Closes the pools of nodes that are not among `peers`; each replaced VM leaves one behind. */
   closeRemovedPeers(peers: readonly string[]): void {
-    const present = new Set(peers);
+    const listed = new Set(peers);
     for (const peer of this.pools.keys()) {
-      if (!present.has(peer)) this.retireConnections(peer);
+      if (!listed.has(peer)) this.retireConnections(peer);
     }
   }
 
@@ -152,39 +152,41 @@
   }
 
   private async readResponse(
-    answer: Dispatcher.ResponseData,
+    response: Dispatcher.ResponseData,
     watch: HeartbeatWatch,
   ): Promise<IResponse> {
-    const code = answer.headers[HopHeader.Code];
+    const code = response.headers[HopHeader.Code];
     if (typeof code !== 'string') {
-      await answer.body.dump();
-      throw new HopError(HopFailure.Lost, `peer answered ${answer.statusCode} without a result`);
+      await response.body.dump();
+      throw new HopError(
+        HopFailure.Lost,
+        `peer responded ${response.statusCode} without a result code`,
+      );
     }
-    if (answer.headers[HopHeader.Kind] === HopKind.Refusal) {
-      throw toRefusal(answer, await answer.body.text());
+    if (response.headers[HopHeader.Kind] === HopKind.Refusal) {
+      throw toRefusal(response, await response.body.text());
     }
-    const isStreamed = answer.headers[HopHeader.Streamed] !== undefined;
+    const isStreamed = response.headers[HopHeader.Streamed] !== undefined;
     return {
-      status: answer.statusCode,
-      headers: listResponseHeaders(answer),
-      body: isStreamed ? streamBody(answer, watch) : await this.readComplete(answer),
+      status: response.statusCode,
+      headers: listResponseHeaders(response),
+      body: isStreamed ? streamBody(response, watch) : await this.readComplete(response),
       code: Number(code) as ResultCode,
-      runState: (answer.headers[HopHeader.RunState] ?? RunState.MayHaveRun) as RunState,
+      runState: (response.headers[HopHeader.RunState] ?? RunState.MayHaveRun) as RunState,
     };
   }
 
-  private async readComplete(answer: Dispatcher.ResponseData): Promise<Uint8Array> {
-    const body = await answer.body.bytes();
-    const declared = Number(answer.headers['content-length'] ?? body.length);
-    if (declared !== body.length) throw new HopError(HopFailure.Lost, 'answer is not whole');
+  private async readComplete(response: Dispatcher.ResponseData): Promise<Uint8Array> {
+    const body = await response.body.bytes();
+    const declared = Number(response.headers['content-length'] ?? body.length);
+    if (declared !== body.length) throw new HopError(HopFailure.Lost, 'the response is incomplete');
     return body;
   }
 }
 
 /**
- * Aborts the exchange when the home sends no heartbeat for too long. A paused or cut-off home
- * would otherwise keep the request until the caller's deadline, seen as timeouts of just the
- * services that have it for home.
+ * Aborts the exchange when the home sends no heartbeat for too long. Otherwise a request to a paused or
+ * partitioned home would wait until the caller's deadline, and the services of this home would time out.
  */
 class HeartbeatWatch {
   private readonly abort = new AbortController();
@@ -192,9 +194,9 @@
   readonly signal: AbortSignal;
   private timer: IDisposable;
 
-  constructor(clock: Clock, firstHeartbeatMs: number, outer: AbortSignal) {
+  constructor(clock: Clock, firstHeartbeatMs: number, callerSignal: AbortSignal) {
     this.clock = clock;
-    this.signal = AbortSignal.any([this.abort.signal, outer]);
+    this.signal = AbortSignal.any([this.abort.signal, callerSignal]);
     this.timer = this.startTimer(firstHeartbeatMs);
   }
 
@@ -214,37 +216,37 @@
   }
 }
 
-/** The client would take `host` for the peer's name in TLS, and reconnect for each new one. */
+/** The client would use `host` as the peer's server name in TLS, and reconnect for each new value. */
 function toHopHeader(header: Header): Header {
   return header[0] === 'host' ? [HopHeader.Host, header[1]] : header;
 }
 
 /**
- * HTTP/1.1 matches answers to requests by their order on a connection alone. Should the two ends
- * ever disagree on it, a caller would get another caller's answer; the echo shows it. A home of
- * an older version echoes nothing.
+ * HTTP/1.1 matches responses to requests only by their order on a connection. If the two ends disagreed
+ * about the order, a caller would get another caller's response; the echoed identifier detects this.
+ * Homes of older versions echo nothing.
  */
-function checkExchange(answer: Dispatcher.ResponseData, exchange: string): void {
-  const echoed = answer.headers[HopHeader.Exchange];
+function checkExchange(response: Dispatcher.ResponseData, exchange: string): void {
+  const echoed = response.headers[HopHeader.Exchange];
   if (echoed === undefined || echoed === exchange) return;
-  answer.body.on('error', () => undefined).destroy();
-  throw new HopError(HopFailure.Lost, 'the answer belongs to another exchange');
+  response.body.on('error', () => undefined).destroy();
+  throw new HopError(HopFailure.Lost, 'the response belongs to another exchange');
 }
 
 function streamBody(
-  answer: Dispatcher.ResponseData,
+  response: Dispatcher.ResponseData,
   watch: HeartbeatWatch,
 ): AsyncIterable<Uint8Array> {
   watch.stop();
-  return watchBodyEnd(answer.body as AsyncIterable<Uint8Array>, () => {
-    // Given up before its end: what is still to come must not stay on the connection.
-    answer.body.on('error', () => undefined).destroy();
+  return watchBodyEnd(response.body as AsyncIterable<Uint8Array>, () => {
+    // The body was abandoned before its end: its rest must not stay on the connection.
+    response.body.on('error', () => undefined).destroy();
   });
 }
 
-function listResponseHeaders(answer: Dispatcher.ResponseData): readonly Header[] {
+function listResponseHeaders(response: Dispatcher.ResponseData): readonly Header[] {
   const headers: Header[] = [];
-  for (const [name, value] of Object.entries(answer.headers)) {
+  for (const [name, value] of Object.entries(response.headers)) {
     if (value === undefined || name.startsWith('parsleymux-hop-')) continue;
     if (CONNECTION_HEADERS.has(name)) continue;
     for (const single of Array.isArray(value) ? value : [value]) {
@@ -261,15 +263,15 @@
   'content-length',
 ]);
 
-function toRefusal(answer: Dispatcher.ResponseData, message: string): Error {
-  const code = Number(answer.headers[HopHeader.Code]) as ResultCode;
+function toRefusal(response: Dispatcher.ResponseData, message: string): Error {
+  const code = Number(response.headers[HopHeader.Code]) as ResultCode;
   if (code === ResultCode.NodeLeaving) return new HopError(HopFailure.ShuttingDown, message);
   if (code === ResultCode.PeerBehind) return new HopError(HopFailure.Behind, message);
-  const retryAfter = answer.headers[HopHeader.RetryAfterMs];
+  const retryAfter = response.headers[HopHeader.RetryAfterMs];
   return new MuxError({
     code,
     message,
-    runState: (answer.headers[HopHeader.RunState] ?? RunState.MayHaveRun) as RunState,
+    runState: (response.headers[HopHeader.RunState] ?? RunState.MayHaveRun) as RunState,
     ...(typeof retryAfter === 'string' ? { retryAfterMs: Number(retryAfter) } : {}),
   });
 }
--- a/packages/node/src/hop/node/hopServer.ts
+++ b/packages/node/src/hop/node/hopServer.ts
@@ -1,4 +1,4 @@
-/** The home's side of the request hop. */
+/** Server of the request hop, used by the home. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, IDisposable, MuxError } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
@@ -21,13 +21,13 @@
   readonly config: ConfigService;
   readonly home: HomeService;
   readonly state: NodeState;
-  /** Whether word of the configuration is late. */
+  /** Whether the configuration of this node may be out of date. */
   readonly isStale: () => boolean;
   readonly maxBodyBytes: number;
 }
 
 /**
- * Serves requests that other nodes forward to this one as home.
+ * Serves requests that other nodes forward to this node as their home.
  *
  * @example
  * await hopServer.handle(request, response);
@@ -43,12 +43,12 @@
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const finish = this.options.state.startRequest();
     const heartbeat = new Heartbeat(this.options.clock, response);
-    const signal = createDisconnectSignal(response, 'the entry hung up');
+    const signal = createDisconnectSignal(response, 'the entry disconnected');
     try {
       const routed = await this.readRequest(request);
-      const answer = await this.options.home.handle(routed, signal);
+      const homeResponse = await this.options.home.handle(routed, signal);
       heartbeat.stop();
-      await writeHomeResponse(response, answer, listEchoHeaders(request));
+      await writeHomeResponse(response, homeResponse, listEchoHeaders(request));
     } catch (error) {
       heartbeat.stop();
       await writeRefusal(response, toMuxError(error), listEchoHeaders(request));
@@ -61,8 +61,8 @@
 
   private async readRequest(request: IncomingMessage): Promise<IRoutedRequest> {
     if (this.options.state.isShuttingDown()) throw createNotAccepted(ResultCode.NodeLeaving);
-    // A home that was paused finds requests in its sockets that are as old as the pause, and would
-    // serve them by a configuration of that age: targets that have left would get new work.
+    // After a pause, a home finds requests in its sockets that are as old as the pause. It would serve
+    // them with a configuration of the same age, and removed targets would get new requests.
     if (this.options.isStale()) throw createNotAccepted(ResultCode.PeerBehind);
     const member = getHeader(request, HopHeader.Member);
     const route = this.findRoute(request, member);
@@ -85,10 +85,10 @@
   private findRoute(request: IncomingMessage, member: string): Route {
     const memberConfig = this.options.config.getCurrent().members.get(member);
     const entryRevision = Number(getHeader(request, HopHeader.MemberRevision));
-    const ownRevision = Number(memberConfig?.memberRevision ?? 0);
-    // A home that missed a change would send work to targets that a confirmed plan took away.
-    // The entry's newer revision shows it; refusing lets the entry go to a home that is current.
-    if (ownRevision < entryRevision) throw createNotAccepted(ResultCode.PeerBehind);
+    const localRevision = Number(memberConfig?.memberRevision ?? 0);
+    // A home that missed a change would send requests to targets that a confirmed plan removed. The
+    // entry's newer revision reveals this; refusing lets the entry try a home that is up to date.
+    if (localRevision < entryRevision) throw createNotAccepted(ResultCode.PeerBehind);
     const name = getHeader(request, HopHeader.Route);
     const route = memberConfig?.intent?.routes.find((candidate) => candidate.name === name);
     if (route === undefined) throw createNotAccepted(ResultCode.UnknownRoute);
@@ -96,14 +96,14 @@
   }
 }
 
-/** The caller's headers, with its own Host in the place of this node's name. */
+/** Lists the caller's headers, with the caller's Host instead of this node's name. */
 function listCallerHeaders(request: IncomingMessage): readonly Header[] {
   const headers = listEndToEndHeaders(request.rawHeaders).filter(([name]) => name !== 'host');
   const host = request.headers[HopHeader.Host];
   return typeof host === 'string' ? [['host', host], ...headers] : headers;
 }
 
-/** Tells the entry at once, and again from time to time, that the home is alive and working. */
+/** Sends heartbeats to the entry, the first immediately, until the home responds. */
 class Heartbeat {
   private timer: IDisposable | undefined;
   private isStopped = false;
@@ -130,7 +130,7 @@
   }
 }
 
-/** The identifier of the exchange, which the entry looks for on the answer. */
+/** Lists the header with the identifier of the exchange, which the entry checks on the response. */
 function listEchoHeaders(request: IncomingMessage): readonly Header[] {
   const exchange = request.headers[HopHeader.Exchange];
   return typeof exchange === 'string' ? [[HopHeader.Exchange, exchange]] : [];
@@ -138,23 +138,23 @@
 
 async function writeHomeResponse(
   response: ServerResponse,
-  answer: IResponse,
+  homeResponse: IResponse,
   echo: readonly Header[],
 ): Promise<void> {
   const headers: Header[] = [
     ...echo,
-    ...answer.headers.filter(([name]) => name !== 'content-length'),
-    [HopHeader.Code, String(answer.code)],
-    [HopHeader.RunState, answer.runState],
+    ...homeResponse.headers.filter(([name]) => name !== 'content-length'),
+    [HopHeader.Code, String(homeResponse.code)],
+    [HopHeader.RunState, homeResponse.runState],
     [HopHeader.Kind, HopKind.Response],
   ];
-  if (!(answer.body instanceof Uint8Array)) {
+  if (!(homeResponse.body instanceof Uint8Array)) {
     headers.push([HopHeader.Streamed, '1']);
-    // The entry's HTTP client fails an assertion when a paused answer marked "close" breaks off
-    // (see PausableSocket); an answer that is streamed therefore never carries that mark.
+    // The entry's HTTP client fails an assertion when the connection of a paused response with
+    // "connection: close" breaks (see PausableSocket), so streamed responses never have that header.
     headers.push(['connection', 'keep-alive']);
   }
-  await writeResponse(response, { status: answer.status, headers, body: answer.body });
+  await writeResponse(response, { status: homeResponse.status, headers, body: homeResponse.body });
 }
 
 async function writeRefusal(
--- a/packages/node/src/http/common/headers.ts
+++ b/packages/node/src/http/common/headers.ts
@@ -1,16 +1,16 @@
-/** Header names of the project, and which headers travel end to end. */
+/** Header names of the project, and selection of end-to-end headers. */
 import type { Header } from '@parsleymux/routing';
 import { removeHopByHopHeaders, removeFleetHeaders } from '@parsleymux/routing';
 
 /** Headers that callers, targets and nodes exchange. */
 export const HeaderName = {
-  /** Numbered result, on every answer to a caller. */
+  /** Result code, on every response to a caller. */
   Result: 'parsleymux-result',
-  /** RunState of the request, on every answer to a caller. */
+  /** RunState of the request, on every response to a caller. */
   RunState: 'parsleymux-run-state',
-  /** When asking again makes sense, in ms. `retry-after` carries the same in whole seconds. */
+  /** Time after which a retry makes sense, in ms; `retry-after` has the same time in whole seconds. */
   RetryAfterMs: 'parsleymux-retry-after-ms',
-  /** Time that the sender will wait for the answer, in ms. */
+  /** Time that the sender waits for the response, in ms. */
   TimeoutMs: 'parsleymux-timeout-ms',
   RetryAfter: 'retry-after',
 } as const;
@@ -18,8 +18,8 @@
 const CONTENT_LENGTH = 'content-length';
 
 /**
- * The end-to-end headers among raw header fields as Node gives them: name, value, name, value.
- * Whoever sends the body on declares its length anew.
+ * Lists the end-to-end headers of raw header fields as Node.js provides them: name, value, name, value.
+ * The content length is omitted, since the component that forwards the body sets it.
  *
  * @example
  * const headers = listEndToEndHeaders(request.rawHeaders);
@@ -34,7 +34,7 @@
 }
 
 /**
- * Flattens headers to the list that `writeHead` and undici take.
+ * Flattens headers to the list format of `writeHead` and undici.
  *
  * @example
  * toRawHeaders([['host', 'booking.example']]); // ['host', 'booking.example']
--- a/packages/node/src/http/common/refusal.ts
+++ b/packages/node/src/http/common/refusal.ts
@@ -1,9 +1,9 @@
-/** Turning of errors into numbered answers. */
+/** Converts errors into refusals with a result code. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 
 /**
- * The error itself when it is numbered. Anything else is a fault of ours: what it says stays
- * inside, and since nobody knows how far the request came, it may have run.
+ * Returns the error itself when it has a result code. Any other error is an internal fault: its message
+ * is not sent to callers, and since the progress of the request is unknown, it may have run.
  *
  * @example
  * const refusal = toMuxError(error);
@@ -19,7 +19,7 @@
 }
 
 /**
- * The refusal of a request that nothing was done for.
+ * Creates the refusal of a request that was not run.
  *
  * @example
  * throw createRefusal(ResultCode.UnknownHost, 'no member serves this host');
--- a/packages/node/src/http/node/bodyReader.ts
+++ b/packages/node/src/http/node/bodyReader.ts
@@ -1,10 +1,10 @@
-/** Reading of whole bodies within a limit. */
+/** Reads complete bodies of limited size. */
 import type { IncomingMessage } from 'node:http';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { createRefusal } from '../common/refusal.js';
 
 /**
- * Reads a request's body, at most `maxBytes`.
+ * Reads the body of a request. Throws BodyTooLarge when it is larger than `maxBytes`.
  *
  * @example
  * const body = await readBody(request, 1024);
@@ -17,8 +17,8 @@
   try {
     for await (const chunk of request as AsyncIterable<Uint8Array>) {
       length += chunk.length;
-      // A chunked body declares no length: without a count of our own one caller could fill
-      // the memory that all members share.
+      // A chunked body declares no length: without this count, one caller could exhaust the memory that
+      // all members share.
       if (length > maxBytes) throw createBodyTooLarge(maxBytes);
       chunks.push(chunk);
     }
--- a/packages/node/src/http/node/bodyWriter.ts
+++ b/packages/node/src/http/node/bodyWriter.ts
@@ -1,4 +1,4 @@
-/** Writing of answers, whole or streamed with back-pressure. */
+/** Writes responses, either complete or streamed with back-pressure. */
 import type { ServerResponse } from 'node:http';
 import { once } from 'node:events';
 import type { ResponseBody, Header } from '@parsleymux/routing';
@@ -9,18 +9,18 @@
 const NO_CONTENT = 204;
 const NOT_MODIFIED = 304;
 
-/** Head and body of what is written. */
+/** Head and body of a response to write. */
 export interface IOutgoingResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: ResponseBody;
-  /** The request was HEAD: the answer has no body, but may declare the length of one. */
+  /** Whether the request was HEAD: the response has no body, but may declare the length of one. */
   readonly isHead?: boolean;
 }
 
 /**
- * Resolves when the response was handed to the operating system whole, or its connection is gone.
- * A request counts as in flight until then: to exit sooner would cut the end off its answer.
+ * Resolves when the complete response was passed to the operating system, or its connection is closed.
+ * A request counts as in flight until then: exiting earlier would truncate its response.
  *
  * @example
  * await waitForEnd(response);
@@ -34,11 +34,11 @@
 }
 
 /**
- * Writes one answer. A body that breaks off destroys the connection, so that the receiver sees
- * a cut instead of an end: half an answer must never look whole.
+ * Writes one response. When its body fails, the connection is destroyed, so that the receiver detects
+ * the truncation: an incomplete response must never look complete.
  *
  * @example
- * await writeAnswer(response, { status: 200, headers: [], body: new Uint8Array() });
+ * await writeResponse(response, { status: 200, headers: [], body: new Uint8Array() });
  */
 export async function writeResponse(
   response: ServerResponse,
@@ -67,8 +67,8 @@
     response.end();
     return;
   }
-  // The source's own length may stand among the headers; two of them make an answer that
-  // receivers refuse as an attempt to smuggle.
+  // The headers may already contain the length that the source declared. Receivers reject a response
+  // with two content lengths as attempted response smuggling.
   const headers = outgoing.headers.filter(([name]) => name !== CONTENT_LENGTH);
   headers.push([CONTENT_LENGTH, String(body.length)]);
   response.writeHead(outgoing.status, toRawHeaders(headers));
@@ -79,14 +79,14 @@
   response: ServerResponse,
   body: AsyncIterable<Uint8Array>,
 ): Promise<void> {
-  const gone = new AbortController();
+  const closed = new AbortController();
   response.once('close', () => {
-    gone.abort();
+    closed.abort();
   });
   try {
     for await (const chunk of body) {
       if (response.destroyed) return;
-      if (!response.write(chunk)) await once(response, 'drain', { signal: gone.signal });
+      if (!response.write(chunk)) await once(response, 'drain', { signal: closed.signal });
     }
     response.end();
   } catch {
--- a/packages/node/src/http/node/disconnectSignal.ts
+++ b/packages/node/src/http/node/disconnectSignal.ts
@@ -1,12 +1,13 @@
-/** Notice of a receiver that left before its answer. */
+/** Detects receivers that disconnect before their response is complete. */
 import type { ServerResponse } from 'node:http';
 
 /**
- * A signal that aborts when the connection ends before the answer was written whole. Without it
- * work would go on, and hold slots of targets, for an answer that nobody can receive.
+ * Creates a signal that aborts when the connection ends before the complete response was written.
+ * Without it, the request would go on and occupy slots of targets although nobody receives its response.
  *
  * @example
- * const answer = await home.handle(request, createHangUpSignal(response, 'the entry hung up'));
+ * const signal = createDisconnectSignal(response, 'the entry disconnected');
+ * const homeResponse = await home.handle(request, signal);
  */
 export function createDisconnectSignal(response: ServerResponse, reason: string): AbortSignal {
   const abort = new AbortController();
--- a/packages/node/src/metrics/node/nodeMetrics.ts
+++ b/packages/node/src/metrics/node/nodeMetrics.ts
@@ -1,4 +1,4 @@
-/** Counters of one node in the text format that `prom-client` writes. */
+/** Metrics of one node, collected with `prom-client`. */
 import type { InvariantRegistry, Logger, MuxError, ResultCode } from '@parsleymux/base';
 import { Emitter, getResultInfo, InvariantName } from '@parsleymux/base';
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client';
@@ -23,8 +23,8 @@
 }
 
 /**
- * The node's registry and the counters that its parts feed. The status port serves it to the
- * fleet's operators; members see only their own share, through the administration API.
+ * The node's registry and the metrics that its components record. The status port serves them to the
+ * fleet's operators; members get only their own figures, through the administration API.
  *
  * @example
  * metrics.recordRequest({ member, service, code: ResultCode.Ok, durationMs: 12 });
@@ -52,7 +52,7 @@
     });
     this.latency = new Histogram({
       name: 'parsleymux_request_duration_seconds',
-      help: 'Time from a request to the end of its answer.',
+      help: 'Time from the arrival of a request to the end of its response.',
       labelNames: ['member', 'service'],
       buckets: LATENCY_BUCKETS_S,
       registers,
@@ -65,7 +65,7 @@
     });
     this.internalErrors = new Counter({
       name: 'parsleymux_internal_errors_total',
-      help: 'Errors of the program itself. Must stay at 0.',
+      help: 'Unexpected errors within the node. Must stay at 0.',
       registers,
     });
     this.registerState(options.state);
@@ -83,7 +83,10 @@
     this.hopTries.inc({ outcome });
   }
 
-  /** An unnumbered error reached a caller as "internal": the one kind of line not for a state. */
+  /**
+   * Records and logs an error without a result code, which a caller received as "internal error". All
+   * other log lines report a state.
+   */
   recordInternalError(error: MuxError): void {
     this.internalErrors.inc();
     const cause = error.cause()?.stack ?? error.message;
@@ -93,7 +96,7 @@
   private registerState(state: NodeState): void {
     const gauge = new Gauge({
       name: 'parsleymux_requests_in_flight',
-      help: 'Requests that this node works on, as entry or home.',
+      help: 'Requests in progress on this node, as entry or home.',
       registers: [this.registry],
       collect: () => {
         gauge.set(state.getInFlight());
@@ -104,7 +107,7 @@
   private registerInvariants(invariants: InvariantRegistry): void {
     const violations = new Gauge({
       name: 'parsleymux_invariant_violations_total',
-      help: 'Times that an invariant did not hold. Must stay at 0.',
+      help: 'Violations of an invariant. Must stay at 0.',
       labelNames: ['name'],
       registers: [this.registry],
       collect: () => {
@@ -115,7 +118,7 @@
     });
     const checks = new Gauge({
       name: 'parsleymux_invariant_checks_total',
-      help: 'Times that an invariant was checked.',
+      help: 'Checks of an invariant.',
       labelNames: ['name'],
       registers: [this.registry],
       collect: () => {
--- a/packages/node/src/peer/node/connectClaimPeer.ts
+++ b/packages/node/src/peer/node/connectClaimPeer.ts
@@ -1,13 +1,13 @@
-/** Questions to other nodes about their claims, over connect-es. */
+/** Looks up the claims of other nodes over connect-es. */
 import type { IClaimLookUpAnswer, IClaimLookUpQuestion } from '@parsleymux/claims';
 import { ClaimPeer } from '@parsleymux/claims';
 import type { PeerClients } from '@parsleymux/fleet';
 
-/** Time for the exchange itself, beside the time that the claimer waits, in ms. */
+/** Time for the exchange itself, in addition to the time that the claimer waits, in ms. */
 const EXCHANGE_MS = 500;
 
 /**
- * Asks claimers by their peer address.
+ * Sends look-ups to claimers by their peer address.
  *
  * @example
  * const { state } = await new ConnectClaimPeer(clients).lookUp('10.0.0.1:7002', question, signal);
@@ -22,11 +22,11 @@
     question: IClaimLookUpQuestion,
     signal: AbortSignal,
   ): Promise<IClaimLookUpAnswer> {
-    const answer = await this.clients.execute(
+    const response = await this.clients.execute(
       address,
       (client, options) => client.lookUpClaim(question, options),
       { signal, timeoutMs: question.waitMs + EXCHANGE_MS },
     );
-    return { state: answer.state, answer: answer.answer };
+    return { state: response.state, answer: response.answer };
   }
 }
--- a/packages/node/src/peer/node/connectConfigPeer.ts
+++ b/packages/node/src/peer/node/connectConfigPeer.ts
@@ -1,11 +1,11 @@
-/** Other nodes as sources of configuration, over connect-es. */
+/** Exchanges configuration with other nodes over connect-es. */
 import type { RandomSource } from '@parsleymux/base';
 import type { IConfigSnapshot } from '@parsleymux/config';
 import { ConfigPeer, ConfigPeerSource } from '@parsleymux/config';
 import type { MembershipService, PeerClients } from '@parsleymux/fleet';
 import { NeighbourSet } from '@parsleymux/fleet';
 
-/** One peer by its address. */
+/** A peer that is identified by its address. */
 class ConnectConfigPeer extends ConfigPeer {
   constructor(
     private readonly clients: PeerClients,
@@ -17,22 +17,22 @@
 
   override async announce(fleetRevision: number, signal: AbortSignal): Promise<number> {
     const request = { node: this.self, fleetRevision: BigInt(fleetRevision) };
-    const answer = await this.clients.execute(
+    const response = await this.clients.execute(
       this.address,
       (client, options) => client.announceRevision(request, options),
       { signal },
     );
-    return Number(answer.fleetRevision);
+    return Number(response.fleetRevision);
   }
 
   override async fetchAfter(fleetRevision: number, signal: AbortSignal): Promise<IConfigSnapshot> {
     const request = { afterFleetRevision: BigInt(fleetRevision) };
-    const answer = await this.clients.execute(
+    const response = await this.clients.execute(
       this.address,
       (client, options) => client.fetchConfig(request, options),
       { signal },
     );
-    return { fleetRevision: Number(answer.fleetRevision), members: answer.members };
+    return { fleetRevision: Number(response.fleetRevision), members: response.members };
   }
 }
 
@@ -46,7 +46,7 @@
 }
 
 /**
- * Picks peers at random among this node's neighbours.
+ * Picks random peers among this node's neighbours.
  *
  * @example
  * const peers = new LivePeerSource({ clients, membership, random, self });
@@ -65,16 +65,16 @@
   override pick(count: number): readonly ConfigPeer[] {
     const { membership, random } = this.options;
     this.neighbours.setNodes(membership.getLiveNodes());
-    const others = [...this.neighbours.getAddresses()];
+    const candidates = [...this.neighbours.getAddresses()];
     const picked: ConfigPeer[] = [];
-    while (picked.length < count && others.length > 0) {
-      const [address] = others.splice(random.getInteger(others.length), 1);
+    while (picked.length < count && candidates.length > 0) {
+      const [address] = candidates.splice(random.getInteger(candidates.length), 1);
       if (address !== undefined) picked.push(this.makePeer(address));
     }
     return picked;
   }
 
-  /** The peer at an address, such as one that announced a revision. */
+  /** Creates the peer at an address, for example of a node that announced a revision. */
   makePeer(address: string): ConfigPeer {
     return new ConnectConfigPeer(this.options.clients, this.options.self, address);
   }
--- a/packages/node/src/peer/node/connectTargetObserver.ts
+++ b/packages/node/src/peer/node/connectTargetObserver.ts
@@ -1,10 +1,10 @@
-/** Second opinions on targets, over another node's network path. */
+/** Observes targets over the network path of another node. */
 import type { RandomSource } from '@parsleymux/base';
 import type { INode, MembershipService, PeerClients } from '@parsleymux/fleet';
 import type { IObservation, IObservationRequest } from '@parsleymux/routing';
 import { TargetObserver } from '@parsleymux/routing';
 
-/** Time for the exchange with the observer itself, beside the target's, in ms. */
+/** Time for the exchange with the observer, in addition to that with the target, in ms. */
 const EXCHANGE_MS = 500;
 
 /** Options of a {@link ConnectTargetObserver}. */
@@ -12,13 +12,13 @@
   readonly clients: PeerClients;
   readonly membership: MembershipService;
   readonly random: RandomSource;
-  /** This node, whose own path is in question. */
+  /** This node, whose path to the target may be faulty. */
   readonly self: INode;
 }
 
 /**
- * Asks one other node, in another failure domain where there is one: a cut that this node's
- * domain shares would otherwise look like a fault of the target.
+ * Sends the request to one other node, in another failure domain if possible: otherwise a partition of
+ * this node's failure domain would look like a fault of the target.
  *
  * @example
  * const observation = await observer.observe(request, signal);
@@ -38,12 +38,12 @@
     const node = this.chooseNode();
     if (node === undefined) return undefined;
     try {
-      const answer = await this.options.clients.execute(
+      const response = await this.options.clients.execute(
         node.address,
         (client, options) => client.observeTarget(request, options),
         { signal, timeoutMs: request.timeoutMs + EXCHANGE_MS },
       );
-      const { succeeded, status, latencyMs } = answer;
+      const { succeeded, status, latencyMs } = response;
       return { succeeded, status, latencyMs };
     } catch {
       return undefined;
@@ -52,9 +52,9 @@
 
   private chooseNode(): INode | undefined {
     const { membership, random, self } = this.options;
-    const others = membership.getLiveNodes().filter(({ address }) => address !== self.address);
-    const elsewhere = others.filter(({ failureDomain }) => failureDomain !== self.failureDomain);
-    const candidates = elsewhere.length > 0 ? elsewhere : others;
+    const peers = membership.getLiveNodes().filter(({ address }) => address !== self.address);
+    const remotePeers = peers.filter(({ failureDomain }) => failureDomain !== self.failureDomain);
+    const candidates = remotePeers.length > 0 ? remotePeers : peers;
     return candidates[random.getInteger(candidates.length)];
   }
 }
--- a/packages/node/src/peer/node/controlImplementation.ts
+++ b/packages/node/src/peer/node/controlImplementation.ts
@@ -1,4 +1,4 @@
-/** What this node answers to control calls of its peers. */
+/** Implements the control calls that peers send to this node. */
 import type { ClaimLookUpHandler } from '@parsleymux/claims';
 import type { ConfigDistributor } from '@parsleymux/config';
 import type { ControlImplementation } from '@parsleymux/fleet';
@@ -15,7 +15,7 @@
   readonly claims: ClaimLookUpHandler;
   readonly home: HomeService;
   readonly transport: TargetTransport;
-  /** Largest answer that an observation takes, in bytes. */
+  /** Maximum size of a response that an observation accepts, in bytes. */
   readonly maxResponseBytes: number;
   readonly state: NodeState;
   /** Peer address of this node. */
@@ -24,10 +24,11 @@
 }
 
 /**
- * Joins the control service to the parts that answer it.
+ * Connects the control service to the components that implement it.
  *
  * @example
- * const control = makeControlHandler({ implementation: createControlImplementation(parts), authenticator });
+ * const implementation = createControlImplementation(options);
+ * const control = makeControlHandler({ implementation, authenticator });
  */
 export function createControlImplementation(
   options: IControlImplementationOptions,
--- a/packages/node/src/peer/node/peerServer.ts
+++ b/packages/node/src/peer/node/peerServer.ts
@@ -1,4 +1,4 @@
-/** The port on which other nodes of the fleet are served: the request hop and control traffic. */
+/** HTTP server for other nodes of the fleet: the request hop and control calls. */
 import { endServer, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
@@ -13,24 +13,24 @@
 const UNAVAILABLE = 503;
 const KEEP_ALIVE_MS = 65_000;
 
-/** What the port serves; known only once its address is, since proofs name the address. */
+/** Handlers of the port. They are set after the port is open, since proofs contain its address. */
 export interface IPeerHandlers {
   readonly authenticator: PeerAuthenticator;
   readonly hop: HopServer;
-  /** Serves every path but the hop's, and verifies the sender itself. */
+  /** Serves every path except that of the hop, and verifies the sender itself. */
   readonly control: HttpHandler;
 }
 
 /** Options of a {@link PeerServer}. */
 export interface IPeerServerOptions {
-  /** Largest total of header fields, in bytes: the caller's own and those of the hop. */
+  /** Maximum total size of the headers of the caller and of the hop, in bytes. */
   readonly maxHeaderBytes: number;
-  /** Absent: plain HTTP. */
+  /** When absent, the server uses plain HTTP. */
   readonly tls?: TlsFilesWatcher | undefined;
 }
 
 /**
- * Refuses who does not prove to be of the fleet, before anything is read of the request's body.
+ * Rejects clients that do not prove that they belong to the fleet before reading the request's body.
  *
  * @example
  * const server = new PeerServer({ maxHeaderBytes: 32_768 });
@@ -55,7 +55,7 @@
     return listenOn(this.server, address);
   }
 
-  /** Until this is called, every request is refused as not ready. */
+  /** Sets the handlers. Until then, every request is rejected as unavailable. */
   setHandlers(handlers: IPeerHandlers): void {
     this.handlers = handlers;
   }
--- a/packages/node/src/peer/node/targetObservation.ts
+++ b/packages/node/src/peer/node/targetObservation.ts
@@ -1,27 +1,27 @@
-/** Tries a target on behalf of another node that is its home. */
+/** Observes a target on behalf of another node that is its home. */
 import type { ConfigService } from '@parsleymux/config';
 import type { IObservation, IObservationRequest, TargetTransport } from '@parsleymux/routing';
 import { TransportError } from '@parsleymux/routing';
 
 const FIRST_FAILURE_STATUS = 500;
 const MAX_TIMEOUT_MS = 10_000;
-/** Methods that an observation may use: trying a target must never be a second execution. */
+/** Methods that an observation may use: it must never execute a request a second time. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 
-/** No answer came over this node's path. */
+/** The observation when no response was received over this node's path. */
 const NO_RESPONSE: IObservation = { succeeded: false, status: 0, latencyMs: 0 };
 
 /** Options of {@link observeTarget}. */
 export interface IObserveTargetOptions {
   readonly config: ConfigService;
   readonly transport: TargetTransport;
-  /** Largest answer that is read. */
+  /** Maximum size of a response, in bytes. */
   readonly maxResponseBytes: number;
 }
 
 /**
- * Sends one safe request to a target that the member has declared, and to no other address: a
- * node whose key leaked must not be able to turn the fleet on arbitrary hosts.
+ * Sends one safe request to a target that the member has declared, and to no other address: a leaked
+ * fleet key must not allow requests from the fleet to arbitrary hosts.
  *
  * @example
  * const observation = await observeTarget(options, request, signal);
@@ -35,7 +35,7 @@
   const host = findHost(options.config, request);
   if (host === undefined) return NO_RESPONSE;
   try {
-    const answer = await options.transport.send(
+    const response = await options.transport.send(
       {
         target: request.target,
         member: request.member,
@@ -47,15 +47,15 @@
       },
       { signal, freshConnection: true, maxResponseBytes: options.maxResponseBytes },
     );
-    const succeeded = answer.status < FIRST_FAILURE_STATUS && !answer.notRun;
-    return { succeeded, status: answer.status, latencyMs: answer.latencyMs };
+    const succeeded = response.status < FIRST_FAILURE_STATUS && !response.notRun;
+    return { succeeded, status: response.status, latencyMs: response.latencyMs };
   } catch (error) {
     if (error instanceof TransportError) return NO_RESPONSE;
     throw error;
   }
 }
 
-/** The host name to send, or undefined when the member declared no such target. */
+/** Finds the host name to send; undefined when the member declared no such target. */
 function findHost(config: ConfigService, request: IObservationRequest): string | undefined {
   const intent = config.getCurrent().members.get(request.member)?.intent;
   const service = intent?.services.find(({ name }) => name === request.service);
--- a/packages/node/src/status/node/statusServer.ts
+++ b/packages/node/src/status/node/statusServer.ts
@@ -1,4 +1,4 @@
-/** Liveness and readiness for the platform's balancer, and metrics for the fleet's operators. */
+/** Serves liveness and readiness to the platform's balancer, and metrics to the fleet's operators. */
 import { closeServer, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -12,7 +12,7 @@
 /** Options of a {@link StatusServer}. */
 export interface IStatusServerOptions {
   readonly registry: Registry;
-  /** Why the node should get no new connections, or undefined when it should. */
+  /** Returns why the node should get no new connections, or undefined when it is ready. */
   readonly getNotReadyReason: () => string | undefined;
 }
 
--- a/packages/node/src/tls/node/httpServerFactory.ts
+++ b/packages/node/src/tls/node/httpServerFactory.ts
@@ -1,14 +1,14 @@
-/** HTTP servers in plain text or over TLS, as the settings say for each port. */
+/** Creates HTTP servers with or without TLS, depending on the settings of each port. */
 import type { RequestListener, Server, ServerOptions } from 'node:http';
 import { createServer } from 'node:http';
 import { createServer as createTlsServer } from 'node:https';
 import type { TlsFilesWatcher } from './tlsFilesWatcher.js';
 
-/** Node's own limit of two minutes lets idle connections fill the port before they can be judged. */
+/** With the Node.js default of two minutes, idle connections could exhaust the port before they time out. */
 const HANDSHAKE_TIMEOUT_MS = 10_000;
 
 /**
- * Creates a server. Over TLS it takes on renewed certificates for the connections that follow.
+ * Creates a server. With TLS, it uses renewed certificates for new connections.
  *
  * @example
  * const server = createHttpServer(undefined, { keepAliveTimeout: 65_000 }, listener);
--- a/packages/node/src/tls/node/portTls.ts
+++ b/packages/node/src/tls/node/portTls.ts
@@ -1,10 +1,10 @@
-/** The TLS files of the node's three ports. */
+/** TLS files of the node's caller, admin and peer ports. */
 import type { DisposableStore, Logger } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { Security, TlsFiles } from '@parsleymux/schema';
 import { TlsFilesWatcher } from './tlsFilesWatcher.js';
 
-/** Watchers of the ports that speak TLS; undefined for a port that speaks plain HTTP. */
+/** Watchers of the TLS files of each port; undefined for a port that uses plain HTTP. */
 export interface IPortTls {
   readonly caller: TlsFilesWatcher | undefined;
   readonly admin: TlsFilesWatcher | undefined;
@@ -12,7 +12,7 @@
 }
 
 /**
- * Opens the files that the settings name. Throws SettingsInvalid when one is not in order.
+ * Opens the files that are named in the settings. Throws SettingsInvalid when one is not valid.
  *
  * @example
  * const tls = await openPortTls(settings.security, store, log);
@@ -35,7 +35,7 @@
   };
 }
 
-/** Peers verify one another; without an authority a node would trust whoever has its address. */
+/** Peers verify one another; without an authority, a node would accept any server at a peer's address. */
 function checkPeerAuthority(files: TlsFiles | undefined): void {
   if (files?.clientAuthorityFile !== '') return;
   throw new MuxError({
--- a/packages/node/src/tls/node/tlsFilesWatcher.test.ts
+++ b/packages/node/src/tls/node/tlsFilesWatcher.test.ts
@@ -79,74 +79,73 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** The name in the certificate of a server that answers; 'refused' when it does not. */
+/** Returns the name in the certificate of a server that responds, otherwise 'refused'. */
 async function readPeerName(port: number, client?: IKeyPair): Promise<string> {
   const identity = client === undefined ? {} : { cert: client.cert, key: client.private };
   const socket = connect({ port, host: '127.0.0.1', rejectUnauthorized: false, ...identity });
   let name = '';
-  let answer = '';
+  let responseText = '';
   socket.on('error', () => undefined);
-  socket.on('data', (chunk: Buffer) => (answer += chunk.toString()));
+  socket.on('data', (chunk: Buffer) => (responseText += chunk.toString()));
   socket.on('secureConnect', () => {
     name = String(socket.getPeerCertificate().subject.CN);
-    // A server refuses a client's certificate only after the client's side of the handshake.
+    // A server rejects a client's certificate only after the client's side of the handshake.
     socket.write('GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n');
   });
   await new Promise((resolve) => socket.once('close', resolve));
-  return answer.startsWith('HTTP/1.1 200') ? name : 'refused';
+  return responseText.startsWith('HTTP/1.1 200') ? name : 'refused';
 }
 
 test('a renewed certificate is served to new connections without a restart', async (t) => {
-  const bench = await openFixture(t, await makeKeyPair('first'));
-  const port = await listen(t, bench.watcher);
+  const fixture = await openFixture(t, await makeKeyPair('first'));
+  const port = await listen(t, fixture.watcher);
   assert.equal(await readPeerName(port), 'first');
   const renewed = await makeKeyPair('second');
-  await writeFile(bench.files.certificateFile, renewed.cert);
-  await writeFile(bench.files.keyFile, renewed.private);
-  await bench.watcher.update();
+  await writeFile(fixture.files.certificateFile, renewed.cert);
+  await writeFile(fixture.files.keyFile, renewed.private);
+  await fixture.watcher.update();
   assert.equal(await readPeerName(port), 'second');
-  await bench.watcher.update();
-  assert.equal(bench.changes.length, 1);
+  await fixture.watcher.update();
+  assert.equal(fixture.changes.length, 1);
 });
 
-test('a certificate whose key has not come yet leaves the former pair in force', async (t) => {
-  // Symptom: handshakes fail for as long as a renewal takes, or for good.
-  // Sequence: the certificate file is replaced; the node reads both files; then the key is.
-  // Cause: two files can't be replaced at one instant.
-  const bench = await openFixture(t, await makeKeyPair('first'));
-  const port = await listen(t, bench.watcher);
+test('a certificate whose key has not been replaced yet leaves the previous pair in use', async (t) => {
+  // Guards against handshakes that fail during a renewal or permanently. Two files can't be replaced
+  // atomically, so the node may read both after the certificate was replaced but before the key was.
+  const fixture = await openFixture(t, await makeKeyPair('first'));
+  const port = await listen(t, fixture.watcher);
   const renewed = await makeKeyPair('second');
-  await writeFile(bench.files.certificateFile, renewed.cert);
-  await bench.watcher.update();
+  await writeFile(fixture.files.certificateFile, renewed.cert);
+  await fixture.watcher.update();
   assert.equal(await readPeerName(port), 'first');
-  await writeFile(bench.files.keyFile, renewed.private.slice(0, 300));
-  await bench.watcher.update();
+  await writeFile(fixture.files.keyFile, renewed.private.slice(0, 300));
+  await fixture.watcher.update();
   assert.equal(await readPeerName(port), 'first');
-  await writeFile(bench.files.keyFile, renewed.private);
-  await bench.watcher.update();
+  await writeFile(fixture.files.keyFile, renewed.private);
+  await fixture.watcher.update();
   assert.equal(await readPeerName(port), 'second');
 });
 
-test('the files are looked at again on a timer', async (t) => {
-  const bench = await openFixture(t, await makeKeyPair('first'));
+test('the files are read again on a timer', async (t) => {
+  const fixture = await openFixture(t, await makeKeyPair('first'));
   const renewed = await makeKeyPair('second');
-  await writeFile(bench.files.certificateFile, renewed.cert);
-  await writeFile(bench.files.keyFile, renewed.private);
-  const changed = new Promise<ITlsMaterial>((resolve) => bench.watcher.onDidChange(resolve));
-  await bench.clock.advanceBy(100);
+  await writeFile(fixture.files.certificateFile, renewed.cert);
+  await writeFile(fixture.files.keyFile, renewed.private);
+  const changed = new Promise<ITlsMaterial>((resolve) => fixture.watcher.onDidChange(resolve));
+  await fixture.clock.advanceBy(100);
   assert.equal((await changed).cert.toString(), renewed.cert);
 });
 
 test('with a client authority, clients without its certificate are refused', async (t) => {
   const client = await makeKeyPair('client');
-  const bench = await openFixture(t, await makeKeyPair('server'), client.cert);
-  const port = await listen(t, bench.watcher);
+  const fixture = await openFixture(t, await makeKeyPair('server'), client.cert);
+  const port = await listen(t, fixture.watcher);
   assert.equal(await readPeerName(port), 'refused');
-  assert.equal(await readPeerName(port, await makeKeyPair('stranger')), 'refused');
+  assert.equal(await readPeerName(port, await makeKeyPair('unknown')), 'refused');
   assert.equal(await readPeerName(port, client), 'server');
 });
 
-test('files that are not in order at start are a numbered error that names the port', async (t) => {
+test('invalid files at start cause an error with a result code that names the port', async (t) => {
   const folder = await makeFolder(t);
   const files = {
     certificateFile: join(folder, 'no'),
--- a/packages/node/src/tls/node/tlsFilesWatcher.ts
+++ b/packages/node/src/tls/node/tlsFilesWatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Certificates and keys from files, read again when they change, so that a certificate is renewed
- * without a restart: a restart drains a node, and 48 of them at once are an outage.
+ * Reads certificates and keys from files, and again when they change, so that a certificate can be
+ * renewed without a restart: a restart drains a node, and 48 concurrent restarts are an outage.
  */
 import { readFile } from 'node:fs/promises';
 import type { SecureContextOptions } from 'node:tls';
@@ -11,7 +11,7 @@
 
 const DEFAULT_POLL_MS = 10_000;
 
-/** What a TLS server needs; `requestCert` is true when clients must show a certificate. */
+/** Options of a TLS server; `requestCert` is true when clients must present a certificate. */
 export interface ITlsMaterial extends SecureContextOptions {
   readonly cert: Buffer;
   readonly key: Buffer;
@@ -27,17 +27,17 @@
   /** Name of the port, for log lines. */
   readonly port: string;
   readonly log: Logger;
-  /** Default: the machine's. */
+  /** Default: the system clock. */
   readonly clock?: Clock;
-  /** Time between two looks at the files, in ms. Default 10000. */
+  /** Interval between two reads of the files, in ms. Default 10000. */
   readonly pollMs?: number;
 }
 
 /**
- * Offers the newest material that is in order.
+ * Provides the latest valid certificate and key.
  *
- * Files are read on a timer instead of by notification: mounted secrets are replaced by swapping
- * links, which notifications on the file itself miss.
+ * The files are polled instead of watched: mounted secrets are replaced by swapping symbolic links, for
+ * which there are no notifications on the file itself.
  *
  * @example
  * const watcher = await TlsFilesWatcher.open({ files, port: 'caller', log });
@@ -53,7 +53,7 @@
   private timer: IDisposable | undefined;
   private isDisposed = false;
 
-  /** Fires when new material is in order; servers apply it to connections that follow. */
+  /** Fires when there is new valid material; servers use it for new connections. */
   readonly onDidChange: Event<ITlsMaterial> = this.didChange.onDidFire;
 
   private constructor(options: ITlsFilesWatcherOptions, material: ITlsMaterial) {
@@ -63,7 +63,7 @@
     this.startTimer();
   }
 
-  /** Reads the files for the first time. Throws SettingsInvalid when they are not in order. */
+  /** Reads the files for the first time. Throws SettingsInvalid when they are not valid. */
   static async open(options: ITlsFilesWatcherOptions): Promise<TlsFilesWatcher> {
     try {
       return new TlsFilesWatcher(options, await readMaterial(options.files));
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Reads the files now. A certificate whose key has not been replaced yet, or a file that is
-   * half written, leaves the former material in force until the next look.
+   * Reads the files now. While a certificate's key has not been replaced yet, or a file is incomplete,
+   * the previous material stays in use until the next read.
    */
   async update(): Promise<void> {
     try {
@@ -113,31 +113,31 @@
     });
   }
 
-  /** One line for each new fault, not for each look. */
+  /** Logs each new error once, not at every read. */
   private logError(fault: string): void {
     if (fault === this.lastError) return;
     this.lastError = fault;
     const { port } = this.options;
-    this.options.log.error('TLS files not in order, the former stay in force', { port, fault });
+    this.options.log.error('TLS files are invalid; the previous ones stay in use', { port, fault });
   }
 }
 
 async function readMaterial(files: ITlsFilesWatcherOptions['files']): Promise<ITlsMaterial> {
-  const needsClients = files.clientAuthorityFile !== '';
+  const requiresClientCertificate = files.clientAuthorityFile !== '';
   const [cert, key, ca] = await Promise.all([
     readFile(files.certificateFile),
     readFile(files.keyFile),
-    needsClients ? readFile(files.clientAuthorityFile) : undefined,
+    requiresClientCertificate ? readFile(files.clientAuthorityFile) : undefined,
   ]);
   const material: ITlsMaterial = {
     cert,
     key,
     ...(ca === undefined ? {} : { ca }),
-    requestCert: needsClients,
-    rejectUnauthorized: needsClients,
+    requestCert: requiresClientCertificate,
+    rejectUnauthorized: requiresClientCertificate,
     minVersion: 'TLSv1.2',
   };
-  // Throws when a file is no PEM, or when the key belongs to another certificate.
+  // Throws when a file is not PEM, or when the key does not match the certificate.
   createSecureContext(material);
   return material;
 }
