--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -1,4 +1,4 @@
-/** A node that dispatches directly: from start to exit. */
+/** A node that dispatches directly, with its lifecycle from start to exit. */
 import { randomInt } from 'node:crypto';
 import type { Server } from 'node:http';
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
@@ -11,11 +11,11 @@
 import { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import { DirectoryService } from '../../directory/node/directoryService.js';
 import { createStateServer } from '../../directory/node/stateServer.js';
-import type { AnswerCheck } from '../../entry/common/attemptOutcome.js';
+import type { ResponseCheck } from '../../entry/common/attemptOutcome.js';
 import type { CallerProtocol } from '../../entry/common/callerProtocol.js';
 import { PathHealth } from '../../entry/common/pathHealth.js';
 import { TargetNotices } from '../../entry/common/targetNotices.js';
-import { RequestRunner } from '../../entry/common/requestRun.js';
+import { RequestRunner } from '../../entry/common/requestRunner.js';
 import { FrontServer } from '../../entry/node/frontServer.js';
 import { RequestLog } from '../../entry/node/requestLog.js';
 import { GrantServer } from '../../grants/common/grantServer.js';
@@ -24,8 +24,8 @@
 import { HealthSharing } from '../../grants/common/healthSharing.js';
 import { RetrySharing } from '../../grants/common/retrySharing.js';
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
-import { CaseKeeper } from '../../quarantine/common/caseKeeper.js';
-import type { CaseStore } from '../../quarantine/common/caseStore.js';
+import { QuarantinePersister } from '../../quarantine/common/quarantinePersister.js';
+import type { QuarantineStore } from '../../quarantine/common/quarantineStore.js';
 import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
@@ -37,31 +37,31 @@
 import { countHeldRequests } from './heldRequests.js';
 import { countMalformedRows } from './malformedRows.js';
 import { createMetricsServer, createReadyServer } from './statusServers.js';
-import { TenantParts } from './tenantParts.js';
+import { TenantComponents } from './tenantComponents.js';
 
 const MAX_INCARNATION = 0x7fff_ffff;
 /**
- * From the signal on new connections still come for this long, in ms: the balancer asks every
- * second and takes a node out after two misses.
+ * How long new connections still arrive after the signal to stop, in ms: the balancer checks readiness
+ * every second and removes a node after two failed checks.
  */
-const NOTICE_MS = 2600;
+const DRAIN_NOTICE_MS = 2600;
 /**
- * Kept back from the time to stop, in ms: a busy half of a core takes some 100 ms to close what is
- * left, and a process that is still there at the end is killed with all that it has not written.
+ * Part of the grace time reserved for closing the node, in ms: half of a busy core needs some 100 ms for
+ * it, and a process that has not exited by the end is killed and loses its unwritten output.
  */
 const STOP_MARGIN_MS = 900;
 const STOP_CHECK_MS = 50;
 /**
  * Longest wait for a connection to a target, in ms: some fifty round trips between failure domains.
- * A target that doesn't accept by then is cut off or overfull, and nothing was sent yet.
+ * A target that does not accept by then is partitioned or overloaded, and nothing has been sent yet.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** How the deployment's callers and targets speak. */
+/** The protocols of the deployment's callers and targets. */
 export interface IDeploymentProtocol {
   readonly callers: CallerProtocol;
   readonly targets: TargetProtocol;
-  readonly isAuthentic: AnswerCheck;
+  readonly isAuthentic: ResponseCheck;
   readonly listTargetHeaders: (targetId: string) => readonly Header[];
 }
 
@@ -69,7 +69,7 @@
 export interface IDirectNodeOptions {
   readonly settings: IDirectNodeSettings;
   readonly authority: Authority;
-  readonly cases: CaseStore;
+  readonly quarantineStore: QuarantineStore;
   readonly protocol: IDeploymentProtocol;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -77,7 +77,7 @@
 }
 
 /**
- * Entry, home and follower in one process.
+ * Runs entry, home and store follower in one process.
  *
  * @example
  * const node = new DirectNode(options);
@@ -89,7 +89,7 @@
   private readonly background = new AbortController();
   private readonly directory: NodeDirectory;
   private readonly quarantine: RequestQuarantine;
-  private readonly tenants: TenantParts;
+  private readonly tenants: TenantComponents;
   private readonly incarnation = randomInt(1, MAX_INCARNATION);
   private settings: IDirectNodeSettings;
   private homes: HomeService | undefined;
@@ -104,20 +104,20 @@
     this.directory = new NodeDirectory(options.clock);
     this.quarantine = new RequestQuarantine(options);
     const { directory } = this;
-    this.tenants = new TenantParts({
+    this.tenants = new TenantComponents({
       ...options,
       directory,
       getBounds: () => this.settings.tenants,
     });
   }
 
-  /** Takes changed settings. Addresses and the failure domain stay those of the start. */
+  /** Applies changed settings, except for addresses and the failure domain, which stay as at the start. */
   updateSettings(settings: IDirectNodeSettings): void {
     this.settings = settings;
-    this.homes?.setBounds(toBounds(settings));
+    this.homes?.setBounds(toServiceBounds(settings));
   }
 
-  /** Opens the ports and starts the loops; the node is ready once it knows a configuration. */
+  /** Opens the ports and starts the loops. The node is ready once it has received a configuration. */
   async start(): Promise<void> {
     const { clock, log, random, settings } = this.options;
     logDirectoryChanges(this.directory, log);
@@ -148,7 +148,7 @@
     });
     const { incarnation } = this;
     const rankHomes = (service: string) => this.directory.rankHomes(service);
-    const beliefs = this.store.add(new HealthSharing({ channel, homes, clock, rankHomes }));
+    const healthSharing = this.store.add(new HealthSharing({ channel, homes, clock, rankHomes }));
     const retries = this.store.add(
       new RetrySharing({ channel, homes, clock, incarnation, rankHomes }),
     );
@@ -162,7 +162,7 @@
         listMembers: () => this.directory.members.listValues().map(({ address }) => address),
       }),
     );
-    const quotas = this.store.add(this.tenants.createSharing(channel, homes));
+    const quotas = this.store.add(this.tenants.createQuotaSharing(channel, homes));
     const server = new GrantServer({ channel, homes, clock });
     const self = this.makeMember(channel.address);
     const { authority } = this.options;
@@ -177,29 +177,29 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () =>
-        this.front?.connections.hasOpened === true || homes.listSchedulers().length > 0,
+      hasReceivedRequests: () =>
+        this.front?.connections.hasAcceptedConnection === true || homes.listSchedulers().length > 0,
     });
     this.directoryService = this.store.add(service);
     channel.setHandler((sender, body) => {
-      const handlers = { beliefs, quarantine, quotas, retries, selector, server, service };
+      const handlers = { healthSharing, quarantine, quotas, retries, selector, server, service };
       handleDatagram(handlers, sender, body);
     });
     this.front = await this.openFront(selector, homes, registry);
     homes.start();
-    beliefs.start();
+    healthSharing.start();
     retries.start();
     quotas.start();
     this.loops = service.run(this.background.signal).catch((error: unknown) => {
-      log.error('directory stopped by a fault of the program', { reason: String(error) });
+      log.error('directory stopped by an internal error', { reason: String(error) });
     });
-    this.store.add(this.createKeeper(quarantine, service)).start();
+    this.store.add(this.createQuarantinePersister(quarantine, service)).start();
     log.info('started', { ...settings, incarnation: this.incarnation });
   }
 
   /**
-   * Leaves without cutting a request: not ready at once, answers end their connections, then the
-   * port closes, and what is in flight is finished as far as the grace time allows.
+   * Shuts down without interrupting requests: the node becomes not ready immediately, responses close their
+   * connections, the port is closed, and pending requests are finished within the grace time.
    */
   async stopGracefully(): Promise<void> {
     const { clock, log } = this.options;
@@ -209,8 +209,8 @@
     log.info('stopping', { openRequests: this.front?.connections.openRequests ?? 0 });
     this.front?.connections.stop();
     this.retrySharing?.announce();
-    const left = this.directoryService?.retire(this.background.signal);
-    await clock.sleep(Math.min(NOTICE_MS, graceMs / 2));
+    const retired = this.directoryService?.retire(this.background.signal);
+    await clock.sleep(Math.min(DRAIN_NOTICE_MS, graceMs / 2));
     this.front?.closePort();
     const limitMs = graceMs - STOP_MARGIN_MS;
     while (clock.getMonotonicTime() - startMs < limitMs) {
@@ -220,12 +220,12 @@
     }
     const cut = this.front?.connections.openRequests ?? 0;
     log.info('stopped', { cut, ms: Math.round(clock.getMonotonicTime() - startMs) });
-    const closed = Promise.allSettled([left, this.dispose()]);
+    const closed = Promise.allSettled([retired, this.dispose()]);
     await Promise.race([closed, clock.sleep(STOP_MARGIN_MS / 3)]);
   }
 
   async dispose(): Promise<void> {
-    this.background.abort(new Error('the node stops'));
+    this.background.abort(new Error('the node is stopping'));
     await this.loops;
     await this.store.dispose();
   }
@@ -234,7 +234,7 @@
     const { clock, log } = this.options;
     const { quarantine } = this;
     const admission = this.tenants.createAdmission(self);
-    const bounds = toBounds(this.settings);
+    const bounds = toServiceBounds(this.settings);
     const homes = new HomeService({ clock, log, quarantine, admission, ...bounds });
     this.homes = homes;
     const { targets } = this.directory;
@@ -244,14 +244,17 @@
     return homes;
   }
 
-  private createKeeper(sharing: QuarantineSharing, service: DirectoryService): CaseKeeper {
-    const { cases, clock, log, settings } = this.options;
-    return new CaseKeeper({
+  private createQuarantinePersister(
+    sharing: QuarantineSharing,
+    service: DirectoryService,
+  ): QuarantinePersister {
+    const { quarantineStore, clock, log, settings } = this.options;
+    return new QuarantinePersister({
       clock,
       log,
-      sharing,
+      sharing: sharing,
       quarantine: this.quarantine,
-      store: cases,
+      store: quarantineStore,
       isReader: () => service.isFollower,
       isFirstStart: settings.isFirstStart,
       onDidRestore: this.directory.targets.onDidRestore,
@@ -317,7 +320,7 @@
   }
 }
 
-function toBounds(settings: IDirectNodeSettings): IServiceBounds {
+function toServiceBounds(settings: IDirectNodeSettings): IServiceBounds {
   const { floorShare, retryBurst, retryRatio, retryWindowMs } = settings;
   return {
     floorShare,
--- a/packages/dispatch/src/entry/common/attemptOutcome.ts
+++ b/packages/dispatch/src/entry/common/attemptOutcome.ts
@@ -1,4 +1,4 @@
-/** Judges what came of sending a request to a target. */
+/** Determines the outcome of sending a request to a target. */
 import type { ITargetResponse } from '@parsleymux/routing';
 import { TransportError, TransportFailure } from '@parsleymux/routing';
 import { GrantOutcome } from '../../grants/common/grant.js';
@@ -6,49 +6,49 @@
 const FIRST_SERVER_ERROR = 500;
 const MISDIRECTED = 421;
 
-/** Tells whether an answer with a good status really comes whole from a target. */
-export type AnswerCheck = (answer: ITargetResponse) => boolean;
+/** Checks whether a success response was sent by the target itself and is complete. */
+export type ResponseCheck = (response: ITargetResponse) => boolean;
 
-/** The judgement. */
+/** The result of an attempt. */
 export interface IAttemptResult {
   readonly outcome: GrantOutcome;
   /** Whether the target may have run the request. */
   readonly mayHaveRun: boolean;
-  /** The answer, if it may be handed to the caller. */
-  readonly answer: ITargetResponse | undefined;
-  /** Requests a second that the target takes, if its own answer named a limit. */
+  /** The target's response, if it may be returned to the caller. */
+  readonly response: ITargetResponse | undefined;
+  /** The rate limit that the target announced in its own response, in requests per second. */
   readonly rateLimit?: number | undefined;
 }
 
 const MISDIRECTED_RESULT: IAttemptResult = {
   outcome: GrantOutcome.Misdirected,
   mayHaveRun: false,
-  answer: undefined,
+  response: undefined,
 };
 
 /**
- * Judges an answer.
+ * Determines the outcome of a response.
  *
  * @example
- * const { outcome } = decideAnswerOutcome(answer, isAuthentic);
+ * const { outcome } = decideAnswerOutcome(response, isAuthentic);
  */
-export function decideAnswerOutcome(
-  answer: ITargetResponse,
-  isAuthentic: AnswerCheck,
+export function decideResponseOutcome(
+  response: ITargetResponse,
+  isAuthentic: ResponseCheck,
 ): IAttemptResult {
-  const { rateLimit } = answer;
-  if (answer.notRun) {
-    // Another target answered: its limit is none of the one that was meant.
-    if (answer.status === MISDIRECTED) return MISDIRECTED_RESULT;
-    return { outcome: GrantOutcome.Shed, mayHaveRun: false, answer: undefined, rateLimit };
+  const { rateLimit } = response;
+  if (response.notRun) {
+    // Another target responded, so its rate limit does not apply to the intended target.
+    if (response.status === MISDIRECTED) return MISDIRECTED_RESULT;
+    return { outcome: GrantOutcome.Shed, mayHaveRun: false, response: undefined, rateLimit };
   }
-  if (answer.status >= FIRST_SERVER_ERROR) {
-    return { outcome: GrantOutcome.Failed, mayHaveRun: true, answer, rateLimit };
+  if (response.status >= FIRST_SERVER_ERROR) {
+    return { outcome: GrantOutcome.Failed, mayHaveRun: true, response, rateLimit };
   }
-  if (!isAuthentic(answer)) {
-    return { outcome: GrantOutcome.Broken, mayHaveRun: true, answer: undefined };
+  if (!isAuthentic(response)) {
+    return { outcome: GrantOutcome.Broken, mayHaveRun: true, response: undefined };
   }
-  return { outcome: GrantOutcome.Succeeded, mayHaveRun: true, answer, rateLimit };
+  return { outcome: GrantOutcome.Succeeded, mayHaveRun: true, response, rateLimit };
 }
 
 const FAILURE_OUTCOMES: Readonly<Record<TransportFailure, GrantOutcome>> = {
@@ -61,13 +61,13 @@
   [TransportFailure.Cancelled]: GrantOutcome.Abandoned,
 };
 
-/** Judges an exchange that brought no whole answer. */
+/** Determines the outcome of an exchange without a complete response. */
 export function decideFailureOutcome(error: unknown): IAttemptResult {
   if (!(error instanceof TransportError)) throw error;
   const isStale = error.failure === TransportFailure.Broken && error.reusedConnection;
   return {
     outcome: isStale ? GrantOutcome.Stale : FAILURE_OUTCOMES[error.failure],
     mayHaveRun: error.mayHaveRun,
-    answer: undefined,
+    response: undefined,
   };
 }
--- a/packages/dispatch/src/entry/common/requestRun.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -1,9 +1,9 @@
-/** One request from its first attempt to its final answer. */
+/** Runs a request from its first attempt to its final response. */
 import type { Clock } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
 import type { ITargetResponse } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import { GrantOutcome } from '../../grants/common/grant.js';
 import type { IGrant, Selection, TargetSelector } from '../../grants/common/targetSelector.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
@@ -11,18 +11,18 @@
 import type { IAttemptSenderOptions } from './attemptSender.js';
 import { AttemptSender } from './attemptSender.js';
 import { CancellableAttempt } from './cancellableAttempt.js';
-import { makeOwnAnswer, makeTargetAnswer } from './entryAnswer.js';
-import type { IAttemptRecord, IEntryAnswer, IEntryRequest } from './entryRequest.js';
+import { makeLocalResponse, makeTargetResponse } from './entryResponse.js';
+import type { IAttemptRecord, IEntryResponse, IEntryRequest } from './entryRequest.js';
 import type { PathHealth } from './pathHealth.js';
 
-/** Grants that may come to nothing before a byte was sent, per request: each costs one connect time. */
-const MAX_UNSENT = 4;
+/** Attempts per request that may fail before anything is sent: each may cost one connect timeout. */
+const MAX_UNSENT_ATTEMPTS = 4;
 /**
- * Share of its objective after which a request that may be repeated is sent to a second target too:
- * an answer within the objective is then still likely, and few requests usually take so long.
+ * Share of the latency objective after which an idempotent request is also sent to a second target. Few
+ * requests take this long, and the second target can still respond within the objective.
  */
-const PATIENCE_SHARE = 0.6;
-/** When to come back after a request that no target took, in ms: about one request's work. */
+const HEDGE_DELAY_SHARE = 0.6;
+/** Retry-After of a request that no target accepted, in ms: about the duration of one request. */
 const DEFAULT_RETRY_MS = 250;
 
 /** Options of a {@link RequestRunner}. */
@@ -31,7 +31,7 @@
   readonly paths: PathHealth;
   readonly quarantine: RequestQuarantine;
   readonly failureDomain: string;
-  /** The targets of a service, as far as this node knows them. */
+  /** The targets of a service that this node knows. */
   readonly listTargets: (service: string) => readonly ITargetRecord[];
 }
 
@@ -43,19 +43,19 @@
   sent: number;
   unsent: number;
   mayHaveRun: boolean;
-  /** Whether any target was reached. */
-  hasArrived: boolean;
-  /** The last failure that a target itself answered with. */
-  lastAnswer: ITargetResponse | undefined;
+  /** Whether any attempt reached a target. */
+  hasReachedTarget: boolean;
+  /** The last failure response of a target itself. */
+  lastResponse: ITargetResponse | undefined;
   lastOutcome: GrantOutcome | undefined;
 }
 
 /**
- * Runs requests, one attempt after the other. A request that can't be repeated goes on only while
- * it is certain that no target has run it.
+ * Runs requests with retries and hedging. A request that is not idempotent is retried only while it is
+ * certain that no target has run it.
  *
  * @example
- * const answer = await runner.run(request, signal);
+ * const response = await runner.run(request, signal);
  */
 export class RequestRunner {
   private readonly sender: AttemptSender;
@@ -64,16 +64,16 @@
     this.sender = new AttemptSender(options);
   }
 
-  /** Rejects only when `signal` aborts: the caller left. */
-  async run(request: IEntryRequest, signal: AbortSignal): Promise<IEntryAnswer> {
+  /** Rejects only if `signal` is aborted, because the caller disconnected. */
+  async run(request: IEntryRequest, signal: AbortSignal): Promise<IEntryResponse> {
     const state: IRunState = {
       attempts: [],
       tried: [],
       sent: 0,
       unsent: 0,
       mayHaveRun: false,
-      hasArrived: false,
-      lastAnswer: undefined,
+      hasReachedTarget: false,
+      lastResponse: undefined,
       lastOutcome: undefined,
     };
     while (this.hasNextAttempt(request, state)) {
@@ -81,8 +81,8 @@
       if (selection.kind === 'refused') return this.makeRefusal(state, selection);
       const result = await this.tryWithHedge(request, selection.grant, state, signal);
       signal.throwIfAborted();
-      if (result.outcome === GrantOutcome.Succeeded && result.answer !== undefined) {
-        return makeTargetAnswer(result.answer, state.attempts);
+      if (result.outcome === GrantOutcome.Succeeded && result.response !== undefined) {
+        return makeTargetResponse(result.response, state.attempts);
       }
     }
     return this.makeFailure(request, state);
@@ -90,7 +90,8 @@
 
   private hasNextAttempt(request: IEntryRequest, state: IRunState): boolean {
     if (this.getRemainingMs(request) <= 0) return false;
-    if (state.sent >= request.route.maxAttempts || state.unsent >= MAX_UNSENT) return false;
+    if (state.sent >= request.route.maxAttempts || state.unsent >= MAX_UNSENT_ATTEMPTS)
+      return false;
     return request.route.isIdempotent || !state.mayHaveRun;
   }
 
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Sends to one target, and to a second one if the first is slow and the request may be repeated.
-   * A target that hangs would otherwise keep the request until nobody waits for it any more.
+   * Sends the request to one target, and also to a second one if the first is slow and the request is
+   * idempotent. A hanging target would otherwise hold the request until its deadline.
    */
   private async tryWithHedge(
     request: IEntryRequest,
@@ -109,48 +110,48 @@
     signal: AbortSignal,
   ): Promise<IAttemptResult> {
     const first = new CancellableAttempt(signal);
-    const firstResult = this.tryTarget(request, grant, state, first);
+    const firstResult = this.sendToTarget(request, grant, state, first);
     const { isIdempotent, maxAttempts, objectiveMs } = request.route;
     if (!isIdempotent || state.sent + 2 > maxAttempts) return firstResult;
-    const patienceMs = objectiveMs * PATIENCE_SHARE;
-    const early = await waitAtMost(this.options.clock, firstResult, patienceMs);
-    if (early !== undefined || signal.aborted) return firstResult;
-    const selection = await this.chooseBeside(request, grant, state, firstResult, signal);
+    const hedgeDelayMs = objectiveMs * HEDGE_DELAY_SHARE;
+    const earlyResult = await waitAtMost(this.options.clock, firstResult, hedgeDelayMs);
+    if (earlyResult !== undefined || signal.aborted) return firstResult;
+    const selection = await this.chooseHedgeTarget(request, grant, state, firstResult, signal);
     if (selection?.kind !== 'granted') return firstResult;
     if (first.hasEnded()) {
       selection.grant.report(GrantOutcome.Abandoned, 0);
       return firstResult;
     }
     const second = new CancellableAttempt(signal);
-    const secondResult = this.tryTarget(request, selection.grant, state, second);
+    const secondResult = this.sendToTarget(request, selection.grant, state, second);
     const winner = await Promise.race([firstResult, secondResult]);
     if (winner.outcome !== GrantOutcome.Succeeded) {
       return first.hasEnded() ? secondResult : firstResult;
     }
-    // The target of the first one was too slow: that is evidence, though it was not waited for.
+    // The first attempt is reported as timed out: its target was too slow, which is evidence against it.
     first.cancel(GrantOutcome.TimedOut);
     second.cancel(GrantOutcome.Abandoned);
     return winner;
   }
 
   /**
-   * Asks for a second target until the first answers; undefined then. The question may wait in a
-   * queue, and an answer that is ready must not wait with it.
+   * Requests a second target; returns undefined if the first attempt ends before the grant. The grant
+   * request may be queued, and a response that is ready must not wait for it.
    */
-  private async chooseBeside(
+  private async chooseHedgeTarget(
     request: IEntryRequest,
     running: IGrant,
     state: IRunState,
     runningResult: Promise<IAttemptResult>,
     signal: AbortSignal,
   ): Promise<Selection | undefined> {
-    const question = new CancellableAttempt(signal);
-    const asked = this.choose(request, state, [running.target.id], question.signal);
-    // Withdrawn questions reject, here and when the caller leaves.
-    const selected = asked.catch(() => undefined);
+    const pendingSelection = new CancellableAttempt(signal);
+    const choice = this.choose(request, state, [running.target.id], pendingSelection.signal);
+    // The selection rejects when it is cancelled, here or because the caller disconnected.
+    const selected = choice.catch(() => undefined);
     const selection = await Promise.race([selected, runningResult.then(() => undefined)]);
-    question.cancel(GrantOutcome.Abandoned);
-    question.end();
+    pendingSelection.cancel(GrantOutcome.Abandoned);
+    pendingSelection.end();
     if (selection === undefined) void selected.then(discardSelection);
     return selection;
   }
@@ -168,7 +169,7 @@
       return { kind: 'refused', code, retryAfterMs, home: '' };
     }
     const holdMs = this.options.quarantine.getHoldMs(fingerprints);
-    if (holdMs > 0) return refuseHeld(holdMs);
+    if (holdMs > 0) return refuseQuarantined(holdMs);
     const attempt = state.sent + running.length + 1;
     return this.options.selector.choose(
       {
@@ -179,7 +180,7 @@
         failureDomain: this.options.failureDomain,
         attempt,
         isRepeated: state.unsent > 0,
-        isRetry: state.hasArrived || running.length > 0,
+        isRetry: state.hasReachedTarget || running.length > 0,
         isIdempotent: route.isIdempotent,
         mayRetry: route.isIdempotent && attempt < route.maxAttempts,
         isHedge: running.length > 0,
@@ -191,28 +192,28 @@
         objectiveMs: route.objectiveMs,
         connected: this.listConnected(service),
         limits: this.options.notices.listLimits(this.options.listTargets(service)),
-        excluded: [...state.tried, ...running, ...this.listAvoided(service)],
+        excluded: [...state.tried, ...running, ...this.listExcluded(service)],
       },
       signal,
     );
   }
 
-  /** Targets that this node can't reach, or that have told it to send them nothing. */
-  private listAvoided(service: string): readonly string[] {
+  /** Targets that this node can't reach, or whose notices exclude them. */
+  private listExcluded(service: string): readonly string[] {
     const { listTargets, notices, paths } = this.options;
-    const told = listTargets(service).filter((target) => notices.isExcluded(target));
-    return [...paths.listBroken(), ...told.map(({ id }) => id)];
+    const notified = listTargets(service).filter((target) => notices.isExcluded(target));
+    return [...paths.listUnreachable(), ...notified.map(({ id }) => id)];
   }
 
-  /** A new connection costs both sides a handshake, so the home prefers targets that need none. */
+  /** Targets with idle connections. The home prefers them, since they need no new handshake. */
   private listConnected(service: string): readonly string[] {
     const { listTargets, transport } = this.options;
     return listTargets(service)
-      .filter((target) => transport.hasIdleConnection(formatLife(target), target.address))
+      .filter((target) => transport.hasIdleConnection(formatIncarnation(target), target.address))
       .map(({ id }) => id);
   }
 
-  private async tryTarget(
+  private async sendToTarget(
     request: IEntryRequest,
     grant: IGrant,
     state: IRunState,
@@ -226,20 +227,20 @@
     });
     const latencyMs = clock.getMonotonicTime() - startMs;
     attempt.end();
-    const answerBytes = countBodyBytes(result.answer);
-    const isLeaving = this.options.notices.isLeaving(grant.target);
+    const answerBytes = countBodyBytes(result.response);
+    const isDraining = this.options.notices.isDraining(grant.target);
     const outcome = attempt.cancelOutcome ?? result.outcome;
     const { rateLimit } = result;
-    grant.report(outcome, latencyMs, { answerBytes, isDraining: isLeaving, rateLimit });
+    grant.report(outcome, latencyMs, { answerBytes, isDraining, rateLimit });
     if (attempt.cancelOutcome !== undefined) return result;
     this.recordPath(grant, result);
     state.tried.push(grant.target.id);
-    // A shed request reached the target: it counts as sent, though it has not run.
+    // A shed request has reached the target, so it counts as sent although it has not run.
     if (result.mayHaveRun || result.outcome === GrantOutcome.Shed) state.sent += 1;
     else state.unsent += 1;
     state.mayHaveRun ||= result.mayHaveRun;
-    state.hasArrived ||= hasArrived(result);
-    state.lastAnswer = result.answer ?? state.lastAnswer;
+    state.hasReachedTarget ||= hasReachedTarget(result);
+    state.lastResponse = result.response ?? state.lastResponse;
     state.lastOutcome = result.outcome;
     state.attempts.push({
       target: grant.target.id,
@@ -254,62 +255,69 @@
 
   private recordPath(grant: IGrant, result: IAttemptResult): void {
     const { paths } = this.options;
-    if (result.outcome === GrantOutcome.Unreachable) paths.recordBroken(grant.target);
-    if (result.answer !== undefined) paths.recordWorking(grant.target.id);
+    if (result.outcome === GrantOutcome.Unreachable) paths.recordUnreachable(grant.target);
+    if (result.response !== undefined) paths.recordReachable(grant.target.id);
   }
 
-  private makeRefusal(state: IRunState, refusal: Refusal): IEntryAnswer {
-    if (state.lastAnswer !== undefined) return makeTargetAnswer(state.lastAnswer, state.attempts);
+  private makeRefusal(state: IRunState, refusal: Refusal): IEntryResponse {
+    if (state.lastResponse !== undefined)
+      return makeTargetResponse(state.lastResponse, state.attempts);
     const { attempts } = state;
     if (state.mayHaveRun) {
       const code = ResultCode.TargetFailed;
-      return makeOwnAnswer({ code, runState: RunState.MayHaveRun, attempts });
+      return makeLocalResponse({ code, runState: RunState.MayHaveRun, attempts });
     }
     const { code, retryAfterMs } = refusal;
-    return makeOwnAnswer({ code, runState: RunState.NotRun, attempts, ...toWait(retryAfterMs) });
+    return makeLocalResponse({
+      code,
+      runState: RunState.NotRun,
+      attempts,
+      ...toRetryAfter(retryAfterMs),
+    });
   }
 
-  private makeFailure(request: IEntryRequest, state: IRunState): IEntryAnswer {
+  private makeFailure(request: IEntryRequest, state: IRunState): IEntryResponse {
     const { attempts } = state;
-    if (state.lastAnswer !== undefined) return makeTargetAnswer(state.lastAnswer, state.attempts);
+    if (state.lastResponse !== undefined)
+      return makeTargetResponse(state.lastResponse, state.attempts);
     if (!state.mayHaveRun) {
       const retryAfterMs = DEFAULT_RETRY_MS;
       const code = ResultCode.TargetShed;
-      return makeOwnAnswer({ code, runState: RunState.NotRun, attempts, retryAfterMs });
+      return makeLocalResponse({ code, runState: RunState.NotRun, attempts, retryAfterMs });
     }
     const isLate = this.getRemainingMs(request) <= 0 || state.lastOutcome === GrantOutcome.TimedOut;
     const code = isLate ? ResultCode.TargetTimeout : ResultCode.TargetFailed;
-    return makeOwnAnswer({ code, runState: RunState.MayHaveRun, attempts });
+    return makeLocalResponse({ code, runState: RunState.MayHaveRun, attempts });
   }
 }
 
-/** No home is asked about a request that this node knows to be held back. */
-function refuseHeld(holdMs: number): Selection {
+/** Refuses a request that this node knows to be quarantined, without requesting a grant from the home. */
+function refuseQuarantined(holdMs: number): Selection {
   const code = ResultCode.RequestQuarantined;
   return { kind: 'refused', code, retryAfterMs: Math.ceil(holdMs), home: '' };
 }
 
-/** No time to come back is given where coming back would change nothing. */
-function toWait(retryAfterMs: number): { readonly retryAfterMs?: number } {
+/** Omits the Retry-After if it is 0, which means that a retry would not succeed. */
+function toRetryAfter(retryAfterMs: number): { readonly retryAfterMs?: number } {
   return retryAfterMs === 0 ? {} : { retryAfterMs };
 }
 
-/** Whether a target was reached: it may have run the request, or answered that it did not. */
-function hasArrived({ mayHaveRun, outcome }: IAttemptResult): boolean {
+/** Whether the attempt reached a target, which may have run the request or responded that it did not. */
+function hasReachedTarget({ mayHaveRun, outcome }: IAttemptResult): boolean {
   return mayHaveRun || outcome === GrantOutcome.Shed || outcome === GrantOutcome.Misdirected;
 }
 
-/** Streamed bodies have no size yet; answers here are held until whole. */
-function countBodyBytes(answer: ITargetResponse | undefined): number {
-  return answer?.body instanceof Uint8Array ? answer.body.byteLength : 0;
+/** The size of a buffered body. A streamed body has no known size, but responses are buffered here. */
+function countBodyBytes(response: ITargetResponse | undefined): number {
+  return response?.body instanceof Uint8Array ? response.body.byteLength : 0;
 }
 
-/** Gives back a grant that came too late to be used. */
+/** Returns a grant that arrived too late to be used. */
 function discardSelection(selection: Selection | undefined): void {
   if (selection?.kind === 'granted') selection.grant.report(GrantOutcome.Abandoned, 0);
 }
 
-/** The result if it comes within `limitMs`, else undefined. */
+/** Resolves to the result, or to undefined if it takes longer than `limitMs`. */
 function waitAtMost<T>(clock: Clock, result: Promise<T>, limitMs: number): Promise<T | undefined> {
   return new Promise((resolve, reject) => {
     const timer = clock.startTimer(limitMs, () => {
--- a/packages/dispatch/src/home/common/outcomeRecorder.ts
+++ b/packages/dispatch/src/home/common/outcomeRecorder.ts
@@ -1,7 +1,7 @@
 /** Records the outcomes of one service's grants as evidence on its targets, requests and connections. */
 import type { Clock } from '@parsleymux/base';
 import { GrantOutcome } from '../../grants/common/grant.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import type { ResponseSizes } from './responseSizes.js';
 import type { TargetState } from './targetState.js';
@@ -110,19 +110,19 @@
   private recordForRequest(ticket: Ticket, target: TargetState, outcome: GrantOutcome): void {
     const { quarantine } = this.options;
     const { fingerprints, requestId } = ticket.request;
-    const incarnation = formatLife(target.record);
+    const incarnation = formatIncarnation(target.record);
     switch (outcome) {
       case GrantOutcome.Succeeded:
-        quarantine.recordAnswer(incarnation, ticket.grantedMs);
+        quarantine.recordResponse(incarnation, ticket.grantedMs);
         quarantine.recordSuccess(fingerprints);
         break;
       case GrantOutcome.Failed:
       case GrantOutcome.Shed:
-        quarantine.recordAnswer(incarnation, ticket.grantedMs);
+        quarantine.recordResponse(incarnation, ticket.grantedMs);
         break;
       case GrantOutcome.Broken:
       case GrantOutcome.Stale:
-        quarantine.recordLoss({
+        quarantine.recordConnectionLoss({
           fingerprints,
           requestId,
           target: incarnation,
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,4 +1,4 @@
-/** Dispatching directly: homes grant targets, entries send, followers keep everybody up to date. */
+/** Direct dispatching: homes grant targets, entries send requests, followers distribute store tables. */
 export * from './app/node/directNode.js';
 export * from './app/node/directNodeSettings.js';
 export * from './catalog/common/catalog.js';
@@ -10,7 +10,7 @@
 export * from './entry/common/callerProtocol.js';
 export * from './entry/common/entryRequest.js';
 export * from './entry/common/pathHealth.js';
-export * from './entry/common/requestRun.js';
+export * from './entry/common/requestRunner.js';
 export * from './entry/common/targetNotices.js';
 export * from './grants/common/healthSharing.js';
 export * from './grants/common/datagramChannel.js';
@@ -30,8 +30,8 @@
 export * from './tenants/common/keyChecker.js';
 export * from './tenants/common/tenant.js';
 export * from './tenants/node/keyDigest.js';
-export * from './quarantine/common/caseKeeper.js';
-export * from './quarantine/common/caseStore.js';
-export * from './quarantine/common/crashCase.js';
+export * from './quarantine/common/quarantinePersister.js';
+export * from './quarantine/common/quarantineStore.js';
+export * from './quarantine/common/crashHistory.js';
 export * from './quarantine/common/quarantineSharing.js';
 export * from './quarantine/common/requestQuarantine.js';
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -9,7 +9,7 @@
   Authority,
   AuthorityTable,
   CallerProtocol,
-  CaseStore,
+  QuarantineStore,
   DEFAULT_TENANT_BOUNDS,
   DirectNode,
   StoreCallError,
@@ -51,7 +51,7 @@
   }
 }
 
-class EmptyCaseStore extends CaseStore {
+class EmptyCaseStore extends QuarantineStore {
   override readAll(): Promise<never[]> {
     return Promise.resolve([]);
   }
@@ -93,7 +93,7 @@
     return undefined;
   }
 
-  override listAnswerHeaders(): readonly [] {
+  override listLocalResponseHeaders(): readonly [] {
     return [];
   }
 
@@ -142,7 +142,7 @@
   const node = new DirectNode({
     settings,
     authority: new EmptyAuthority(),
-    cases: new EmptyCaseStore(),
+    quarantineStore: new EmptyCaseStore(),
     protocol: {
       callers: new SilentCallers(),
       targets: new MuxTargetProtocol(),
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -1,10 +1,15 @@
 /** One node of an experiment: the real entry, home and questions on simulated time. */
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
 import { create } from '@bufbuild/protobuf';
-import type { CaseStore, DatagramChannel, GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
+import type {
+  QuarantineStore,
+  DatagramChannel,
+  GrantPolicy,
+  ITargetRecord,
+} from '@parsleymux/dispatch';
 import {
   HealthSharing,
-  CaseKeeper,
+  QuarantinePersister,
   DEFAULT_TENANT_BOUNDS,
   GrantServer,
   HomeSelector,
@@ -39,7 +44,7 @@
   readonly observer: FleetObserver;
   readonly rankHomes: (service: string) => readonly string[];
   readonly listMembers: () => readonly string[];
-  readonly cases: CaseStore;
+  readonly cases: QuarantineStore;
 }
 
 /** What a node does with callers' requests. */
@@ -50,7 +55,7 @@
   private readonly beliefs: HealthSharing;
   private readonly retries: RetrySharing;
   private readonly quarantine: QuarantineSharing;
-  private readonly keeper: CaseKeeper;
+  private readonly keeper: QuarantinePersister;
   private readonly end = new AbortController();
   private known = new Map<string, ITargetRecord>();
 
@@ -133,9 +138,9 @@
     homes.start();
     beliefs.start();
     retries.start();
-    const keeper = new CaseKeeper({
+    const keeper = new QuarantinePersister({
       quarantine,
-      sharing,
+      sharing: sharing,
       clock,
       log,
       store: options.cases,
