--- a/packages/node/src/app/node/claimParts.ts
+++ b/packages/node/src/app/node/claimComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that keep requests from running twice. */
+/** The components of a node that prevent duplicate execution of requests. */
 import type { Clock, DisposableStore, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import {
   ClaimAdmin,
@@ -17,8 +17,8 @@
 import type { Limits, Timing } from '@parsleymux/schema';
 import { ConnectClaimPeer } from '../../peer/node/connectClaimPeer.js';
 
-/** Options of {@link createClaimParts}. */
-export interface IClaimPartsOptions {
+/** Options of {@link createClaimComponents}. */
+export interface IClaimComponentsOptions {
   readonly store: DisposableStore;
   readonly platform: IPlatform;
   readonly clients: PeerClients;
@@ -35,26 +35,27 @@
   readonly nodeAddress: string;
 }
 
-/** The guard of dispatches, the operators' side of claims, and the remover of old ones. */
-export interface IClaimParts {
+/** The guard of dispatches, the administration of claims, and the sweeper of expired claims. */
+export interface IClaimComponents {
   readonly guard: ClaimGuard;
   readonly admin: ClaimAdmin;
   readonly sweeper: ClaimSweeper;
 }
 
 /**
- * Joins them; all share one committer, so that concurrent claims make one transaction.
+ * Creates the components. All share one committer, so that concurrent claims are committed in one
+ * transaction.
  *
  * @example
- * const { guard, admin, sweeper } = createClaimParts(options);
+ * const { guard, admin, sweeper } = createClaimComponents(options);
  */
-export function createClaimParts(options: IClaimPartsOptions): IClaimParts {
+export function createClaimComponents(options: IClaimComponentsOptions): IClaimComponents {
   const { platform, membership, clock, random, timing, store } = options;
   const { table } = platform;
   const committer = new GroupCommitter({ table, clock, random, groupMs: timing.claimGroupMs });
   const peer = new ConnectClaimPeer(options.clients);
   const isLive = (address: string) => membership.isListed(address);
-  const shared: ISharedParts = { committer, peer, isLive };
+  const shared: ISharedComponents = { committer, peer, isLive };
   return {
     guard: store.add(createGuard(options, shared)),
     admin: new ClaimAdmin({ clock, ...shared }),
@@ -62,13 +63,13 @@
   };
 }
 
-interface ISharedParts {
+interface ISharedComponents {
   readonly committer: GroupCommitter;
   readonly peer: ConnectClaimPeer;
   readonly isLive: (address: string) => boolean;
 }
 
-function createGuard(options: IClaimPartsOptions, shared: ISharedParts): ClaimGuard {
+function createGuard(options: IClaimComponentsOptions, shared: ISharedComponents): ClaimGuard {
   const { platform, clock, random, invariants, nodeAddress } = options;
   return new ClaimGuard({
     ...shared,
@@ -88,7 +89,7 @@
   });
 }
 
-function createSweeper(options: IClaimPartsOptions, committer: GroupCommitter): ClaimSweeper {
+function createSweeper(options: IClaimComponentsOptions, committer: GroupCommitter): ClaimSweeper {
   const { platform, membership, clock, random, nodeAddress } = options;
   return new ClaimSweeper({
     table: platform.table,
