--- a/packages/config/src/distribution/common/configDistributor.test.ts
+++ b/packages/config/src/distribution/common/configDistributor.test.ts
@@ -163,7 +163,7 @@
   await behind.node.runRound(signal);
   await putInForce(plans, 'dobrescu', 'two');
   await ahead.node.runRound(signal);
-  platform.table.faults.isOut = true;
+  platform.table.faults.isUnavailable = true;
   const fresh = createNode(platform);
   await fresh.node.runRound(signal);
   assert.equal(fresh.node.isReady(), false);
@@ -213,14 +213,14 @@
   const running = node.run(abort.signal);
   await clock.advanceBy(5000);
   assert.equal(node.isIsolated(), false);
-  platform.table.faults.isOut = true;
+  platform.table.faults.isUnavailable = true;
   await clock.advanceBy(40_000);
   assert.equal(node.isIsolated(), false, 'peers suffice');
   silent.isSilent = true;
   cut.isCut = true;
   await clock.advanceBy(45_000);
   assert.ok(node.isIsolated());
-  platform.table.faults.isOut = false;
+  platform.table.faults.isUnavailable = false;
   await clock.advanceBy(10_000);
   assert.equal(node.isIsolated(), false);
   abort.abort(new Error('done'));
--- a/packages/config/src/distribution/common/configDistributor.ts
+++ b/packages/config/src/distribution/common/configDistributor.ts
@@ -4,26 +4,26 @@
 import type { IFleetConfig, IFleetConfigChange } from '../../fleetConfig/common/fleetConfig.js';
 import { ConfigService } from '../../fleetConfig/common/fleetConfig.js';
 import { AppliedConfig } from './appliedConfig.js';
-import { executeBounded } from './boundedCall.js';
+import { executeWithTimeout } from './executeWithTimeout.js';
 import type {
   IConfigDistributorOptions,
   IDistributionCounters,
 } from './configDistributorOptions.js';
 import type { ConfigPeer, IConfigSnapshot } from './configPeer.js';
-import { DistributionPace } from './distributionPace.js';
+import { DistributionTiming } from './distributionTiming.js';
 import { StoreReader } from './storeReader.js';
 
 const DEFAULT_ISOLATION_LIMIT_MS = 30_000;
-const DEFAULT_CALL_LIMIT_MS = 3000;
+const DEFAULT_CALL_TIMEOUT_MS = 3000;
 /**
  * Longest wait for the answer to an announcement. It is a few bytes each way; a silent peer that
  * is waited for as long as for a download holds up the rumour, seen as changes that take seconds.
  */
-const ANNOUNCE_LIMIT_MS = 1000;
+const ANNOUNCE_TIMEOUT_MS = 1000;
 /** Peers asked each round while the store answers: enough to notice a store that lags. */
-const PEERS_ASKED = 1;
+const PEERS_PER_ROUND = 1;
 /** Peers asked at start and during an outage. */
-const PEERS_ASKED_IN_OUTAGE = 3;
+const PEERS_PER_ROUND_IN_OUTAGE = 3;
 /** Peers told of a change; docs/decisions/21-distribution.md measures other numbers. */
 const DEFAULT_FAN_OUT = 3;
 /**
@@ -39,11 +39,11 @@
   private readonly didBecomeReady = new Emitter<undefined>();
   private readonly applied: AppliedConfig;
   private readonly reader: StoreReader;
-  private readonly pace: DistributionPace;
+  private readonly timing: DistributionTiming;
   private wakeUp = new AbortController();
   private announcer: ConfigPeer | undefined;
   /** The highest revision heard of; what is applied may be behind it. */
-  private highestHeard = 0;
+  private highestKnownRevision = 0;
   private lastContactMs: number;
   private hasStore = true;
   private isReadyNow = false;
@@ -58,7 +58,7 @@
     super();
     this.applied = options.applied ?? new AppliedConfig(options.invariants);
     this.reader = new StoreReader(options.platform);
-    this.pace = new DistributionPace(options);
+    this.timing = new DistributionTiming(options);
     this.lastContactMs = options.clock.getMonotonicTime();
   }
 
@@ -83,7 +83,7 @@
    */
   isStale(): boolean {
     const silentMs = this.getNow() - this.lastContactMs;
-    return this.isIsolated() || silentMs > this.pace.getStaleLimit();
+    return this.isIsolated() || silentMs > this.timing.getStaleLimit();
   }
 
   /** What happened so far. */
@@ -144,17 +144,19 @@
     const isAnnounced = await this.fetchFromAnnouncer(signal);
     const hasStore = isAnnounced || (await this.fetchFromStore(signal));
     this.hasStore = hasStore;
-    const peerCount = this.isNews(before) ? this.getFanOut() : this.getPeersAsked(hasStore);
+    const peerCount = this.hasNewRevision(before)
+      ? this.getFanOut()
+      : this.getPeersPerRound(hasStore);
     const learnt = this.getCurrent().fleetRevision;
     const hasPeer = await this.announceToPeers(this.options.peers.pick(peerCount), signal);
     const isInformed = hasStore || (hasPeer && this.getCurrent().fleetRevision > 0);
-    if (isInformed && this.getCurrent().fleetRevision >= this.highestHeard) this.setReady();
+    if (isInformed && this.getCurrent().fleetRevision >= this.highestKnownRevision) this.setReady();
     if (this.getCurrent().fleetRevision === learnt || before === 0) return;
     await this.announceToPeers(this.options.peers.pick(this.getFanOut()), signal);
   }
 
   /** A revision that was learnt while serving, and that peers may not have yet. */
-  private isNews(before: number): boolean {
+  private hasNewRevision(before: number): boolean {
     return before > 0 && this.getCurrent().fleetRevision > before;
   }
 
@@ -162,8 +164,8 @@
     return this.options.fanOut ?? DEFAULT_FAN_OUT;
   }
 
-  private getPeersAsked(hasStore: boolean): number {
-    return hasStore && this.isReadyNow ? PEERS_ASKED : PEERS_ASKED_IN_OUTAGE;
+  private getPeersPerRound(hasStore: boolean): number {
+    return hasStore && this.isReadyNow ? PEERS_PER_ROUND : PEERS_PER_ROUND_IN_OUTAGE;
   }
 
   /** True when an announced revision was fetched from its announcer, which spares the store. */
@@ -176,16 +178,18 @@
 
   /** True when the store answered. */
   private async fetchFromStore(signal: AbortSignal): Promise<boolean> {
-    if (this.isBehind() && !this.hasStoreTurn()) return true;
+    if (this.isBehind() && !this.isStoreReadDue()) return true;
     const startMs = this.getNow();
     try {
-      const head = await this.executeCall(signal, (bounded) => this.reader.fetchHead(bounded));
+      const head = await this.executeWithCallTimeout(signal, (bounded) =>
+        this.reader.fetchHead(bounded),
+      );
       this.recordContact(startMs);
       this.recordRevision(head);
       const current = this.getCurrent();
       if (head < current.fleetRevision) this.applied.recordDropped();
-      if (head <= current.fleetRevision || !this.hasStoreTurn()) return true;
-      const snapshot = await this.executeCall(signal, (bounded) =>
+      if (head <= current.fleetRevision || !this.isStoreReadDue()) return true;
+      const snapshot = await this.executeWithCallTimeout(signal, (bounded) =>
         this.reader.fetchAfter(current.fleetRevision, head, this.listKnown(), bounded),
       );
       this.appliedFromStore += this.applySnapshot(snapshot);
@@ -219,8 +223,8 @@
     const own = this.getCurrent().fleetRevision;
     const startMs = this.getNow();
     try {
-      const limitMs = Math.min(ANNOUNCE_LIMIT_MS, this.getCallLimit());
-      const revision = await executeBounded(this.options.clock, limitMs, signal, (bounded) =>
+      const limitMs = Math.min(ANNOUNCE_TIMEOUT_MS, this.getCallTimeout());
+      const revision = await executeWithTimeout(this.options.clock, limitMs, signal, (bounded) =>
         peer.announce(own, bounded),
       );
       this.recordContact(startMs);
@@ -236,7 +240,9 @@
     const own = this.getCurrent().fleetRevision;
     const startMs = this.getNow();
     try {
-      const snapshot = await this.executeCall(signal, (bounded) => peer.fetchAfter(own, bounded));
+      const snapshot = await this.executeWithCallTimeout(signal, (bounded) =>
+        peer.fetchAfter(own, bounded),
+      );
       this.recordContact(startMs);
       this.appliedFromPeers += this.applySnapshot(snapshot);
       return true;
@@ -257,24 +263,24 @@
     this.wakeUp = new AbortController();
     // Announced during the round: each hop of the rumour would wait a while otherwise.
     if (this.announcer !== undefined) return;
-    const delayMs = this.pace.getDelay({ isBehind: this.isBehind(), hasStore: this.hasStore });
+    const delayMs = this.timing.getDelay({ isBehind: this.isBehind(), hasStore: this.hasStore });
     const wakeUp = new JoinedSignal([signal, this.wakeUp.signal]);
     await this.options.clock.sleep(delayMs, wakeUp.signal).catch(() => undefined);
     wakeUp.dispose();
   }
 
-  private hasStoreTurn(): boolean {
-    return this.isReadyNow || this.pace.hasStoreTurn();
+  private isStoreReadDue(): boolean {
+    return this.isReadyNow || this.timing.isStoreReadDue();
   }
 
   private isBehind(): boolean {
-    return this.getCurrent().fleetRevision < this.highestHeard;
+    return this.getCurrent().fleetRevision < this.highestKnownRevision;
   }
 
   /** True when the revision is higher than any heard of before. */
   private recordRevision(fleetRevision: number): boolean {
-    if (fleetRevision <= this.highestHeard) return false;
-    this.highestHeard = fleetRevision;
+    if (fleetRevision <= this.highestKnownRevision) return false;
+    this.highestKnownRevision = fleetRevision;
     return true;
   }
 
@@ -302,14 +308,14 @@
     this.didBecomeReady.fire(undefined);
   }
 
-  private executeCall<T>(
+  private executeWithCallTimeout<T>(
     signal: AbortSignal,
     call: (signal: AbortSignal) => Promise<T>,
   ): Promise<T> {
-    return executeBounded(this.options.clock, this.getCallLimit(), signal, call);
+    return executeWithTimeout(this.options.clock, this.getCallTimeout(), signal, call);
   }
 
-  private getCallLimit(): number {
-    return this.options.callLimitMs ?? DEFAULT_CALL_LIMIT_MS;
+  private getCallTimeout(): number {
+    return this.options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
   }
 }
--- a/packages/config/src/distribution/common/configDistributorOptions.ts
+++ b/packages/config/src/distribution/common/configDistributorOptions.ts
@@ -3,10 +3,10 @@
 import type { IPlatform } from '@parsleymux/store';
 import type { AppliedConfig } from './appliedConfig.js';
 import type { ConfigPeerSource } from './configPeer.js';
-import type { IDistributionPaceOptions } from './distributionPace.js';
+import type { IDistributionTimingOptions } from './distributionTiming.js';
 
 /** Options of a ConfigDistributor. */
-export interface IConfigDistributorOptions extends IDistributionPaceOptions {
+export interface IConfigDistributorOptions extends IDistributionTimingOptions {
   readonly platform: Pick<IPlatform, 'table' | 'objects'>;
   readonly peers: ConfigPeerSource;
   readonly invariants: InvariantRegistry;
@@ -15,7 +15,7 @@
   /** Without word from store or peers for this long the node is isolated, in ms. Default 30000. */
   readonly isolationLimitMs?: number;
   /** Longest wait for one answer of store or peer, in ms. Default 3000. */
-  readonly callLimitMs?: number;
+  readonly callTimeoutMs?: number;
   /** Holds what is applied. Default: one that never goes back. */
   readonly applied?: AppliedConfig;
 }
--- a/packages/config/src/distribution/common/distribution.fuzz.test.ts
+++ b/packages/config/src/distribution/common/distribution.fuzz.test.ts
@@ -11,7 +11,7 @@
 import fc from 'fast-check';
 import { IntentValidator } from '../../intents/common/intentValidator.js';
 import { PlanBuilder } from '../../plans/common/planBuilder.js';
-import { isLeaving } from '../../plans/common/capacity.js';
+import { isDraining } from '../../plans/common/capacity.js';
 import { PlanStore } from '../../plans/common/planStore.js';
 import { InstantClock } from '../../testing/instantClock.js';
 import { createTestIntent } from '../../testing/intents.js';
@@ -158,10 +158,10 @@
 
 async function runStep(fleet: Fleet, step: Step): Promise<void> {
   const faults = fleet.platform.table.faults;
-  if (step.kind === 'confirm' && !faults.isOut) await fleet.confirmChange(step.first % 2);
+  if (step.kind === 'confirm' && !faults.isUnavailable) await fleet.confirmChange(step.first % 2);
   if (step.kind === 'cut') fleet.cuts.add(`${step.first}-${step.second}`);
   if (step.kind === 'heal') fleet.cuts.delete(`${step.first}-${step.second}`);
-  if (step.kind === 'outage') faults.isOut = !faults.isOut;
+  if (step.kind === 'outage') faults.isUnavailable = !faults.isUnavailable;
   if (step.kind === 'stale') faults.staleness = faults.staleness === 0 ? 5 : 0;
   if (step.kind === 'replace') fleet.startNode(step.first);
   await fleet.clock.advanceBy(step.kind === 'wait' ? 3000 : 300);
@@ -181,7 +181,7 @@
     fc.asyncProperty(fc.nat(), fc.array(steps, { maxLength: 40 }), async (seed, list) => {
       const fleet = new Fleet(seed, (invariants) => new AppliedConfig(invariants));
       for (const step of list) await runStep(fleet, step);
-      Object.assign(fleet.platform.table.faults, { isOut: false, staleness: 0 });
+      Object.assign(fleet.platform.table.faults, { isUnavailable: false, staleness: 0 });
       fleet.cuts.clear();
       await fleet.confirmChange(0);
       await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
@@ -221,7 +221,7 @@
   fleet.cuts.clear();
   await fleet.confirmChange(0);
   await fleet.nodes[0]!.runRound(fleet.abort.signal);
-  fleet.platform.table.faults.isOut = true;
+  fleet.platform.table.faults.isUnavailable = true;
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
   assert.deepEqual(listLeaving(fleet), Array(NODE_COUNT).fill(false), 'by peers alone');
   await fleet.stop();
@@ -245,7 +245,7 @@
   }
   await fleet.confirmChange(0);
   await fleet.nodes[0]!.runRound(fleet.abort.signal);
-  fleet.platform.table.faults.isOut = true;
+  fleet.platform.table.faults.isUnavailable = true;
   await fleet.clock.advanceBy(PAST_ISOLATION_MS);
   const group = fleet.nodes.slice(1);
   assert.equal(fleet.nodes[0]!.isIsolated(), true, 'alone with what it knows');
@@ -284,6 +284,6 @@
 function listLeaving(fleet: Fleet): readonly boolean[] {
   return fleet.nodes.map((node) => {
     const intent = node.getCurrent().members.get('dobrescu')?.intent;
-    return intent?.services[0]?.targets.some(isLeaving) ?? false;
+    return intent?.services[0]?.targets.some(isDraining) ?? false;
   });
 }
--- a/packages/config/src/distribution/common/distributionPace.ts
+++ b/packages/config/src/distribution/common/distributionTiming.ts
@@ -14,8 +14,8 @@
 /** Pause of a node that heard of a newer revision and could not fetch it yet. */
 const BEHIND_DELAY_MS = 200;
 
-/** Options of a {@link DistributionPace}. */
-export interface IDistributionPaceOptions {
+/** Options of a {@link DistributionTiming}. */
+export interface IDistributionTimingOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   /**
@@ -37,21 +37,21 @@
  * const pace = new DistributionPace({ clock, random, pollMs: 2000 });
  * await clock.sleep(pace.getDelay({ isBehind: false, hasStore: true }));
  */
-export class DistributionPace {
-  private storeTurnMs: number | undefined;
+export class DistributionTiming {
+  private storeReadDueMs: number | undefined;
 
-  constructor(private readonly options: IDistributionPaceOptions) {}
+  constructor(private readonly options: IDistributionTimingOptions) {}
 
   /**
    * When a whole fleet restarts, each node would read every member's configuration at once, seen
    * as many times the reads that the platform serves, and as refused reads of everyone. The few
    * whose turn comes first read, and the others get it from them.
    */
-  hasStoreTurn(): boolean {
+  isStoreReadDue(): boolean {
     const { clock, random, startSpreadMs = 0 } = this.options;
     const nowMs = clock.getMonotonicTime();
-    this.storeTurnMs ??= nowMs + random.getFloat() * resolveMs(startSpreadMs);
-    return nowMs >= this.storeTurnMs;
+    this.storeReadDueMs ??= nowMs + random.getFloat() * resolveMs(startSpreadMs);
+    return nowMs >= this.storeReadDueMs;
   }
 
   /** Silence of store and peers that is not explained by the wait between rounds, in ms. */
--- a/packages/config/src/distribution/common/boundedCall.ts
+++ b/packages/config/src/distribution/common/executeWithTimeout.ts
@@ -10,9 +10,9 @@
  * @example
  * const revision = await executeBounded(clock, 1000, signal, (bounded) => peer.announce(7, bounded));
  */
-export async function executeBounded<T>(
+export async function executeWithTimeout<T>(
   clock: Clock,
-  limitMs: number,
+  timeoutMs: number,
   signal: AbortSignal,
   call: (signal: AbortSignal) => Promise<T>,
 ): Promise<T> {
@@ -26,8 +26,8 @@
     };
     bounded.addEventListener('abort', onAbort, { once: true });
   });
-  const timer = clock.startTimer(limitMs, () => {
-    limit.abort(new Error(`no answer within ${limitMs} ms`));
+  const timer = clock.startTimer(timeoutMs, () => {
+    limit.abort(new Error(`no answer within ${timeoutMs} ms`));
   });
   try {
     return await Promise.race([call(bounded), aborted]);
--- a/packages/config/src/distribution/common/storeReader.ts
+++ b/packages/config/src/distribution/common/storeReader.ts
@@ -54,7 +54,7 @@
   private async scanChanges(
     fleetRevision: number,
     signal: AbortSignal,
-  ): Promise<IPointers | undefined> {
+  ): Promise<IPointerScan | undefined> {
     const after = formatChangeKey(fleetRevision);
     const rows = await this.platform.table.scan(
       { prefix: CHANGE_PREFIX, after, limit: SCAN_LIMIT },
@@ -75,7 +75,7 @@
    * Every member's pointer. Only revisions up to `head`, which was read before, are sure to be
    * covered; a lagging copy may show even less, so the newest pointer seen bounds it as well.
    */
-  private async scanMembers(head: number, signal: AbortSignal): Promise<IPointers> {
+  private async scanMembers(head: number, signal: AbortSignal): Promise<IPointerScan> {
     const pointers: MemberPointer[] = [];
     let after: string | undefined;
     for (;;) {
@@ -131,7 +131,7 @@
   }
 }
 
-interface IPointers {
+interface IPointerScan {
   readonly fleetRevision: number;
   readonly pointers: readonly MemberPointer[];
 }
--- a/packages/config/src/intents/common/intentValidator.ts
+++ b/packages/config/src/intents/common/intentValidator.ts
@@ -40,7 +40,7 @@
     return {
       reserved: new Set(reserved),
       // Where nodes have addresses of their own, loopback leads to a node's private ports.
-      allowLoopback: reserved.every(isLoopbackAddress),
+      isLoopbackAllowed: reserved.every(isLoopbackAddress),
     };
   }
 }
--- a/packages/config/src/intents/common/targetAddress.ts
+++ b/packages/config/src/intents/common/targetAddress.ts
@@ -9,7 +9,7 @@
   /** Addresses that are no targets, each "IP:port": the platform's and the nodes'. */
   readonly reserved: ReadonlySet<string>;
   /** Loopback is only for fleets that run on one computer, such as in tests. */
-  readonly allowLoopback: boolean;
+  readonly isLoopbackAllowed: boolean;
 }
 
 const IPV4 = /^\d{1,3}(\.\d{1,3}){3}$/;
@@ -30,13 +30,13 @@
 export function findAddressProblem(address: string, rules: IAddressRules): string | undefined {
   const [, host, port] = ADDRESS.exec(address) ?? [];
   if (host === undefined || port === undefined) return 'is not an IP number and a port';
-  const usualHost = formatHost(host);
+  const usualHost = formatCanonicalHost(host);
   if (usualHost === undefined) return 'is not an IP number and a port';
   const usual = `${usualHost}:${Number(port)}`;
   if (usual !== address) return `is not written as usual: ${usual}`;
   if (Number(port) === 0 || Number(port) > MAX_PORT) return 'has no port that can be connected to';
   if (FORBIDDEN_IPV4.test(host) || FORBIDDEN_IPV6.test(host)) return 'is no address of a target';
-  if (LOOPBACK.test(host) && !rules.allowLoopback) return 'is the node itself';
+  if (LOOPBACK.test(host) && !rules.isLoopbackAllowed) return 'is the node itself';
   return rules.reserved.has(address) ? 'is no address of a target' : undefined;
 }
 
@@ -51,7 +51,7 @@
 }
 
 /** The usual spelling of an IP number, or undefined when the text is a name or nothing. */
-function formatHost(host: string): string | undefined {
+function formatCanonicalHost(host: string): string | undefined {
   try {
     const { hostname } = new URL(`http://${host}/`);
     return IPV4.test(hostname) || hostname.startsWith('[') ? hostname : undefined;
--- a/packages/config/src/plans/common/capacity.ts
+++ b/packages/config/src/plans/common/capacity.ts
@@ -24,10 +24,10 @@
 }
 
 /** A service's capacity and how it came about. */
-export interface ICapacityFinding {
+export interface ICapacityResult {
   readonly capacity: ServiceCapacity;
   /** The plan must not be confirmed: it would leave less than the floor. */
-  readonly breaksFloor: boolean;
+  readonly isFloorViolated: boolean;
   /** Below the floor already, and the plan makes it no worse. */
   readonly isRepair: boolean;
   readonly arithmetic: string;
@@ -40,7 +40,7 @@
  * @example
  * const serving = service.targets.filter((target) => !isLeaving(target));
  */
-export function isLeaving(target: Target): boolean {
+export function isDraining(target: Target): boolean {
   return target.state === TargetState.DRAINING || target.leaveAtMs > 0n;
 }
 
@@ -60,13 +60,13 @@
  * @example
  * const findings = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
  */
-export function computeCapacity(input: ICapacityInput): readonly ICapacityFinding[] {
+export function computeCapacity(input: ICapacityInput): readonly ICapacityResult[] {
   const { before, after } = input;
   const oldServices = new Map(before?.services.map((service) => [service.name, service]));
   const newServices = new Map(after.services.map((service) => [service.name, service]));
   const names = new Set([...oldServices.keys(), ...newServices.keys()]);
   return [...names].map((name) => {
-    return findCapacity(name, oldServices.get(name), newServices.get(name), input);
+    return computeServiceCapacity(name, oldServices.get(name), newServices.get(name), input);
   });
 }
 
@@ -77,7 +77,7 @@
  * @example
  * const addresses = listTargetsOfShrinking(before, after);
  */
-export function listTargetsOfShrinking(
+export function listTargetsOfShrinkingServices(
   before: Intent | undefined,
   after: Intent,
 ): readonly string[] {
@@ -91,16 +91,16 @@
   );
 }
 
-function findCapacity(
+function computeServiceCapacity(
   name: string,
   before: Service | undefined,
   after: Service | undefined,
   input: ICapacityInput,
-): ICapacityFinding {
+): ICapacityResult {
   const ejected = input.ejected.get(name) ?? new Set<string>();
   const oldTargets = before === undefined ? [] : listServing(before, ejected);
   const newTargets = after === undefined ? [] : listServing(after, ejected);
-  const kept = listKept(oldTargets, newTargets);
+  const kept = listRetained(oldTargets, newTargets);
   const isWarm = (target: Target) => !input.warmingUp.has(target.address);
   const capacity = create(ServiceCapacitySchema, {
     service: name,
@@ -111,14 +111,14 @@
   });
   const isKept = countSlots(kept) >= Math.min(capacity.floorSlots, countSlots(oldTargets));
   const isRepair = isKept && checkRepair(capacity, before);
-  const breaksFloor = !isRepair && checkBreak(capacity, before, after);
+  const isFloorViolated = !isRepair && checkFloorViolation(capacity, before, after);
   const coldCount = oldTargets.filter((target) => !isWarm(target)).length;
   const arithmetic = describeArithmetic(capacity, ejected.size, coldCount);
-  return { capacity, isRepair, breaksFloor, arithmetic };
+  return { capacity, isRepair, isFloorViolated: isFloorViolated, arithmetic };
 }
 
 /** During the change the lower of both floors holds: a raised floor can wait for its new targets. */
-function checkBreak(
+function checkFloorViolation(
   capacity: ServiceCapacity,
   before: Service | undefined,
   after: Service | undefined,
@@ -143,11 +143,11 @@
 }
 
 function listServing(service: Service, ejected: ReadonlySet<string>): readonly Target[] {
-  return service.targets.filter((target) => !isLeaving(target) && !ejected.has(target.address));
+  return service.targets.filter((target) => !isDraining(target) && !ejected.has(target.address));
 }
 
 /** Targets that serve before and after, with the lower of both slot counts. */
-function listKept(before: readonly Target[], after: readonly Target[]): readonly Target[] {
+function listRetained(before: readonly Target[], after: readonly Target[]): readonly Target[] {
   const old = new Map(before.map((target) => [target.address, target]));
   return after.flatMap((target) => {
     const former = old.get(target.address);
--- a/packages/config/src/plans/common/changes.ts
+++ b/packages/config/src/plans/common/changes.ts
@@ -11,7 +11,7 @@
 } from '@parsleymux/schema';
 
 /** Items of one kind under their names, written as JSON. */
-type Texts = ReadonlyMap<string, string>;
+type JsonByName = ReadonlyMap<string, string>;
 
 /**
  * What differs between the intent in force and the one that is wanted.
@@ -21,55 +21,59 @@
  */
 export function computeChanges(before: Intent | undefined, after: Intent): readonly Change[] {
   return [
-    ...compareTexts('service', listServices(before), listServices(after)),
-    ...compareTexts('target', listTargets(before), listTargets(after)),
-    ...compareTexts('route', listRoutes(before), listRoutes(after)),
+    ...compareItems('service', listServices(before), listServices(after)),
+    ...compareItems('target', listTargets(before), listTargets(after)),
+    ...compareItems('route', listRoutes(before), listRoutes(after)),
   ];
 }
 
-function listServices(intent: Intent | undefined): Texts {
-  return toTexts(ServiceSchema, (intent?.services ?? []).map(copyWithoutTargets), (service) => {
-    return service.name;
-  });
+function listServices(intent: Intent | undefined): JsonByName {
+  return toJsonByName(
+    ServiceSchema,
+    (intent?.services ?? []).map(copyWithoutTargets),
+    (service) => {
+      return service.name;
+    },
+  );
 }
 
-function listTargets(intent: Intent | undefined): Texts {
+function listTargets(intent: Intent | undefined): JsonByName {
   const texts = (intent?.services ?? []).map((service) =>
-    toTexts(TargetSchema, service.targets, (target) => `${service.name} ${target.address}`),
+    toJsonByName(TargetSchema, service.targets, (target) => `${service.name} ${target.address}`),
   );
   return new Map(texts.flatMap((map) => [...map]));
 }
 
-function listRoutes(intent: Intent | undefined): Texts {
-  return toTexts(RouteSchema, intent?.routes ?? [], (route) => route.name);
+function listRoutes(intent: Intent | undefined): JsonByName {
+  return toJsonByName(RouteSchema, intent?.routes ?? [], (route) => route.name);
 }
 
 function copyWithoutTargets(service: Service): Service {
   return { ...clone(ServiceSchema, service), targets: [] };
 }
 
-function toTexts<Desc extends DescMessage>(
+function toJsonByName<Desc extends DescMessage>(
   schema: Desc,
   items: readonly MessageShape<Desc>[],
   getName: (item: MessageShape<Desc>) => string,
-): Texts {
+): JsonByName {
   return new Map(items.map((item) => [getName(item), toJsonString(schema, item)]));
 }
 
-function compareTexts(subject: string, before: Texts, after: Texts): readonly Change[] {
+function compareItems(subject: string, before: JsonByName, after: JsonByName): readonly Change[] {
   const names = [...new Set([...before.keys(), ...after.keys()])];
   return names.flatMap((name) => {
     const oldText = before.get(name);
     const newText = after.get(name);
     if (oldText === newText) return [];
-    const kind = decideKind(oldText, newText);
+    const kind = decideChangeKind(oldText, newText);
     return [
       create(ChangeSchema, { kind, subject, name, before: oldText ?? '', after: newText ?? '' }),
     ];
   });
 }
 
-function decideKind(before: string | undefined, after: string | undefined): ChangeKind {
+function decideChangeKind(before: string | undefined, after: string | undefined): ChangeKind {
   if (before === undefined) return ChangeKind.ADDED;
   return after === undefined ? ChangeKind.REMOVED : ChangeKind.CHANGED;
 }
--- a/packages/config/src/plans/common/rivals.test.ts
+++ b/packages/config/src/plans/common/concurrentPlans.test.ts
@@ -81,7 +81,7 @@
     race.operators.map((_, index) => store.propose(createIntent(race, index), `key-${index}`)),
   );
   Object.assign(platform.table.faults, {
-    lostAnswers: race.lostPercent / 100,
+    lostResponseShare: race.lostPercent / 100,
     staleness: race.staleness,
   });
   const confirm = async (index: number): Promise<Outcome> => {
@@ -97,7 +97,7 @@
     }
   };
   const outcomes = await Promise.all(plans.map((_, index) => confirm(index)));
-  Object.assign(platform.table.faults, { lostAnswers: 0, staleness: 0 });
+  Object.assign(platform.table.faults, { lostResponseShare: 0, staleness: 0 });
   const repeated = await Promise.all(plans.map((_, index) => confirm(index)));
   return { rows: platform.table.getRows(), outcomes, repeated, plans };
 }
--- a/packages/config/src/plans/common/confirmTransaction.ts
+++ b/packages/config/src/plans/common/confirmTransaction.ts
@@ -27,7 +27,7 @@
   encodePlanRow,
   encodePointer,
 } from '../../layout/common/rows.js';
-import { isLeaving } from './capacity.js';
+import { isDraining } from './capacity.js';
 
 /** Host names and target addresses that a plan takes and gives up. */
 export interface IOwnershipChange {
@@ -178,7 +178,7 @@
     const servesSinceMs = oldServices.has(service.name) ? nowMs : 0;
     return service.targets.flatMap((target) => {
       const former = known.get(target.address);
-      const hasReturned = former !== undefined && isLeaving(former) && !isLeaving(target);
+      const hasReturned = former !== undefined && isDraining(former) && !isDraining(target);
       if (former !== undefined && !hasReturned) return [];
       const value = encodeOwner({ member, servesSinceMs });
       return [{ key: formatTargetKey(target.address), value }];
--- a/packages/config/src/plans/common/planBuilder.ts
+++ b/packages/config/src/plans/common/planBuilder.ts
@@ -2,8 +2,8 @@
 import { create } from '@bufbuild/protobuf';
 import type { Change, Plan, Service } from '@parsleymux/schema';
 import { ChangeKind, PlanSchema, PlanState } from '@parsleymux/schema';
-import type { ICapacityFinding, ICapacityInput } from './capacity.js';
-import { computeCapacity, isLeaving } from './capacity.js';
+import type { ICapacityResult, ICapacityInput } from './capacity.js';
+import { computeCapacity, isDraining } from './capacity.js';
 import { computeChanges } from './changes.js';
 import { createFloorError } from './planErrors.js';
 
@@ -42,9 +42,9 @@
   }
 
   /** The capacity of every service. Throws FloorWouldBreak with the arithmetic. */
-  check(input: ICapacityInput): readonly ICapacityFinding[] {
+  check(input: ICapacityInput): readonly ICapacityResult[] {
     const findings = computeCapacity(input);
-    const broken = findings.filter((finding) => finding.breaksFloor);
+    const broken = findings.filter((finding) => finding.isFloorViolated);
     if (broken.length > 0) throw createFloorError(broken.map((finding) => finding.arithmetic));
     return findings;
   }
@@ -63,7 +63,7 @@
 
 function describeWarnings(
   input: IPlanInput,
-  findings: readonly ICapacityFinding[],
+  findings: readonly ICapacityResult[],
 ): readonly string[] {
   const warnings = findings
     .filter((finding) => finding.isRepair)
@@ -84,7 +84,7 @@
 function describeServiceWarnings(service: Service, input: IPlanInput): readonly string[] {
   const warnings: string[] = [];
   const name = `service "${service.name}"`;
-  const serving = service.targets.filter((target) => !isLeaving(target));
+  const serving = service.targets.filter((target) => !isDraining(target));
   const domains = new Set(serving.map((target) => target.failureDomain));
   if (service.floorSlots === 0) warnings.push(`${name} has no floor: all of it may be ejected`);
   if (serving.length > 1 && domains.size === 1) {
--- a/packages/config/src/plans/common/planErrors.ts
+++ b/packages/config/src/plans/common/planErrors.ts
@@ -5,7 +5,7 @@
 const MAX_PROBLEMS_SHOWN = 20;
 const STORE_RETRY_AFTER_MS = 5000;
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
 
@@ -20,7 +20,7 @@
   const lines = shown.map((problem) => `${problem.path}: ${problem.message}`);
   const more = problems.length - shown.length;
   if (more > 0) lines.push(`and ${more} more`);
-  return refuse(ResultCode.MalformedIntent, lines.join('; '));
+  return createRefusal(ResultCode.MalformedIntent, lines.join('; '));
 }
 
 /**
@@ -30,7 +30,7 @@
  * throw createPlanNotFoundError('p1');
  */
 export function createPlanNotFoundError(planId: string): MuxError {
-  return refuse(ResultCode.PlanNotFound, `there is no plan "${planId}"`);
+  return createRefusal(ResultCode.PlanNotFound, `there is no plan "${planId}"`);
 }
 
 /**
@@ -43,7 +43,7 @@
   const message =
     `plan "${planId}" starts from revision ${base}, but revision ${current} is in force; ` +
     'submit the intent again';
-  return refuse(ResultCode.PlanStale, message);
+  return createRefusal(ResultCode.PlanStale, message);
 }
 
 /**
@@ -53,7 +53,7 @@
  * throw createPlanDecidedError('p1', 'discarded');
  */
 export function createPlanDecidedError(planId: string, state: string): MuxError {
-  return refuse(ResultCode.PlanAlreadyDecided, `plan "${planId}" was ${state} already`);
+  return createRefusal(ResultCode.PlanAlreadyDecided, `plan "${planId}" was ${state} already`);
 }
 
 /**
@@ -63,7 +63,10 @@
  * throw createFloorError(['service "a": floor 8 slots; before 8, during 4, after 8']);
  */
 export function createFloorError(arithmetic: readonly string[]): MuxError {
-  return refuse(ResultCode.FloorWouldBreak, `the floor would break: ${arithmetic.join('; ')}`);
+  return createRefusal(
+    ResultCode.FloorWouldBreak,
+    `the floor would break: ${arithmetic.join('; ')}`,
+  );
 }
 
 /**
@@ -73,7 +76,7 @@
  * throw createHostTakenError('booking.example');
  */
 export function createHostTakenError(host: string): MuxError {
-  return refuse(ResultCode.HostTaken, `the host name "${host}" is taken`);
+  return createRefusal(ResultCode.HostTaken, `the host name "${host}" is taken`);
 }
 
 /**
@@ -83,7 +86,7 @@
  * throw createTargetTakenError('127.0.0.1:9001');
  */
 export function createTargetTakenError(address: string): MuxError {
-  return refuse(ResultCode.TargetAddressTaken, `the target address "${address}" is taken`);
+  return createRefusal(ResultCode.TargetAddressTaken, `the target address "${address}" is taken`);
 }
 
 /**
--- a/packages/config/src/plans/common/planLimits.ts
+++ b/packages/config/src/plans/common/planLimits.ts
@@ -14,7 +14,7 @@
 export const DECIDED_PLAN_LIFETIME_MS = 30 * MS_PER_DAY;
 
 const SCAN_LIMIT = 1000;
-const MAX_REMOVED = 100;
+const MAX_REMOVED_ROWS = 100;
 
 /**
  * Removes rows of plans that are of no more use, and counts the open ones.
@@ -30,7 +30,7 @@
   signal?: AbortSignal,
 ): Promise<void> {
   const rows = await table.scan({ prefix: formatPlanPrefix(member), limit: SCAN_LIMIT }, signal);
-  const expired = rows.filter((row) => isExpired(row, nowMs)).slice(0, MAX_REMOVED);
+  const expired = rows.filter((row) => isExpired(row, nowMs)).slice(0, MAX_REMOVED_ROWS);
   await removeRows(table, expired, signal);
   const open = rows.filter((row) => !expired.includes(row)).filter(isOpen);
   if (open.length < MAX_OPEN_PLANS) return;
--- a/packages/config/src/plans/common/planRepository.ts
+++ b/packages/config/src/plans/common/planRepository.ts
@@ -17,7 +17,7 @@
 } from '../../layout/common/rowKeys.js';
 import type { IPlanRow, RowMap } from '../../layout/common/rows.js';
 import { decodeOwner, decodePointer, encodePlanRow, toRowMap } from '../../layout/common/rows.js';
-import { listTargetsOfShrinking } from './capacity.js';
+import { listTargetsOfShrinkingServices } from './capacity.js';
 
 /** Time from which a target that a plan added counts as warm. */
 export const WARM_UP_MS = 60_000;
@@ -34,7 +34,7 @@
  * read may come from a copy that lags; without them an operation could lose every attempt for as
  * long as the copy lags.
  */
-export class CurrentRows {
+export class ConflictRows {
   private rows: RowMap = new Map();
 
   /** Takes the rows of a result; those of the result before are of no more use. */
@@ -68,7 +68,7 @@
   async readRows(
     keys: readonly string[],
     signal?: AbortSignal,
-    current = new CurrentRows(),
+    current = new ConflictRows(),
   ): Promise<RowMap> {
     return current.merge(await this.platform.table.read(keys, signal), keys);
   }
@@ -88,7 +88,7 @@
   async transact(
     transaction: ITableTransaction,
     signal?: AbortSignal,
-    current = new CurrentRows(),
+    current = new ConflictRows(),
   ): Promise<boolean> {
     const result = await this.platform.table.transact(transaction, signal);
     current.update(result);
@@ -99,10 +99,10 @@
   async fetchInForce(
     member: string,
     signal?: AbortSignal,
-    current?: CurrentRows,
+    current?: ConflictRows,
   ): Promise<IIntentInForce> {
     const key = formatMemberKey(member);
-    return this.fetchPointed((await this.readRows([key], signal, current)).get(key), signal);
+    return this.fetchByPointer((await this.readRows([key], signal, current)).get(key), signal);
   }
 
   /**
@@ -116,7 +116,7 @@
     nowMs: number,
     signal?: AbortSignal,
   ): Promise<ReadonlySet<string>> {
-    const addresses = listTargetsOfShrinking(before, after);
+    const addresses = listTargetsOfShrinkingServices(before, after);
     if (addresses.length === 0) return new Set();
     const rows = await this.readRows(addresses.map(formatTargetKey), signal);
     return new Set(
@@ -158,7 +158,7 @@
     await this.transact({ conditions: [{ key, version: 0 }], writes }, signal);
   }
 
-  private async fetchPointed(
+  private async fetchByPointer(
     row: ITableRow | undefined,
     signal?: AbortSignal,
   ): Promise<IIntentInForce> {
--- a/packages/config/src/plans/common/planStore.test.ts
+++ b/packages/config/src/plans/common/planStore.test.ts
@@ -116,12 +116,12 @@
   for (let seed = 1; seed <= 60; seed += 1) {
     const { store, platform } = createStore(seed);
     const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
-    platform.table.faults.lostAnswers = 0.5;
+    platform.table.faults.lostResponseShare = 0.5;
     platform.table.faults.staleness = 3;
     const request = { member: 'dobrescu', planId: plan.id, operator: 'key-1' };
     const confirmed = await store.confirm(request).catch((error: unknown) => {
       assert.ok(isRefusal(ResultCode.StoreUnavailable)(error), String(error));
-      platform.table.faults.lostAnswers = 0;
+      platform.table.faults.lostResponseShare = 0;
       return store.confirm(request);
     });
     assert.equal(confirmed.state, PlanState.CONFIRMED, `seed ${seed}`);
@@ -182,7 +182,7 @@
 test('with the store out, the refusal says that nothing was done, and when to come back', async () => {
   const { store, platform } = createStore();
   const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
-  platform.table.faults.isOut = true;
+  platform.table.faults.isUnavailable = true;
   const request = { member: 'dobrescu', planId: plan.id, operator: 'key-1' };
   await assert.rejects(store.confirm(request), (error: unknown) => {
     assert.ok(error instanceof MuxError);
--- a/packages/config/src/plans/common/planStore.ts
+++ b/packages/config/src/plans/common/planStore.ts
@@ -25,7 +25,7 @@
 import type { IDecisionInput, IPlanRefusal } from './planRefusals.js';
 import { findOwnershipRefusal, findRefusal, listEjected } from './planRefusals.js';
 import type { IIntentInForce } from './planRepository.js';
-import { CurrentRows, PlanRepository } from './planRepository.js';
+import { ConflictRows, PlanRepository } from './planRepository.js';
 import type { IStoreAttempt } from './storeRetry.js';
 import { StoreRetry } from './storeRetry.js';
 
@@ -54,7 +54,7 @@
   readonly request: IPlanRequest;
   readonly plan: Plan;
   readonly attempt: IStoreAttempt;
-  readonly current: CurrentRows;
+  readonly current: ConflictRows;
 }
 
 /**
@@ -117,7 +117,7 @@
    */
   async confirm(request: IPlanRequest, signal?: AbortSignal): Promise<Plan> {
     const plan = await this.getPlan(request.member, request.planId, signal);
-    const current = new CurrentRows();
+    const current = new ConflictRows();
     const confirmed = await this.retry.run(signal, (attempt) =>
       this.tryConfirm({ request, plan, attempt, current }, signal),
     );
@@ -206,7 +206,7 @@
   private async throwIfFresh(
     refusal: IPlanRefusal,
     rows: RowMap,
-    current: CurrentRows,
+    current: ConflictRows,
     signal?: AbortSignal,
   ): Promise<undefined> {
     const conditions = refusal.keys.map((key) => makeCondition(key, rows.get(key)));
@@ -220,7 +220,7 @@
     planId: string,
     after: Intent,
     signal?: AbortSignal,
-    current = new CurrentRows(),
+    current = new ConflictRows(),
   ): Promise<IDecisionInput> {
     const inForce = await this.repository.fetchInForce(member, signal, current);
     const keys = listConfirmKeys(member, planId, inForce.intent, after);
--- a/packages/config/src/plans/common/storeRetry.ts
+++ b/packages/config/src/plans/common/storeRetry.ts
@@ -3,9 +3,9 @@
 import { PlatformError, PlatformFailure } from '@parsleymux/store';
 import { createStoreError } from './planErrors.js';
 
-const MAX_LOST_RACES = 40;
+const MAX_ATTEMPTS = 40;
 const MAX_FAILURES = 8;
-const FIRST_DELAY_MS = 10;
+const INITIAL_DELAY_MS = 10;
 const MAX_DELAY_MS = 500;
 
 /** Options of a {@link StoreRetry}. */
@@ -40,7 +40,7 @@
     let mayHaveRun = false;
     let failures = 0;
     let cause: unknown;
-    for (let count = 0; count < MAX_LOST_RACES && failures < MAX_FAILURES; count += 1) {
+    for (let count = 0; count < MAX_ATTEMPTS && failures < MAX_FAILURES; count += 1) {
       const sent = { isSent: false };
       try {
         const value = await work({ markSent: () => (sent.isSent = true) });
@@ -58,7 +58,7 @@
 
   /** Full jitter: rivals that collided once on the head row must not collide in step again. */
   private async sleep(count: number, signal: AbortSignal | undefined): Promise<void> {
-    const delayMs = Math.min(FIRST_DELAY_MS * 2 ** count, MAX_DELAY_MS);
+    const delayMs = Math.min(INITIAL_DELAY_MS * 2 ** count, MAX_DELAY_MS);
     await this.options.clock.sleep(this.options.random.getFloat() * delayMs, signal);
   }
 }
--- a/packages/config/src/testing/memoryPlatform.ts
+++ b/packages/config/src/testing/memoryPlatform.ts
@@ -11,16 +11,16 @@
 /** Faults of the store; shares are in [0, 1]. */
 export interface IStoreFaults {
   /** Nothing answers. */
-  isOut: boolean;
+  isUnavailable: boolean;
   /** Share of transactions whose answer is lost, before or after they take effect. */
-  lostAnswers: number;
+  lostResponseShare: number;
   /** Reads show the table as it was this many transactions ago. */
   staleness: number;
 }
 
 /** A table in memory. Every call takes a few turns of the event loop, so that callers interleave. */
 export class MemoryTable extends TableService {
-  readonly faults: IStoreFaults = { isOut: false, lostAnswers: 0, staleness: 0 };
+  readonly faults: IStoreFaults = { isUnavailable: false, lostResponseShare: 0, staleness: 0 };
   private readonly history: ReadonlyMap<string, ITableRow>[] = [new Map()];
   readCount = 0;
   /** Called with every row after each transaction that took effect. */
@@ -32,14 +32,14 @@
   }
 
   override async read(keys: readonly string[]): Promise<readonly ITableRow[]> {
-    await this.waitOrFail();
+    await this.sleepOrFail();
     this.readCount += 1;
     const rows = this.getVisible();
     return [...new Set(keys)].flatMap((key) => rows.get(key) ?? []);
   }
 
   override async scan(options: IScanOptions): Promise<readonly ITableRow[]> {
-    await this.waitOrFail();
+    await this.sleepOrFail();
     this.readCount += 1;
     const after = options.after ?? '';
     return [...this.getVisible().values()]
@@ -49,13 +49,13 @@
   }
 
   override async transact(transaction: ITableTransaction): Promise<ITransactionResult> {
-    await this.waitOrFail();
+    await this.sleepOrFail();
     this.transactionCount += 1;
-    const isLost = this.random.getFloat() < this.faults.lostAnswers;
-    if (isLost && this.random.getFloat() < 0.5) throw createLostError();
+    const isLost = this.random.getFloat() < this.faults.lostResponseShare;
+    if (isLost && this.random.getFloat() < 0.5) throw createLostResponseError();
     const result = this.commit(transaction);
     await this.sleepTurns();
-    if (isLost) throw createLostError();
+    if (isLost) throw createLostResponseError();
     return result;
   }
 
@@ -87,9 +87,9 @@
     return this.history.at(-1 - age) ?? this.history[0] ?? new Map<string, ITableRow>();
   }
 
-  private async waitOrFail(): Promise<void> {
+  private async sleepOrFail(): Promise<void> {
     await this.sleepTurns();
-    if (this.faults.isOut) throw new PlatformError(PlatformFailure.Refused, 'out');
+    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'out');
   }
 
   private async sleepTurns(): Promise<void> {
@@ -106,17 +106,17 @@
   }
 
   override async get(key: string): Promise<Uint8Array | undefined> {
-    await this.checkOutage();
+    await this.checkAvailable();
     return this.objects.get(key);
   }
 
   override async put(key: string, bytes: Uint8Array): Promise<void> {
-    await this.checkOutage();
+    await this.checkAvailable();
     this.objects.set(key, bytes);
   }
 
   override async list(prefix: string): Promise<readonly string[]> {
-    await this.checkOutage();
+    await this.checkAvailable();
     return [...this.objects.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
@@ -125,9 +125,9 @@
     this.objects.delete(key);
   }
 
-  private async checkOutage(): Promise<void> {
+  private async checkAvailable(): Promise<void> {
     await Promise.resolve();
-    if (this.faults.isOut) throw new PlatformError(PlatformFailure.Refused, 'out');
+    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'out');
   }
 }
 
@@ -142,13 +142,13 @@
  *
  * @example
  * const platform = createMemoryPlatform(new SeededRandom(1));
- * platform.table.faults.isOut = true;
+ * platform.table.faults.isUnavailable = true;
  */
 export function createMemoryPlatform(random: RandomSource): IMemoryPlatform {
   const table = new MemoryTable(random);
   return { table, objects: new MemoryObjects(table.faults) };
 }
 
-function createLostError(): PlatformError {
+function createLostResponseError(): PlatformError {
   return new PlatformError(PlatformFailure.Unknown, 'no answer');
 }
--- a/packages/ctl/src/cli/node/cli.test.ts
+++ b/packages/ctl/src/cli/node/cli.test.ts
@@ -73,7 +73,7 @@
     assert.equal((await run(['status'], nobody)).status, ExitStatus.Unavailable);
     const next = { ...env, PARSLEYCTL_ADMIN: `http://127.0.0.1:1, ${api.url}` };
     assert.equal((await run(['status'], next)).status, ExitStatus.Ok, 'the next node is tried');
-    api.platform.table.faults.isOut = true;
+    api.platform.table.faults.isUnavailable = true;
     const out = await run(['audit', '--json'], env);
     assert.equal(out.status, ExitStatus.Unavailable);
     assert.equal((JSON.parse(out.out) as { readonly name: string }).name, 'StoreUnavailable');
--- a/packages/lab/src/bench/distribution/common/distributionFleet.ts
+++ b/packages/lab/src/bench/distribution/common/distributionFleet.ts
@@ -217,6 +217,6 @@
 
 function makeUnreachablePlatform(): IMemoryPlatform {
   const platform = createMemoryPlatform(new SeededRandom(0));
-  platform.table.faults.isOut = true;
+  platform.table.faults.isUnavailable = true;
   return platform;
 }
--- a/packages/operators/src/api/node/adminApi.test.ts
+++ b/packages/operators/src/api/node/adminApi.test.ts
@@ -65,7 +65,7 @@
     assert.equal((await api.call('GET', '/v1/plans/none', own)).body.name, 'PlanNotFound');
     assert.equal((await api.call('GET', '/v2/plans', own)).status, 404);
     assert.equal((await api.call('DELETE', '/v1/intent', own)).status, 405);
-    api.platform.table.faults.isOut = true;
+    api.platform.table.faults.isUnavailable = true;
     const out = await api.call('GET', '/v1/audit', own);
     assert.equal(out.status, 503);
     assert.ok(Number(out.body.retryAfterMs) > 0);
--- a/packages/operators/src/burn/common/burn.test.ts
+++ b/packages/operators/src/burn/common/burn.test.ts
@@ -61,8 +61,8 @@
     const mergers = [1, 2, 3].map(() => fixture.createMerger());
     const faults = fixture.platform.table.faults;
     for (let round = 0; round < 30; round += 1) {
-      faults.isOut = round >= 10 && round < 14;
-      faults.lostAnswers = round < 25 ? 0.3 : 0;
+      faults.isUnavailable = round >= 10 && round < 14;
+      faults.lostResponseShare = round < 25 ? 0.3 : 0;
       for (const recorder of recorders) fixture.record(recorder, 10);
       await Promise.all([
         ...recorders.map((recorder) => recorder.flush()),
--- a/packages/routing/src/ledger/common/floorArithmetic.ts
+++ b/packages/routing/src/ledger/common/floorArithmetic.ts
@@ -1,5 +1,5 @@
 /** The one place that decides whether a service can spare a target. */
-import { isLeaving } from '@parsleymux/config';
+import { isDraining } from '@parsleymux/config';
 import type { Service, Target } from '@parsleymux/schema';
 import { TargetState } from '@parsleymux/schema';
 
@@ -44,7 +44,7 @@
 
 function isHealthy(target: Target, question: IFloorQuestion): boolean {
   return (
-    !isLeaving(target) &&
+    !isDraining(target) &&
     !question.ejected.has(target.address) &&
     !question.otherwiseUnhealthy.has(target.address)
   );
