--- a/packages/config/src/distribution/common/appliedConfig.ts
+++ b/packages/config/src/distribution/common/appliedConfig.ts
@@ -1,4 +1,4 @@
-/** The configuration that a node has applied, which only ever moves forward. */
+/** The configuration that a node has applied. It never reverts to an older revision. */
 import type { InvariantRegistry } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
 import type { MemberConfig } from '@parsleymux/schema';
@@ -6,7 +6,7 @@
 import type { IConfigSnapshot } from './configPeer.js';
 
 /**
- * Applies snapshots, dropping what is older than what is applied already.
+ * Applies snapshots and drops member configurations that are older than the applied ones.
  *
  * @example
  * const changed = applied.apply({ fleetRevision: 7, members: [config] });
@@ -17,17 +17,17 @@
 
   constructor(private readonly invariants: InvariantRegistry) {}
 
-  /** What is applied. */
+  /** Returns the applied configuration. */
   getCurrent(): IFleetConfig {
     return this.current;
   }
 
-  /** Snapshots and member configurations that were older than what was applied. */
+  /** Number of revisions and member configurations dropped because a newer one was applied. */
   getDroppedCount(): number {
     return this.droppedCount;
   }
 
-  /** Returns the members whose configuration was replaced. */
+  /** Applies a snapshot and returns the members whose configuration was replaced. */
   apply(snapshot: IConfigSnapshot): readonly string[] {
     const before = this.current;
     const members = new Map(before.members);
@@ -44,15 +44,15 @@
     return changed;
   }
 
-  /** Counts a revision that was heard of and is older than the one applied. */
+  /** Counts a received revision that is older than the applied one. */
   recordDropped(): void {
     this.droppedCount += 1;
   }
 
   /**
-   * A store that restarted from a lagging copy and a peer that was paused both offer old
-   * configurations in good faith. Without this check routes and targets would come back that
-   * an operator has removed.
+   * A store restored from an older copy and a peer that was paused can both offer outdated
+   * configurations. Without this check, routes and targets that an operator has removed would
+   * be in force again.
    */
   protected isNewer(config: MemberConfig, known: MemberConfig | undefined): boolean {
     if (known === undefined || config.memberRevision > known.memberRevision) return true;
@@ -60,7 +60,7 @@
     return false;
   }
 
-  /** The higher of both, for the same reason. */
+  /** Chooses the higher revision, for the same reason. */
   protected chooseRevision(current: number, offered: number): number {
     if (offered < current) this.droppedCount += 1;
     return Math.max(current, offered);
--- a/packages/config/src/distribution/common/configDistributor.test.ts
+++ b/packages/config/src/distribution/common/configDistributor.test.ts
@@ -15,35 +15,35 @@
 import { ConfigPeer, ConfigPeerSource } from './configPeer.js';
 import { ConfigDistributor } from './configDistributor.js';
 
-/** Calls another distributor directly, unless the way to it is cut. */
+/** Calls another distributor directly, with simulated faults of the connection. */
 class DirectPeer extends ConfigPeer {
-  isCut = false;
-  isSilent = false;
+  isRefusing = false;
+  isUnresponsive = false;
 
   constructor(
     private readonly target: ConfigDistributor,
-    private readonly back?: ConfigPeer,
+    private readonly reversePeer?: ConfigPeer,
   ) {
     super();
   }
 
   override async announce(fleetRevision: number): Promise<number> {
-    await this.checkWay();
-    return this.target.receiveAnnouncement(fleetRevision, this.back);
+    await this.checkConnection();
+    return this.target.receiveAnnouncement(fleetRevision, this.reversePeer);
   }
 
   override async fetchAfter(fleetRevision: number): Promise<IConfigSnapshot> {
-    await this.checkWay();
+    await this.checkConnection();
     return this.target.getAfter(fleetRevision);
   }
 
-  private async checkWay(): Promise<void> {
-    if (this.isSilent) await new Promise(() => undefined);
-    if (this.isCut) throw new Error('cut');
+  private async checkConnection(): Promise<void> {
+    if (this.isUnresponsive) await new Promise(() => undefined);
+    if (this.isRefusing) throw new Error('connection refused');
   }
 }
 
-class ListedPeers extends ConfigPeerSource {
+class FixedPeerSource extends ConfigPeerSource {
   peers: ConfigPeer[] = [];
 
   override pick(count: number): readonly ConfigPeer[] {
@@ -53,7 +53,7 @@
 
 interface INodeFixture {
   readonly node: ConfigDistributor;
-  readonly peers: ListedPeers;
+  readonly peers: FixedPeerSource;
   readonly clock: ManualClock;
   readonly invariants: InvariantRegistry;
 }
@@ -63,7 +63,7 @@
   clock = new ManualClock(),
   applied?: AppliedConfig,
 ): INodeFixture {
-  const peers = new ListedPeers();
+  const peers = new FixedPeerSource();
   const invariants = new InvariantRegistry();
   const random = new SeededRandom(5);
   const shared = { platform, peers, clock, random, invariants };
@@ -94,7 +94,7 @@
 
 const signal = new AbortController().signal;
 
-test('a node applies what is confirmed, and reads one row when nothing changed', async () => {
+test('a node applies confirmed plans, and reads one row when nothing changed', async () => {
   const { platform, plans } = createPlatform();
   const { node } = createNode(platform);
   const changes: (readonly string[])[] = [];
@@ -114,11 +114,11 @@
 });
 
 /*
- * Symptom: a route that an operator removed comes back on some nodes.
- * Sequence: the store restarts and answers from a lagging copy; a paused peer resumes.
- * Cause: applying whatever was read last instead of the newest.
+ * Guards against a removed route that is in force again on some nodes. The store serves reads from an
+ * older copy after a restart, or a paused peer resumes, and the node applies what it read last instead
+ * of the newest.
  */
-test('stale reads and old peers never take the configuration back', async () => {
+test('stale reads and outdated peers never revert the configuration', async () => {
   const { platform, plans } = createPlatform();
   const { node, peers, invariants } = createNode(platform);
   const old = createNode(platform);
@@ -136,7 +136,7 @@
   assert.equal(invariants.getViolations(InvariantName.ConfigurationNeverReverts), 0);
 });
 
-test('without the check, the invariant trips', () => {
+test('the invariant detects a revert when the revision check is disabled', () => {
   class RevertingConfig extends AppliedConfig {
     protected override isNewer(): boolean {
       return true;
@@ -151,11 +151,10 @@
 });
 
 /*
- * Symptom: a replaced VM serves without routes, or with old ones, while the store is out.
- * Sequence: the store goes out, a VM is replaced, its peers know different revisions.
- * Cause: reporting ready on the first answer, or on none.
+ * Guards against a replaced VM that serves without routes, or with outdated ones, during an outage of
+ * the store. Its peers have different revisions, and it reports ready on the first response or on none.
  */
-test('a fresh node during an outage takes the highest of several peers before it is ready', async () => {
+test('during an outage a new node applies the highest revision of several peers before it is ready', async () => {
   const { platform, plans } = createPlatform();
   const behind = createNode(platform);
   const ahead = createNode(platform);
@@ -169,14 +168,14 @@
   assert.equal(fresh.node.isReady(), false);
   fresh.peers.peers = [new DirectPeer(createNode(platform).node)];
   await fresh.node.runRound(signal);
-  assert.equal(fresh.node.isReady(), false, 'another fresh node tells nothing');
+  assert.equal(fresh.node.isReady(), false, 'a peer without a configuration does not suffice');
   fresh.peers.peers = [new DirectPeer(behind.node), new DirectPeer(ahead.node)];
   await fresh.node.runRound(signal);
   assert.ok(fresh.node.isReady());
   assert.equal(fresh.node.getCurrent().fleetRevision, 2);
 });
 
-test('an announcement wakes the node, which spares the store and asks the announcer', async () => {
+test('an announcement wakes the node, which fetches from the announcer instead of the store', async () => {
   const { platform, plans } = createPlatform();
   const clock = new ManualClock();
   const first = createNode(platform, clock);
@@ -197,27 +196,27 @@
 });
 
 /*
- * Symptom: a node cut off from everything serves an old configuration for hours.
- * Sequence: store out; every way to peers cut, one of them silent instead of refused.
- * Cause: no bound on how old the last word from the rest may be.
+ * Guards against a partitioned node that serves an outdated configuration for hours. The store is
+ * unavailable and every peer is unreachable, one of them unresponsive instead of refusing; the age of
+ * the last response must be bounded.
  */
 test('a node without store and peers is isolated after the limit, and recovers', async () => {
   const { platform, plans } = createPlatform();
   const { node, peers, clock } = createNode(platform);
   const other = createNode(platform, clock);
   await putInForce(plans, 'dobrescu', 'one');
-  const silent = new DirectPeer(other.node);
-  const cut = new DirectPeer(other.node);
-  peers.peers = [silent, cut];
+  const unresponsive = new DirectPeer(other.node);
+  const refusing = new DirectPeer(other.node);
+  peers.peers = [unresponsive, refusing];
   const abort = new AbortController();
   const running = node.run(abort.signal);
   await clock.advanceBy(5000);
   assert.equal(node.isIsolated(), false);
   platform.table.faults.isUnavailable = true;
   await clock.advanceBy(40_000);
-  assert.equal(node.isIsolated(), false, 'peers suffice');
-  silent.isSilent = true;
-  cut.isCut = true;
+  assert.equal(node.isIsolated(), false, 'peers are reachable');
+  unresponsive.isUnresponsive = true;
+  refusing.isRefusing = true;
   await clock.advanceBy(45_000);
   assert.ok(node.isIsolated());
   platform.table.faults.isUnavailable = false;
@@ -227,7 +226,7 @@
   await running;
 });
 
-/** A clock that goes on while the process is stopped and its timers are not. */
+/** A clock that simulates pauses of the process: time advances by `pauseMs`, but no timers fire. */
 class PausedClock extends ManualClock {
   pauseMs = 0;
 
@@ -237,12 +236,12 @@
 }
 
 /*
- * Symptom: a target that left by a confirmed plan gets work half a minute later.
- * Sequence: a node asks the store; it is paused with the answer in its socket; the plan is
- * confirmed; the node resumes, reads the answer, and serves the requests that wait in its sockets.
- * Cause: the answer's arrival counted as word of now, though it is as old as the pause.
+ * Guards against work for a target half a minute after a confirmed plan removed it. A node is paused
+ * while the store's response is in its socket, and the plan is confirmed meanwhile. The node resumes,
+ * reads the response and serves the requests that wait in its sockets. The response is as old as the
+ * pause and must not count as a current one.
  */
-test('an answer that came before a pause is no word of now', async () => {
+test('a response that arrived before a pause does not count as current', async () => {
   const { platform, plans } = createPlatform();
   const clock = new PausedClock();
   const { node } = createNode(platform, clock);
@@ -260,7 +259,7 @@
   assert.equal(node.isStale(), false);
 });
 
-test("one member's missing object does not hold up another member's change", async () => {
+test("one member's missing object does not delay another member's change", async () => {
   const { platform, plans } = createPlatform();
   const { node } = createNode(platform);
   const planId = await putInForce(plans, 'dobrescu', 'one');
--- a/packages/config/src/distribution/common/configDistributor.ts
+++ b/packages/config/src/distribution/common/configDistributor.ts
@@ -1,4 +1,4 @@
-/** Keeps a node's configuration current from the platform's store and from other nodes. */
+/** Updates a node's configuration from the platform's store and from peers. */
 import type { Event } from '@parsleymux/base';
 import { Emitter, JoinedSignal } from '@parsleymux/base';
 import type { IFleetConfig, IFleetConfigChange } from '../../fleetConfig/common/fleetConfig.js';
@@ -16,18 +16,20 @@
 const DEFAULT_ISOLATION_LIMIT_MS = 30_000;
 const DEFAULT_CALL_TIMEOUT_MS = 3000;
 /**
- * Longest wait for the answer to an announcement. It is a few bytes each way; a silent peer that
- * is waited for as long as for a download holds up the rumour, seen as changes that take seconds.
+ * Timeout of an announcement. An announcement is a few bytes each way. With the timeout of a
+ * download, one unresponsive peer would delay the propagation of a change by seconds.
  */
 const ANNOUNCE_TIMEOUT_MS = 1000;
-/** Peers asked each round while the store answers: enough to notice a store that lags. */
+/** Peers contacted per round while the store responds: enough to detect that the store lags. */
 const PEERS_PER_ROUND = 1;
-/** Peers asked at start and during an outage. */
+/** Peers contacted per round at startup and during an outage of the store. */
 const PEERS_PER_ROUND_IN_OUTAGE = 3;
-/** Peers told of a change; docs/decisions/21-distribution.md measures other numbers. */
+/** Peers that a change is announced to; docs/decisions/21-distribution.md compares other values. */
 const DEFAULT_FAN_OUT = 3;
+
 /**
- * Polls the head row, fetches what changed, exchanges revisions with peers, and never goes back.
+ * Polls the head row, fetches changes and exchanges revisions with peers. The applied configuration
+ * never reverts to an older revision.
  *
  * @example
  * const distributor = new ConfigDistributor({ platform, peers, clock, random, invariants });
@@ -42,10 +44,10 @@
   private readonly timing: DistributionTiming;
   private wakeUp = new AbortController();
   private announcer: ConfigPeer | undefined;
-  /** The highest revision heard of; what is applied may be behind it. */
+  /** The highest revision received from the store or a peer; the applied one may be lower. */
   private highestKnownRevision = 0;
   private lastContactMs: number;
-  private hasStore = true;
+  private isStoreAvailable = true;
   private isReadyNow = false;
   private storeFailures = 0;
   private peerFailures = 0;
@@ -66,27 +68,28 @@
     return this.applied.getCurrent();
   }
 
-  /** True once the highest revision of the store and several peers was applied. It stays true. */
+  /** True once the highest revision of the store and several peers was applied; never false again. */
   isReady(): boolean {
     return this.isReadyNow;
   }
 
-  /** Neither store nor peers have answered for longer than the limit: refuse new work. */
+  /** True when neither store nor peers have responded within the limit: new work must be rejected. */
   isIsolated(): boolean {
-    const silentMs = this.getNow() - this.lastContactMs;
-    return silentMs > (this.options.isolationLimitMs ?? DEFAULT_ISOLATION_LIMIT_MS);
+    const sinceContactMs = this.getNow() - this.lastContactMs;
+    return sinceContactMs > (this.options.isolationLimitMs ?? DEFAULT_ISOLATION_LIMIT_MS);
   }
 
   /**
-   * Word from store or peers is late, as after a pause: whoever can should go by another node,
-   * which may know of plans that this one has missed.
+   * True when the last response from store or peers is overdue, such as after a pause of the process.
+   * Requests should then go through another node where possible, because this node may have missed
+   * a confirmed plan.
    */
   isStale(): boolean {
-    const silentMs = this.getNow() - this.lastContactMs;
-    return this.isIsolated() || silentMs > this.timing.getStaleLimit();
+    const sinceContactMs = this.getNow() - this.lastContactMs;
+    return this.isIsolated() || sinceContactMs > this.timing.getStaleLimit();
   }
 
-  /** What happened so far. */
+  /** Returns the counters since the start. */
   getCounters(): IDistributionCounters {
     return {
       dropped: this.applied.getDroppedCount(),
@@ -97,7 +100,7 @@
     };
   }
 
-  /** What is in force here and newer than `fleetRevision`, for a peer that asks. */
+  /** Returns the applied configurations that are newer than `fleetRevision`, for a peer's request. */
   getAfter(fleetRevision: number): IConfigSnapshot {
     const current = this.getCurrent();
     const members = [...current.members.values()].filter((config) => {
@@ -106,7 +109,10 @@
     return { fleetRevision: current.fleetRevision, members };
   }
 
-  /** A peer tells its revision; `announcer` is where to fetch it. Returns this node's own. */
+  /**
+   * Handles a peer's announcement of its revision, which can be fetched from `announcer`. Returns
+   * this node's revision.
+   */
   receiveAnnouncement(fleetRevision: number, announcer?: ConfigPeer): number {
     if (this.recordRevision(fleetRevision)) {
       this.announcer = announcer;
@@ -138,24 +144,24 @@
     }
   }
 
-  /** One exchange with store and peers. Failures are counted, not thrown. */
+  /** Runs one exchange with store and peers. Failures are counted, not thrown. */
   async runRound(signal: AbortSignal): Promise<void> {
     const before = this.getCurrent().fleetRevision;
     const isAnnounced = await this.fetchFromAnnouncer(signal);
-    const hasStore = isAnnounced || (await this.fetchFromStore(signal));
-    this.hasStore = hasStore;
+    const isStoreAvailable = isAnnounced || (await this.fetchFromStore(signal));
+    this.isStoreAvailable = isStoreAvailable;
     const peerCount = this.hasNewRevision(before)
       ? this.getFanOut()
-      : this.getPeersPerRound(hasStore);
-    const learnt = this.getCurrent().fleetRevision;
-    const hasPeer = await this.announceToPeers(this.options.peers.pick(peerCount), signal);
-    const isInformed = hasStore || (hasPeer && this.getCurrent().fleetRevision > 0);
-    if (isInformed && this.getCurrent().fleetRevision >= this.highestKnownRevision) this.setReady();
-    if (this.getCurrent().fleetRevision === learnt || before === 0) return;
+      : this.getPeersPerRound(isStoreAvailable);
+    const fetchedRevision = this.getCurrent().fleetRevision;
+    const hasPeerResponse = await this.announceToPeers(this.options.peers.pick(peerCount), signal);
+    const hasSource = isStoreAvailable || (hasPeerResponse && this.getCurrent().fleetRevision > 0);
+    if (hasSource && this.getCurrent().fleetRevision >= this.highestKnownRevision) this.setReady();
+    if (this.getCurrent().fleetRevision === fetchedRevision || before === 0) return;
     await this.announceToPeers(this.options.peers.pick(this.getFanOut()), signal);
   }
 
-  /** A revision that was learnt while serving, and that peers may not have yet. */
+  /** True when a revision that peers may not have yet was applied after the initial one. */
   private hasNewRevision(before: number): boolean {
     return before > 0 && this.getCurrent().fleetRevision > before;
   }
@@ -164,11 +170,11 @@
     return this.options.fanOut ?? DEFAULT_FAN_OUT;
   }
 
-  private getPeersPerRound(hasStore: boolean): number {
-    return hasStore && this.isReadyNow ? PEERS_PER_ROUND : PEERS_PER_ROUND_IN_OUTAGE;
+  private getPeersPerRound(isStoreAvailable: boolean): number {
+    return isStoreAvailable && this.isReadyNow ? PEERS_PER_ROUND : PEERS_PER_ROUND_IN_OUTAGE;
   }
 
-  /** True when an announced revision was fetched from its announcer, which spares the store. */
+  /** True when an announced revision was fetched from its announcer, which saves a read of the store. */
   private async fetchFromAnnouncer(signal: AbortSignal): Promise<boolean> {
     const announcer = this.announcer;
     this.announcer = undefined;
@@ -176,21 +182,21 @@
     return (await this.fetchFromPeer(announcer, signal)) && !this.isBehind();
   }
 
-  /** True when the store answered. */
+  /** True when the store responded, or when this node's turn to read from it has not come yet. */
   private async fetchFromStore(signal: AbortSignal): Promise<boolean> {
     if (this.isBehind() && !this.isStoreReadDue()) return true;
     const startMs = this.getNow();
     try {
-      const head = await this.executeWithCallTimeout(signal, (bounded) =>
-        this.reader.fetchHead(bounded),
+      const head = await this.executeWithCallTimeout(signal, (callSignal) =>
+        this.reader.fetchHead(callSignal),
       );
       this.recordContact(startMs);
       this.recordRevision(head);
       const current = this.getCurrent();
       if (head < current.fleetRevision) this.applied.recordDropped();
       if (head <= current.fleetRevision || !this.isStoreReadDue()) return true;
-      const snapshot = await this.executeWithCallTimeout(signal, (bounded) =>
-        this.reader.fetchAfter(current.fleetRevision, head, this.listKnown(), bounded),
+      const snapshot = await this.executeWithCallTimeout(signal, (callSignal) =>
+        this.reader.fetchAfter(current.fleetRevision, head, this.listKnown(), callSignal),
       );
       this.appliedFromStore += this.applySnapshot(snapshot);
       return true;
@@ -200,32 +206,35 @@
     }
   }
 
-  /** Exchanges revisions with peers, and fetches from whoever is ahead. True when one answered. */
+  /** Exchanges revisions with peers and fetches from those that are ahead. True when one responded. */
   private async announceToPeers(
     peers: readonly ConfigPeer[],
     signal: AbortSignal,
   ): Promise<boolean> {
-    const answers = await Promise.all(peers.map((peer) => this.announceTo(peer, signal)));
-    const heard = answers.flatMap((revision, index) => {
+    const revisions = await Promise.all(peers.map((peer) => this.announceTo(peer, signal)));
+    const responses = revisions.flatMap((revision, index) => {
       const peer = peers[index];
       return revision === undefined || peer === undefined ? [] : [{ peer, revision }];
     });
-    heard.sort((left, right) => right.revision - left.revision);
-    for (const { peer, revision } of heard) {
+    responses.sort((left, right) => right.revision - left.revision);
+    for (const { peer, revision } of responses) {
       if (revision <= this.getCurrent().fleetRevision) break;
       await this.fetchFromPeer(peer, signal);
     }
-    return heard.length > 0;
+    return responses.length > 0;
   }
 
   /** The peer's revision, or undefined when the exchange did not complete. */
   private async announceTo(peer: ConfigPeer, signal: AbortSignal): Promise<number | undefined> {
-    const own = this.getCurrent().fleetRevision;
+    const localRevision = this.getCurrent().fleetRevision;
     const startMs = this.getNow();
     try {
-      const limitMs = Math.min(ANNOUNCE_TIMEOUT_MS, this.getCallTimeout());
-      const revision = await executeWithTimeout(this.options.clock, limitMs, signal, (bounded) =>
-        peer.announce(own, bounded),
+      const timeoutMs = Math.min(ANNOUNCE_TIMEOUT_MS, this.getCallTimeout());
+      const revision = await executeWithTimeout(
+        this.options.clock,
+        timeoutMs,
+        signal,
+        (callSignal) => peer.announce(localRevision, callSignal),
       );
       this.recordContact(startMs);
       this.recordRevision(revision);
@@ -237,11 +246,11 @@
   }
 
   private async fetchFromPeer(peer: ConfigPeer, signal: AbortSignal): Promise<boolean> {
-    const own = this.getCurrent().fleetRevision;
+    const localRevision = this.getCurrent().fleetRevision;
     const startMs = this.getNow();
     try {
-      const snapshot = await this.executeWithCallTimeout(signal, (bounded) =>
-        peer.fetchAfter(own, bounded),
+      const snapshot = await this.executeWithCallTimeout(signal, (callSignal) =>
+        peer.fetchAfter(localRevision, callSignal),
       );
       this.recordContact(startMs);
       this.appliedFromPeers += this.applySnapshot(snapshot);
@@ -261,9 +270,12 @@
   /** Waits for the poll interval, less when behind, or until a newer revision is announced. */
   private async waitForNextRound(signal: AbortSignal): Promise<void> {
     this.wakeUp = new AbortController();
-    // Announced during the round: each hop of the rumour would wait a while otherwise.
+    // A revision announced during the round is fetched immediately, or each hop would add a delay.
     if (this.announcer !== undefined) return;
-    const delayMs = this.timing.getDelay({ isBehind: this.isBehind(), hasStore: this.hasStore });
+    const delayMs = this.timing.getDelay({
+      isBehind: this.isBehind(),
+      isStoreAvailable: this.isStoreAvailable,
+    });
     const wakeUp = new JoinedSignal([signal, this.wakeUp.signal]);
     await this.options.clock.sleep(delayMs, wakeUp.signal).catch(() => undefined);
     wakeUp.dispose();
@@ -277,7 +289,7 @@
     return this.getCurrent().fleetRevision < this.highestKnownRevision;
   }
 
-  /** True when the revision is higher than any heard of before. */
+  /** Records a received revision. True when it is higher than all earlier ones. */
   private recordRevision(fleetRevision: number): boolean {
     if (fleetRevision <= this.highestKnownRevision) return false;
     this.highestKnownRevision = fleetRevision;
@@ -290,9 +302,10 @@
   }
 
   /**
-   * An exchange proves what was in force when it began. A process that was paused reads, when it
-   * resumes, answers that came before the pause; counted from then, it would take a configuration
-   * of long ago for the newest, and send work to targets that have left meanwhile.
+   * Records a contact at the start of the exchange, because a response shows only what was in force
+   * then. A process that resumes after a pause reads responses that arrived before the pause. If the
+   * time of reading counted, the node would use an outdated configuration as the newest one and send
+   * work to targets that were removed during the pause.
    */
   private recordContact(startMs: number): void {
     this.lastContactMs = Math.max(this.lastContactMs, startMs);
--- a/packages/config/src/distribution/common/configDistributorOptions.ts
+++ b/packages/config/src/distribution/common/configDistributorOptions.ts
@@ -1,4 +1,4 @@
-/** What a configuration distributor is made of, and what it counts. */
+/** Options and counters of a configuration distributor. */
 import type { InvariantRegistry } from '@parsleymux/base';
 import type { IPlatform } from '@parsleymux/store';
 import type { AppliedConfig } from './appliedConfig.js';
@@ -10,23 +10,24 @@
   readonly platform: Pick<IPlatform, 'table' | 'objects'>;
   readonly peers: ConfigPeerSource;
   readonly invariants: InvariantRegistry;
-  /** Peers that a node tells of each revision that it learnt. Default 3. */
+  /** Peers to which a node announces each new revision. Default 3. */
   readonly fanOut?: number;
-  /** Without word from store or peers for this long the node is isolated, in ms. Default 30000. */
+  /** Time without a response from store or peers until the node is isolated, in ms. Default 30000. */
   readonly isolationLimitMs?: number;
-  /** Longest wait for one answer of store or peer, in ms. Default 3000. */
+  /** Timeout of one call to the store or a peer, in ms. Default 3000. */
   readonly callTimeoutMs?: number;
-  /** Holds what is applied. Default: one that never goes back. */
+  /** Holds the applied configuration. Default: an instance that never reverts. */
   readonly applied?: AppliedConfig;
 }
 
-/** What happened so far. */
+/** Counters since the start of the process. */
 export interface IDistributionCounters {
   /** Configurations and revisions dropped because a newer one was applied. */
   readonly dropped: number;
   readonly storeFailures: number;
   readonly peerFailures: number;
-  /** Member configurations applied. */
+  /** Member configurations applied from the store. */
   readonly appliedFromStore: number;
+  /** Member configurations applied from peers. */
   readonly appliedFromPeers: number;
 }
--- a/packages/config/src/distribution/common/configPeer.ts
+++ b/packages/config/src/distribution/common/configPeer.ts
@@ -1,24 +1,24 @@
-/** Other nodes as sources of configuration. */
+/** Peers as sources of configuration. */
 import type { MemberConfig } from '@parsleymux/schema';
 
-/** Everything a peer has in force that is newer than a revision. */
+/** The member configurations on a peer that are newer than a given revision. */
 export interface IConfigSnapshot {
-  /** The peer's revision: all changes up to it are in `members` or were known to the asker. */
+  /** The peer's revision: `members` includes every change after the requested revision up to this one. */
   readonly fleetRevision: number;
   readonly members: readonly MemberConfig[];
 }
 
-/** One other node. Every call rejects when the exchange did not complete. */
+/** One peer node. Every call rejects when the exchange did not complete. */
 export abstract class ConfigPeer {
-  /** Tells the peer a revision, and returns the one that the peer has in force. */
+  /** Announces a revision to the peer and returns the peer's revision. */
   abstract announce(fleetRevision: number, signal: AbortSignal): Promise<number>;
 
-  /** What the peer has in force that is newer than `fleetRevision`. */
+  /** Fetches the member configurations on the peer that are newer than `fleetRevision`. */
   abstract fetchAfter(fleetRevision: number, signal: AbortSignal): Promise<IConfigSnapshot>;
 }
 
-/** Where peers come from. */
+/** Selects peers to contact. */
 export abstract class ConfigPeerSource {
-  /** At most `count` live peers, chosen at random. */
+  /** Returns up to `count` live peers, chosen at random. */
   abstract pick(count: number): readonly ConfigPeer[];
 }
--- a/packages/config/src/distribution/common/distribution.fuzz.test.ts
+++ b/packages/config/src/distribution/common/distribution.fuzz.test.ts
@@ -24,24 +24,33 @@
 const NODE_COUNT = 6;
 const MEMBERS = ['dobrescu', 'donautal'];
 const RUNS = 120;
-/** From confirmation until every node that is not cut off has it in force. */
+/** Limit from a confirmation until the change is in force on every reachable node. */
 const IN_FORCE_LIMIT_MS = 6000;
-/** Longer than the isolation limit that distributors have by default. */
+/** Longer than the default isolation limit of distributors. */
 const PAST_ISOLATION_MS = 60_000;
 
 const steps = fc.record({
-  kind: fc.constantFrom('confirm', 'confirm', 'cut', 'heal', 'outage', 'stale', 'replace', 'wait'),
+  kind: fc.constantFrom(
+    'confirm',
+    'confirm',
+    'block',
+    'unblock',
+    'outage',
+    'stale',
+    'replace',
+    'wait',
+  ),
   first: fc.integer({ min: 0, max: NODE_COUNT - 1 }),
   second: fc.integer({ min: 0, max: NODE_COUNT - 1 }),
 });
 
-/** Nodes on one clock, with ways between them that can be cut in one direction. */
+/** Nodes on one clock, whose links can be blocked in one direction. */
 class Fleet {
   readonly clock = new ManualClock();
   readonly random: SeededRandom;
   readonly platform;
   readonly plans: PlanStore;
-  readonly cuts = new Set<string>();
+  readonly blockedLinks = new Set<string>();
   readonly nodes: ConfigDistributor[] = [];
   readonly invariants = new InvariantRegistry();
   readonly abort = new AbortController();
@@ -77,7 +86,7 @@
     this.running.push(node.run(this.abort.signal));
   }
 
-  /** Drains or returns a target of a member, so that what is in force can be told apart. */
+  /** Drains or returns a target of a member, so that each configuration differs from the one before. */
   async confirmChange(member: number): Promise<void> {
     this.changeCount += 1;
     const name = MEMBERS[member]!;
@@ -91,7 +100,7 @@
       const isDone = await this.plans.confirm(request).then(
         () => true,
         (error: unknown) => {
-          // The plan was made on a lagging read; the operator submits the intent again.
+          // The plan was based on a stale read; the operator submits the intent again.
           if (error instanceof MuxError && error.code === ResultCode.PlanStale) return false;
           throw error;
         },
@@ -109,17 +118,19 @@
 class FleetPeers extends ConfigPeerSource {
   constructor(
     private readonly fleet: Fleet,
-    private readonly own: number,
+    private readonly localIndex: number,
   ) {
     super();
   }
 
   override pick(count: number): readonly ConfigPeer[] {
-    const others = this.fleet.nodes.map((_, index) => index).filter((index) => index !== this.own);
-    const start = this.fleet.random.getInteger(Math.max(1, others.length));
-    return [...others.slice(start), ...others.slice(0, start)]
+    const peers = this.fleet.nodes
+      .map((_, index) => index)
+      .filter((index) => index !== this.localIndex);
+    const start = this.fleet.random.getInteger(Math.max(1, peers.length));
+    return [...peers.slice(start), ...peers.slice(0, start)]
       .slice(0, count)
-      .map((index) => new FleetPeer(this.fleet, this.own, index));
+      .map((index) => new FleetPeer(this.fleet, this.localIndex, index));
   }
 }
 
@@ -133,24 +144,24 @@
   }
 
   override async announce(fleetRevision: number): Promise<number> {
-    this.checkWay(this.from, this.to);
-    const back = new FleetPeer(this.fleet, this.to, this.from);
-    const answer = this.fleet.nodes[this.to]!.receiveAnnouncement(fleetRevision, back);
+    this.checkLink(this.from, this.to);
+    const reversePeer = new FleetPeer(this.fleet, this.to, this.from);
+    const response = this.fleet.nodes[this.to]!.receiveAnnouncement(fleetRevision, reversePeer);
     await Promise.resolve();
-    // The announcement arrived; its answer can be lost all the same.
-    this.checkWay(this.to, this.from);
-    return answer;
+    // The announcement arrived, but its response can be lost.
+    this.checkLink(this.to, this.from);
+    return response;
   }
 
   override async fetchAfter(fleetRevision: number): Promise<IConfigSnapshot> {
-    this.checkWay(this.from, this.to);
+    this.checkLink(this.from, this.to);
     await Promise.resolve();
-    this.checkWay(this.to, this.from);
+    this.checkLink(this.to, this.from);
     return this.fleet.nodes[this.to]!.getAfter(fleetRevision);
   }
 
-  private checkWay(from: number, to: number): void {
-    if (this.fleet.cuts.has(`${from}-${to}`)) throw new Error('cut');
+  private checkLink(from: number, to: number): void {
+    if (this.fleet.blockedLinks.has(`${from}-${to}`)) throw new Error('link is blocked');
   }
 }
 
@@ -159,8 +170,8 @@
 async function runStep(fleet: Fleet, step: Step): Promise<void> {
   const faults = fleet.platform.table.faults;
   if (step.kind === 'confirm' && !faults.isUnavailable) await fleet.confirmChange(step.first % 2);
-  if (step.kind === 'cut') fleet.cuts.add(`${step.first}-${step.second}`);
-  if (step.kind === 'heal') fleet.cuts.delete(`${step.first}-${step.second}`);
+  if (step.kind === 'block') fleet.blockedLinks.add(`${step.first}-${step.second}`);
+  if (step.kind === 'unblock') fleet.blockedLinks.delete(`${step.first}-${step.second}`);
   if (step.kind === 'outage') faults.isUnavailable = !faults.isUnavailable;
   if (step.kind === 'stale') faults.staleness = faults.staleness === 0 ? 5 : 0;
   if (step.kind === 'replace') fleet.startNode(step.first);
@@ -172,17 +183,17 @@
 }
 
 /*
- * Symptom: some node serves routes or targets that an operator has taken away.
- * Sequence: any mix of one-way cuts, outages, lagging reads, replaced VMs and confirmations.
- * Cause: a node that goes back, or one that stops asking.
+ * Guards against a node that serves routes or targets that an operator has removed, because it reverts
+ * to an older revision or stops polling. Generates sequences of one-way network faults, outages, stale
+ * reads, replaced VMs and confirmations.
  */
-test('whatever is cut, out or stale: no node goes back, and all agree soon after it heals', async () => {
+test('under any faults no node reverts, and all nodes converge soon after recovery', async () => {
   await fc.assert(
     fc.asyncProperty(fc.nat(), fc.array(steps, { maxLength: 40 }), async (seed, list) => {
       const fleet = new Fleet(seed, (invariants) => new AppliedConfig(invariants));
       for (const step of list) await runStep(fleet, step);
       Object.assign(fleet.platform.table.faults, { isUnavailable: false, staleness: 0 });
-      fleet.cuts.clear();
+      fleet.blockedLinks.clear();
       await fleet.confirmChange(0);
       await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
       await fleet.stop();
@@ -201,63 +212,64 @@
 });
 
 /*
- * Symptom: a target that an operator drained still gets new work minutes later.
- * Sequence: the plan is confirmed; every message to one node is lost, or the store goes out
- * right after the confirmation while one node alone has read it.
- * Cause: relying on one of the two ways by which a node learns of changes.
+ * Guards against new work for a drained target minutes after the plan was confirmed. All messages
+ * between one node and its peers are lost, or the store becomes unavailable right after the
+ * confirmation, when only one node has read it. A node must be able to learn of changes from the store
+ * alone and from peers alone.
  */
-test('a drained target is known on every node within seconds when one of the ways is cut', async () => {
+test('every node applies a drain within seconds through the store alone or peers alone', async () => {
   const fleet = new Fleet(3, (invariants) => new AppliedConfig(invariants));
   await fleet.confirmChange(0);
   await fleet.confirmChange(0);
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
   for (let index = 0; index < NODE_COUNT; index += 1) {
-    fleet.cuts.add(`${index}-2`);
-    fleet.cuts.add(`2-${index}`);
+    fleet.blockedLinks.add(`${index}-2`);
+    fleet.blockedLinks.add(`2-${index}`);
   }
   await fleet.confirmChange(0);
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
-  assert.deepEqual(listLeaving(fleet), Array(NODE_COUNT).fill(true), 'by the store alone');
-  fleet.cuts.clear();
+  assert.deepEqual(listDraining(fleet), Array(NODE_COUNT).fill(true), 'through the store alone');
+  fleet.blockedLinks.clear();
   await fleet.confirmChange(0);
   await fleet.nodes[0]!.runRound(fleet.abort.signal);
   fleet.platform.table.faults.isUnavailable = true;
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
-  assert.deepEqual(listLeaving(fleet), Array(NODE_COUNT).fill(false), 'by peers alone');
+  assert.deepEqual(listDraining(fleet), Array(NODE_COUNT).fill(false), 'through peers alone');
   await fleet.stop();
 });
 
 /*
- * Symptom: nodes give work to a drained target for as long as a cut lasts, past the isolation limit.
- * Sequence: the store is out for all but node 0, which reads the drain; nodes 1 and up hear each
- * other, and node 0 no more. Cause: any exchange counts as contact, for the group looks to itself
- * like a fleet whose store is out. Decision 43 names the way around it, an instant in the future.
+ * Documents a known limit: a group of partitioned nodes sends work to a drained target for as long as
+ * the partition lasts, past the isolation limit. Only node 0 reads the drain before the store becomes
+ * unavailable; the other nodes reach each other, but not node 0. Any exchange counts as contact,
+ * because the group can't distinguish this from an outage of the store. Draining at an instant in the
+ * future (`leaveAtMs`) avoids the limit.
  */
-test('nodes that are cut off together work on by the former plan, and follow after healing', async () => {
+test('nodes partitioned as a group keep the former plan, and apply the new one after recovery', async () => {
   const fleet = new Fleet(4, (invariants) => new AppliedConfig(invariants));
   await fleet.confirmChange(0);
   await fleet.confirmChange(0);
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
-  const before = listLeaving(fleet);
+  const before = listDraining(fleet);
   for (let index = 1; index < NODE_COUNT; index += 1) {
-    fleet.cuts.add(`${index}-0`);
-    fleet.cuts.add(`0-${index}`);
+    fleet.blockedLinks.add(`${index}-0`);
+    fleet.blockedLinks.add(`0-${index}`);
   }
   await fleet.confirmChange(0);
   await fleet.nodes[0]!.runRound(fleet.abort.signal);
   fleet.platform.table.faults.isUnavailable = true;
   await fleet.clock.advanceBy(PAST_ISOLATION_MS);
   const group = fleet.nodes.slice(1);
-  assert.equal(fleet.nodes[0]!.isIsolated(), true, 'alone with what it knows');
+  assert.equal(fleet.nodes[0]!.isIsolated(), true, 'no contact with store or peers');
   assert.ok(group.every((node) => !node.isIsolated()));
-  assert.deepEqual(listLeaving(fleet).slice(1), before.slice(1));
-  fleet.cuts.clear();
+  assert.deepEqual(listDraining(fleet).slice(1), before.slice(1));
+  fleet.blockedLinks.clear();
   await fleet.clock.advanceBy(IN_FORCE_LIMIT_MS);
-  assert.deepEqual(listLeaving(fleet), Array(NODE_COUNT).fill(!before[0]));
+  assert.deepEqual(listDraining(fleet), Array(NODE_COUNT).fill(!before[0]));
   await fleet.stop();
 });
 
-test('without the check against going back, the same faults make the invariant trip', async () => {
+test('the invariant detects reverts under the same faults when the revision checks are disabled', async () => {
   class RevertingConfig extends AppliedConfig {
     protected override isNewer(): boolean {
       return true;
@@ -281,7 +293,7 @@
   assert.ok(violations > 0);
 });
 
-function listLeaving(fleet: Fleet): readonly boolean[] {
+function listDraining(fleet: Fleet): readonly boolean[] {
   return fleet.nodes.map((node) => {
     const intent = node.getCurrent().members.get('dobrescu')?.intent;
     return intent?.services[0]?.targets.some(isDraining) ?? false;
--- a/packages/config/src/distribution/common/executeWithTimeout.ts
+++ b/packages/config/src/distribution/common/executeWithTimeout.ts
@@ -1,14 +1,15 @@
-/** Calls to other processes that end in bounded time on the injected clock. */
+/** Calls to other processes with a timeout on the injected clock. */
 import type { Clock } from '@parsleymux/base';
 import { JoinedSignal } from '@parsleymux/base';
 
 /**
- * Runs `call` with a signal that aborts after `limitMs` or with `signal`. A peer that fell
- * silent would otherwise hold up the one loop that keeps the configuration current, and the
- * node would notice nothing but an ever older revision.
+ * Runs `call` with a signal that aborts after `timeoutMs` or with `signal`. Rejects as soon as the
+ * signal aborts, even if `call` ignores it. Without the timeout, an unresponsive peer would block
+ * the only loop that updates the configuration, and the node would keep an outdated revision
+ * without any error.
  *
  * @example
- * const revision = await executeBounded(clock, 1000, signal, (bounded) => peer.announce(7, bounded));
+ * const revision = await executeWithTimeout(clock, 1000, signal, (callSignal) => peer.announce(7, callSignal));
  */
 export async function executeWithTimeout<T>(
   clock: Clock,
@@ -16,24 +17,24 @@
   signal: AbortSignal,
   call: (signal: AbortSignal) => Promise<T>,
 ): Promise<T> {
-  const limit = new AbortController();
-  const joined = new JoinedSignal([signal, limit.signal]);
-  const bounded = joined.signal;
+  const timeout = new AbortController();
+  const joined = new JoinedSignal([signal, timeout.signal]);
+  const callSignal = joined.signal;
   let onAbort: (() => void) | undefined;
   const aborted = new Promise<never>((_, reject) => {
     onAbort = () => {
-      reject(bounded.reason as Error);
+      reject(callSignal.reason as Error);
     };
-    bounded.addEventListener('abort', onAbort, { once: true });
+    callSignal.addEventListener('abort', onAbort, { once: true });
   });
   const timer = clock.startTimer(timeoutMs, () => {
-    limit.abort(new Error(`no answer within ${timeoutMs} ms`));
+    timeout.abort(new Error(`no response within ${timeoutMs} ms`));
   });
   try {
-    return await Promise.race([call(bounded), aborted]);
+    return await Promise.race([call(callSignal), aborted]);
   } finally {
     void timer.dispose();
     joined.dispose();
-    if (onAbort !== undefined) bounded.removeEventListener('abort', onAbort);
+    if (onAbort !== undefined) callSignal.removeEventListener('abort', onAbort);
   }
 }
--- a/packages/config/src/distribution/common/storeReader.ts
+++ b/packages/config/src/distribution/common/storeReader.ts
@@ -1,4 +1,4 @@
-/** Reads from the platform's store what changed since a revision. */
+/** Reads the changes since a revision from the platform's store. */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import type { IPlatform, ITableRow } from '@parsleymux/store';
 import { PlatformError, PlatformFailure } from '@parsleymux/store';
@@ -16,12 +16,12 @@
 const SCAN_LIMIT = 1000;
 const FETCH_CONCURRENCY = 8;
 
-/** The member revisions that the reader's owner has already. */
+/** Member revisions that the node has applied already, by member. */
 export type KnownRevisions = ReadonlyMap<string, number>;
 
 /**
- * Finds changes by the head row and the change log, so that a node that is up to date reads
- * one row, and one that is behind reads only what it lacks.
+ * Finds changes through the head row and the change log, so that an up-to-date node reads one row
+ * and a node that is behind reads only the changes that it lacks.
  *
  * @example
  * const snapshot = await reader.fetchAfter(12, known, signal);
@@ -29,13 +29,13 @@
 export class StoreReader {
   constructor(private readonly platform: Pick<IPlatform, 'table' | 'objects'>) {}
 
-  /** The newest fleet revision. Rejects with a PlatformError. */
+  /** Fetches the newest fleet revision. Rejects with a PlatformError. */
   async fetchHead(signal: AbortSignal): Promise<number> {
     const rows = await this.platform.table.read([HEAD_KEY], signal);
     return decodeHead(rows[0]);
   }
 
-  /** What is newer than `fleetRevision`, up to `head` or further. Rejects with a PlatformError. */
+  /** Fetches the changes after `fleetRevision`, up to `head` or beyond. Rejects with a PlatformError. */
   async fetchAfter(
     fleetRevision: number,
     head: number,
@@ -44,13 +44,13 @@
   ): Promise<IConfigSnapshot> {
     const found =
       (await this.scanChanges(fleetRevision, signal)) ?? (await this.scanMembers(head, signal));
-    const wanted = found.pointers.filter((pointer) => {
+    const missing = found.pointers.filter((pointer) => {
       return Number(pointer.memberRevision) > (known.get(pointer.member) ?? 0);
     });
-    return this.fetchConfigs(wanted, found.fleetRevision, signal);
+    return this.fetchConfigs(missing, found.fleetRevision, signal);
   }
 
-  /** Undefined when the log no longer reaches back to the change after `fleetRevision`. */
+  /** Undefined when the change log no longer has the change after `fleetRevision`. */
   private async scanChanges(
     fleetRevision: number,
     signal: AbortSignal,
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Every member's pointer. Only revisions up to `head`, which was read before, are sure to be
-   * covered; a lagging copy may show even less, so the newest pointer seen bounds it as well.
+   * Reads every member's pointer. Only revisions up to `head`, which was read before, are certain to
+   * be covered. A lagging replica may return less, so the newest pointer found is a bound as well.
    */
   private async scanMembers(head: number, signal: AbortSignal): Promise<IPointerScan> {
     const pointers: MemberPointer[] = [];
@@ -92,8 +92,9 @@
   }
 
   /**
-   * A configuration that can't be read holds back the revision that is claimed, but not the
-   * other members': one member's missing or broken object must not freeze everyone's changes.
+   * Fetches the configurations of several members. A configuration that can't be read limits the
+   * snapshot's revision but not the other members' configurations: one member's missing or corrupt
+   * object must not block the changes of all others.
    */
   private async fetchConfigs(
     pointers: readonly MemberPointer[],
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -1,4 +1,4 @@
-/** Configuration: intents, plans, and their distribution to every node. */
+/** Configuration of the fleet: intents, plans and their distribution to every node. */
 export * from './distribution/common/appliedConfig.js';
 export * from './distribution/common/configDistributor.js';
 export * from './distribution/common/configDistributorOptions.js';
--- a/packages/config/src/intents/common/intentValidator.test.ts
+++ b/packages/config/src/intents/common/intentValidator.test.ts
@@ -4,7 +4,7 @@
 import { IntentValidator } from './intentValidator.js';
 import { findAddressProblem } from './targetAddress.js';
 
-test('a usual intent has no problem, and each mistake is found where it is', () => {
+test('a valid intent has no problems, and each problem is reported with its path', () => {
   const validator = new IntentValidator();
   assert.deepEqual(validator.validate(createTestIntent('dobrescu')), []);
   const intent = createTestIntent('dobrescu', { floorSlots: 9 });
@@ -21,14 +21,13 @@
 });
 
 /*
- * Symptom: a member's requests arrive at the platform's table, at a node's administration port,
- * or at a rival's target.
- * Sequence: its intent names that address, plainly or in another spelling.
- * Cause: sending requests from inside the fleet's network to whatever an intent names.
+ * Guards against a member's requests reaching the platform's table, a node's administration port or
+ * another member's target. Nodes send requests from inside the fleet's network to the addresses in an
+ * intent, which may name such an address directly or in another spelling.
  */
-test('addresses that are no targets, and second spellings of those that are, are refused', () => {
-  const rules = { reserved: new Set(['10.0.0.9:7900']), allowLoopback: false };
-  const refused = [
+test('reserved addresses and non-canonical spellings of any address are rejected', () => {
+  const rules = { reserved: new Set(['10.0.0.9:7900']), isLoopbackAllowed: false };
+  const rejected = [
     '10.0.0.9:7900',
     '10.9:7900',
     '0xa000009:7900',
@@ -50,13 +49,13 @@
     '224.0.0.1:80',
     '[fe80::1]:80',
   ];
-  for (const address of refused) assert.ok(findAddressProblem(address, rules), address);
+  for (const address of rejected) assert.ok(findAddressProblem(address, rules), address);
   for (const address of ['10.0.0.1:80', '[2001:db8::1]:9001', '192.168.1.1:65535']) {
     assert.equal(findAddressProblem(address, rules), undefined);
   }
 });
 
-test('loopback targets are for fleets whose nodes are on loopback themselves', () => {
+test('loopback targets are valid only if all nodes have loopback addresses', () => {
   const intent = createTestIntent('dobrescu');
   const local = new IntentValidator({ listReservedAddresses: () => ['127.0.0.1:7003'] });
   assert.equal(local.validate(intent).length, 0);
--- a/packages/config/src/intents/common/intentValidator.ts
+++ b/packages/config/src/intents/common/intentValidator.ts
@@ -1,23 +1,23 @@
-/** Checks an intent for what the rules of single fields can't express. */
+/** Checks an intent for problems that the validation of single fields can't detect. */
 import type { Intent, Route, Service } from '@parsleymux/schema';
 import type { IAddressRules } from './targetAddress.js';
 import { findAddressProblem, isLoopbackAddress } from './targetAddress.js';
 
-/** One thing that is wrong with an intent. */
+/** A problem of an intent. */
 export interface IIntentProblem {
-  /** Where, such as "services[1].targets[0].address". */
+  /** Path of the affected field, such as "services[1].targets[0].address". */
   readonly path: string;
   readonly message: string;
 }
 
 /** Options of an {@link IntentValidator}. */
 export interface IIntentValidatorOptions {
-  /** Addresses of this fleet's nodes and of the platform now, each "IP:port". Default: none. */
+  /** Lists the current addresses of the fleet's nodes and the platform, each "IP:port". Default: none. */
   readonly listReservedAddresses?: () => readonly string[];
 }
 
 /**
- * Finds what is wrong with an intent.
+ * Finds the problems of an intent.
  *
  * @example
  * const problems = new IntentValidator().validate(intent);
@@ -26,7 +26,7 @@
 export class IntentValidator {
   constructor(private readonly options: IIntentValidatorOptions = {}) {}
 
-  /** Every problem found; an intent without one can be planned. */
+  /** Returns every problem found; an intent without problems can be planned. */
   validate(intent: Intent): readonly IIntentProblem[] {
     return [
       ...checkServices(intent.services),
@@ -39,7 +39,7 @@
     const reserved = this.options.listReservedAddresses?.() ?? [];
     return {
       reserved: new Set(reserved),
-      // Where nodes have addresses of their own, loopback leads to a node's private ports.
+      // If nodes don't use loopback addresses, loopback leads to a node's private ports.
       isLoopbackAllowed: reserved.every(isLoopbackAddress),
     };
   }
@@ -48,7 +48,7 @@
 function checkServices(services: readonly Service[]): IIntentProblem[] {
   const problems = findDuplicates(services, (service) => service.name, 'services', 'name');
   services.forEach((service, index) => {
-    // What drains is left to the plan, which refuses with the arithmetic.
+    // Draining targets count here; the plan checks them and rejects with the arithmetic.
     const slots = service.targets.reduce((sum, target) => sum + target.slots, 0);
     if (service.floorSlots <= slots) return;
     problems.push({
@@ -68,8 +68,8 @@
   services.forEach((service, serviceIndex) => {
     service.targets.forEach((target, index) => {
       const path = `services[${serviceIndex}].targets[${index}].address`;
-      const wrong = findAddressProblem(target.address, rules);
-      if (wrong !== undefined) problems.push({ path, message: `${target.address} ${wrong}` });
+      const problem = findAddressProblem(target.address, rules);
+      if (problem !== undefined) problems.push({ path, message: `${target.address} ${problem}` });
       if (seen.has(target.address)) {
         problems.push({ path, message: `${target.address} is listed twice` });
       }
@@ -110,21 +110,24 @@
 }
 
 /**
- * Two routes that match the same requests would make the choice depend on their order. One look-up
- * for each method: comparing every pair took seconds for an intent made to that end.
+ * Finds routes that match the same requests, for which the choice would depend on their order. Each
+ * method of a route takes one look-up: comparing every pair of routes would let a crafted intent
+ * occupy the process for seconds.
  */
 function findAmbiguousRoutes(routes: readonly Route[]): readonly IIntentProblem[] {
   const seen = new Map<string, string>();
   const problems: IIntentProblem[] = [];
   routes.forEach((route, index) => {
     const methods = route.methods.length === 0 ? ['every method'] : route.methods;
-    const places = methods.map((method) => `${method} ${route.host} ${route.pathPrefix}`);
-    const rival = places.map((place) => seen.get(place)).find((name) => name !== undefined);
-    if (rival !== undefined) {
-      const message = `it matches the same requests as route "${rival}"`;
+    const patterns = methods.map((method) => `${method} ${route.host} ${route.pathPrefix}`);
+    const conflicting = patterns
+      .map((pattern) => seen.get(pattern))
+      .find((name) => name !== undefined);
+    if (conflicting !== undefined) {
+      const message = `it matches the same requests as route "${conflicting}"`;
       problems.push({ path: `routes[${index}]`, message });
     }
-    for (const place of places) seen.set(place, route.name);
+    for (const pattern of patterns) seen.set(pattern, route.name);
   });
   return problems;
 }
--- a/packages/config/src/layout/common/auditRow.ts
+++ b/packages/config/src/layout/common/auditRow.ts
@@ -1,23 +1,23 @@
-/** One line of the audit log: who did what to which member's things, and what came of it. */
+/** Entries of the audit log, each of which records one operation of an operator and its result. */
 
 /** An entry of the audit log. */
 export interface IAuditEntry {
   readonly atMs: number;
-  /** The operator, as its key's identifier, or "anonymous". */
+  /** Identifier of the operator's key, or "anonymous". */
   readonly operator: string;
-  /** Whose things it was about. */
+  /** The member whose resources were affected. */
   readonly member: string;
-  /** What was done or tried, such as "plan.confirm". */
+  /** The attempted operation, such as "plan.confirm". */
   readonly action: string;
-  /** What it was done to, such as a plan's identifier. */
+  /** Identifier of the affected resource, such as a plan. */
   readonly subject: string;
-  /** The result code; 0 when it was done. */
+  /** The result code; 0 on success. */
   readonly code: number;
   readonly note: string;
 }
 
 /**
- * The row's text.
+ * Encodes an entry as the row's text.
  *
  * @example
  * encodeAuditEntry(entry);
@@ -27,7 +27,7 @@
 }
 
 /**
- * The entry in a row's text.
+ * Decodes the entry from a row's text.
  *
  * @example
  * decodeAuditEntry(row.value).action;
--- a/packages/config/src/layout/common/rowKeys.ts
+++ b/packages/config/src/layout/common/rowKeys.ts
@@ -1,14 +1,14 @@
 /**
  * Keys of the rows and objects that hold the configuration.
  *
- * | key | holds |
+ * | key | content |
  * | --- | --- |
- * | `head` | the newest fleet revision; the one row that every node polls |
+ * | `head` | the newest fleet revision; the only row that every node polls |
  * | `changes/REVISION` | the pointer that this fleet revision wrote; the newest {@link CHANGE_LOG_LENGTH} only |
  * | `members/MEMBER` | the pointer in force of one member |
- * | `hosts/HOST`, `targets/ADDRESS` | which member owns a host name or a target address |
+ * | `hosts/HOST`, `targets/ADDRESS` | the member that owns a host name or a target address |
  * | `plans/MEMBER/ID` | the state of a plan |
- * | `ejections/MEMBER/SERVICE` | targets that are ejected now |
+ * | `ejections/MEMBER/SERVICE` | the currently ejected targets of a service |
  * | objects `intents/MEMBER/ID`, `plans/MEMBER/ID` | a plan's intent, and the plan without it |
  */
 
@@ -19,14 +19,14 @@
 /** Prefix of the pointers in force. */
 export const MEMBER_PREFIX = 'members/';
 
-/** Changes that are kept one by one; a node further behind reads every member's pointer. */
+/** Number of changes in the change log; a node that is further behind reads every member's pointer. */
 export const CHANGE_LOG_LENGTH = 2000;
 
-/** Enough digits for every safe integer, so that keys sort as their numbers do. */
+/** Enough digits for every safe integer, so that keys sort by their number. */
 const REVISION_DIGITS = 16;
 
 /**
- * Key of the change that made a fleet revision.
+ * Key of the change that created a fleet revision.
  *
  * @example
  * formatChangeKey(12); // 'changes/0000000000000012'
@@ -46,7 +46,7 @@
 }
 
 /**
- * Key of the row that says who owns a host name.
+ * Key of the row with the owner of a host name.
  *
  * @example
  * formatHostKey('booking.example'); // 'hosts/booking.example'
@@ -56,7 +56,7 @@
 }
 
 /**
- * Key of the row that says who owns a target address.
+ * Key of the row with the owner of a target address.
  *
  * @example
  * formatTargetKey('127.0.0.1:9001'); // 'targets/127.0.0.1:9001'
@@ -105,7 +105,7 @@
   return `ejections/${member}/${service}`;
 }
 
-/** Prefix of the audit log; `audit/MEMBER/INSTANT-ID` holds one entry. */
+/** Prefix of the audit log; `audit/MEMBER/TIMESTAMP-ID` is the key of one entry. */
 export const AUDIT_PREFIX = 'audit/';
 
 /**
--- a/packages/config/src/layout/common/rows.ts
+++ b/packages/config/src/layout/common/rows.ts
@@ -4,14 +4,14 @@
 import { HeadSchema, MemberPointerSchema } from '@parsleymux/schema';
 import type { ITableRow } from '@parsleymux/store';
 
-/** Who owns a host name or a target address. */
+/** The owner of a host name or a target address. */
 export interface IOwnerRow {
   readonly member: string;
-  /** For a target: the wall time, in ms, at which a plan last made it serve; 0 with its service. */
+  /** Of a target: wall time in ms at which a plan last put it into service; 0 if added with its service. */
   readonly servesSinceMs?: number;
 }
 
-/** The state of a plan. The plan itself is an object, for it can be large. */
+/** The state of a plan. The plan itself is stored as an object, because it can be large. */
 export interface IPlanRow {
   readonly state: PlanState;
   readonly baseMemberRevision: number;
@@ -20,7 +20,7 @@
   readonly confirmedFleetRevision: number;
 }
 
-/** One ejected target. */
+/** An ejected target. */
 export interface IEjectedTarget {
   readonly target: string;
   /** Peer address of the node that ejected it. */
@@ -28,18 +28,18 @@
   readonly sinceMs: number;
 }
 
-/** Targets of a service that are ejected now. */
+/** The currently ejected targets of a service. */
 export interface IEjectionRow {
   readonly ejected: readonly IEjectedTarget[];
   /**
-   * The member's revision of the last plan that changed the service's capacity. A node whose
-   * configuration is older must not eject: it would reckon with targets that the plan took away.
-   * Whoever rewrites the row keeps this value.
+   * The member's revision of the last plan that changed the service's capacity. A node with an older
+   * configuration must not eject: its capacity would include targets that the plan removed. Every
+   * write of the row must preserve this value.
    */
   readonly memberRevision?: number;
 }
 
-/** Rows by key, as one read returned them. */
+/** Rows by key. */
 export type RowMap = ReadonlyMap<string, ITableRow>;
 
 /**
@@ -53,7 +53,7 @@
 }
 
 /**
- * The fleet revision in the head row; 0 when there is no row yet.
+ * Decodes the fleet revision of the head row; 0 when there is no row yet.
  *
  * @example
  * decodeHead(rows.get(HEAD_KEY));
@@ -63,7 +63,7 @@
 }
 
 /**
- * The head row's text.
+ * Encodes the head row's text.
  *
  * @example
  * encodeHead(12);
@@ -73,7 +73,7 @@
 }
 
 /**
- * A member's pointer, or undefined when the member has no configuration.
+ * Decodes a member's pointer; undefined when the member has no configuration.
  *
  * @example
  * decodePointer(rows.get(formatMemberKey('dobrescu')));
@@ -83,7 +83,7 @@
 }
 
 /**
- * The text of a member's pointer.
+ * Encodes the text of a member's pointer.
  *
  * @example
  * encodePointer(create(MemberPointerSchema, { member: 'dobrescu' }));
@@ -93,7 +93,7 @@
 }
 
 /**
- * A plan's state, or undefined when there is no such plan.
+ * Decodes a plan's state; undefined when there is no such plan.
  *
  * @example
  * decodePlanRow(rows.get(formatPlanKey('dobrescu', 'p1')));
@@ -103,7 +103,7 @@
 }
 
 /**
- * The text of a plan's row.
+ * Encodes the text of a plan's row.
  *
  * @example
  * encodePlanRow({ state: PlanState.PROPOSED, baseMemberRevision: 0, createdAtMs: 0, confirmedFleetRevision: 0 });
@@ -113,7 +113,7 @@
 }
 
 /**
- * The owner of a host name or target address, or undefined when it is free.
+ * Decodes the owner of a host name or target address; undefined when it has no owner.
  *
  * @example
  * decodeOwner(rows.get(formatHostKey('booking.example')))?.member;
@@ -123,7 +123,7 @@
 }
 
 /**
- * The text of an owner's row.
+ * Encodes the text of an owner's row.
  *
  * @example
  * encodeOwner({ member: 'dobrescu' });
@@ -133,7 +133,7 @@
 }
 
 /**
- * A service's ejections; none when there is no row.
+ * Decodes a service's ejections; none when there is no row.
  *
  * @example
  * decodeEjections(rows.get(formatEjectionKey('dobrescu', 'booking'))).ejected;
@@ -143,7 +143,7 @@
 }
 
 /**
- * The text of a service's ejections.
+ * Encodes the text of a service's ejections.
  *
  * @example
  * encodeEjections({ ejected: [], memberRevision: 3 });
--- a/packages/config/src/metrics/common/configMetrics.ts
+++ b/packages/config/src/metrics/common/configMetrics.ts
@@ -1,10 +1,10 @@
-/** Metrics of the distribution of configuration; docs/OPERATIONS.md says how to act on them. */
+/** Metrics of the distribution of configuration; docs/OPERATIONS.md describes how to respond to them. */
 import type { Registry } from 'prom-client';
 import { Gauge } from 'prom-client';
 import type { ConfigDistributor } from '../../distribution/common/configDistributor.js';
 
 /**
- * Adds the distributor's metrics to a registry. They are read when they are collected.
+ * Registers the distributor's metrics. Their values are read on collection.
  *
  * @example
  * registerConfigMetrics(registry, distributor);
@@ -23,7 +23,7 @@
   add('parsleymux_config_revision', 'Fleet revision that is applied.', () => {
     return distributor.getCurrent().fleetRevision;
   });
-  add('parsleymux_config_isolated', '1 when neither store nor peers answer.', () => {
+  add('parsleymux_config_isolated', '1 when neither store nor peers respond.', () => {
     return distributor.isIsolated() ? 1 : 0;
   });
   add('parsleymux_config_dropped_total', 'Older configurations that were dropped.', () => {
--- a/packages/config/src/plans/common/capacity.ts
+++ b/packages/config/src/plans/common/capacity.ts
@@ -1,41 +1,43 @@
 /**
- * Serving slots of a service before, during and after a plan, against its floor.
+ * Computes the serving slots of each service before, during and after a plan, and checks them
+ * against the service's floor.
  *
- * How targets count: a serving target counts with its slots; a draining one, one with an
- * instant to leave, and an ejected one count as gone; a target that the plan adds is cold and
- * counts only after the plan, not during it; one that an earlier plan added a moment ago is cold
- * still, so that two plans in a row can't do what one may not.
+ * A serving target counts with its slots. A draining target, a target with a scheduled leave time
+ * and an ejected target don't count. A target that the plan adds is cold (not warmed up yet) and
+ * counts only after the plan, not during it. A target that an earlier plan added is cold until its
+ * warm-up time has passed, so that two consecutive plans can't do what one plan may not.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Intent, Service, ServiceCapacity, Target } from '@parsleymux/schema';
 import { ServiceCapacitySchema, TargetState } from '@parsleymux/schema';
 
-/** Addresses of the ejected targets of each service. */
+/** Addresses of the ejected targets, by service name. */
 export type EjectedTargets = ReadonlyMap<string, ReadonlySet<string>>;
 
-/** What capacity is reckoned from. */
+/** Input of the capacity computation. */
 export interface ICapacityInput {
   /** The intent in force. */
   readonly before: Intent | undefined;
   readonly after: Intent;
   readonly ejected: EjectedTargets;
-  /** Addresses of targets in force that began to serve a moment ago. */
+  /** Addresses of targets in force that are still warming up. */
   readonly warmingUp: ReadonlySet<string>;
 }
 
-/** A service's capacity and how it came about. */
+/** A service's capacity, the floor check and the arithmetic behind both. */
 export interface ICapacityResult {
   readonly capacity: ServiceCapacity;
-  /** The plan must not be confirmed: it would leave less than the floor. */
+  /** The plan would leave fewer slots than the floor and must not be confirmed. */
   readonly isFloorViolated: boolean;
-  /** Below the floor already, and the plan makes it no worse. */
+  /** The service is below its floor already, and the plan does not reduce its capacity further. */
   readonly isRepair: boolean;
   readonly arithmetic: string;
 }
 
 /**
- * Whether a target is draining or is to leave. One that leaves at an instant counts as gone from
- * the plan on: were it counted until then, an ejection shortly before would break the floor.
+ * Whether a target is draining or has a scheduled leave time. A target that leaves at a later
+ * instant stops counting as soon as the plan is in force: if it counted until then, an ejection
+ * shortly before that instant would break the floor.
  *
  * @example
  * const serving = service.targets.filter((target) => !isLeaving(target));
@@ -45,7 +47,7 @@
 }
 
 /**
- * Slots of the targets that serve and are not ejected.
+ * Total slots of the targets that serve and are not ejected.
  *
  * @example
  * computeServingSlots(service, new Set(['127.0.0.1:9001']));
@@ -55,7 +57,7 @@
 }
 
 /**
- * The capacity of each service that `after` names or that `before` named.
+ * The capacity of each service in either intent.
  *
  * @example
  * const findings = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
@@ -71,8 +73,8 @@
 }
 
 /**
- * Serving targets of the services that a plan takes capacity from; only for those does it matter
- * which are cold.
+ * Addresses of the serving targets of each service whose capacity a plan reduces. Whether a target
+ * is cold matters only for these services.
  *
  * @example
  * const addresses = listTargetsOfShrinking(before, after);
@@ -100,24 +102,25 @@
   const ejected = input.ejected.get(name) ?? new Set<string>();
   const oldTargets = before === undefined ? [] : listServing(before, ejected);
   const newTargets = after === undefined ? [] : listServing(after, ejected);
-  const kept = listRetained(oldTargets, newTargets);
+  const retained = listRetained(oldTargets, newTargets);
   const isWarm = (target: Target) => !input.warmingUp.has(target.address);
   const capacity = create(ServiceCapacitySchema, {
     service: name,
     floorSlots: after?.floorSlots ?? 0,
     beforeSlots: countSlots(oldTargets.filter(isWarm)),
-    duringSlots: countSlots(kept.filter(isWarm)),
+    duringSlots: countSlots(retained.filter(isWarm)),
     afterSlots: countSlots(newTargets),
   });
-  const isKept = countSlots(kept) >= Math.min(capacity.floorSlots, countSlots(oldTargets));
-  const isRepair = isKept && checkRepair(capacity, before);
+  const isFloorRetained =
+    countSlots(retained) >= Math.min(capacity.floorSlots, countSlots(oldTargets));
+  const isRepair = isFloorRetained && checkRepair(capacity, before);
   const isFloorViolated = !isRepair && checkFloorViolation(capacity, before, after);
   const coldCount = oldTargets.filter((target) => !isWarm(target)).length;
   const arithmetic = describeArithmetic(capacity, ejected.size, coldCount);
   return { capacity, isRepair, isFloorViolated: isFloorViolated, arithmetic };
 }
 
-/** During the change the lower of both floors holds: a raised floor can wait for its new targets. */
+/** During the change the lower of both floors applies: a raised floor needs its new targets first. */
 function checkFloorViolation(
   capacity: ServiceCapacity,
   before: Service | undefined,
@@ -125,14 +128,14 @@
 ): boolean {
   if (after === undefined) return false;
   if (capacity.afterSlots < after.floorSlots) return true;
-  // A new service has no callers yet, so there is nothing that its cold targets could fail.
+  // A new service has no callers yet, so its cold targets can't fail any requests.
   if (before === undefined) return false;
   return capacity.duringSlots < Math.min(before.floorSlots, after.floorSlots);
 }
 
 /**
- * Without this, a service that fell below its floor could not be given more targets. What is
- * cold may not be taken away on this ground either, down to the floor.
+ * Allows plans that add targets to a service that is below its floor, which could not recover
+ * otherwise. Such a plan may not remove cold targets that the floor needs either.
  */
 function checkRepair(capacity: ServiceCapacity, before: Service | undefined): boolean {
   if (before === undefined || capacity.beforeSlots >= before.floorSlots) return false;
@@ -146,7 +149,7 @@
   return service.targets.filter((target) => !isDraining(target) && !ejected.has(target.address));
 }
 
-/** Targets that serve before and after, with the lower of both slot counts. */
+/** Targets that serve before and after the plan, each with the lower of its two slot counts. */
 function listRetained(before: readonly Target[], after: readonly Target[]): readonly Target[] {
   const old = new Map(before.map((target) => [target.address, target]));
   return after.flatMap((target) => {
--- a/packages/config/src/plans/common/changes.ts
+++ b/packages/config/src/plans/common/changes.ts
@@ -1,4 +1,4 @@
-/** The exact differences between two intents. */
+/** Computes the exact differences between two intents. */
 import type { DescMessage, MessageShape } from '@bufbuild/protobuf';
 import { clone, create, toJsonString } from '@bufbuild/protobuf';
 import type { Change, Intent, Service } from '@parsleymux/schema';
@@ -10,11 +10,11 @@
   TargetSchema,
 } from '@parsleymux/schema';
 
-/** Items of one kind under their names, written as JSON. */
+/** JSON text of the items of one kind, by name. */
 type JsonByName = ReadonlyMap<string, string>;
 
 /**
- * What differs between the intent in force and the one that is wanted.
+ * The changes that lead from the intent in force to the proposed intent.
  *
  * @example
  * computeChanges(undefined, intent).length;
--- a/packages/config/src/plans/common/concurrentPlans.test.ts
+++ b/packages/config/src/plans/common/concurrentPlans.test.ts
@@ -22,7 +22,7 @@
 const MEMBERS = ['dobrescu', 'donautal', 'third-firm'];
 const CONTESTED_HOST = 'desk.example';
 const CONTESTED_TARGET = '127.0.0.99:9001';
-const LOSING_CODES: readonly number[] = [
+const CONFLICT_CODES: readonly number[] = [
   ResultCode.HostTaken,
   ResultCode.TargetAddressTaken,
   ResultCode.PlanStale,
@@ -30,13 +30,14 @@
 
 interface IRace {
   readonly seed: number;
+  /** Share of lost responses, in percent. */
   readonly lostPercent: number;
   readonly staleness: number;
-  /** For each operator: its member, and what its intent contests. */
+  /** For each operator: the index of its member and the contested resources in its intent. */
   readonly operators: readonly {
     readonly member: number;
-    readonly wantsHost: boolean;
-    readonly wantsTarget: boolean;
+    readonly hasContestedHost: boolean;
+    readonly hasContestedTarget: boolean;
   }[];
 }
 
@@ -47,8 +48,8 @@
   operators: fc.array(
     fc.record({
       member: fc.integer({ min: 0, max: MEMBERS.length - 1 }),
-      wantsHost: fc.boolean(),
-      wantsTarget: fc.boolean(),
+      hasContestedHost: fc.boolean(),
+      hasContestedTarget: fc.boolean(),
     }),
     { minLength: 2, maxLength: 6 },
   ),
@@ -56,11 +57,13 @@
 
 function createIntent(race: IRace, index: number): Intent {
   const operator = race.operators[index]!;
-  const own = `127.0.${operator.member + 1}.${index + 1}:9001`;
-  const common = `127.0.${operator.member + 1}.200:9001`;
+  const ownTarget = `127.0.${operator.member + 1}.${index + 1}:9001`;
+  const sharedTarget = `127.0.${operator.member + 1}.200:9001`;
   return createTestIntent(MEMBERS[operator.member]!, {
-    host: operator.wantsHost ? CONTESTED_HOST : `host-${index}.example`,
-    targets: operator.wantsTarget ? [common, CONTESTED_TARGET] : [common, own],
+    host: operator.hasContestedHost ? CONTESTED_HOST : `host-${index}.example`,
+    targets: operator.hasContestedTarget
+      ? [sharedTarget, CONTESTED_TARGET]
+      : [sharedTarget, ownTarget],
     note: `operator ${index}`,
   });
 }
@@ -91,7 +94,7 @@
       return { revision: Number(plan.confirmedFleetRevision) };
     } catch (error) {
       assert.ok(error instanceof MuxError, String(error));
-      // What an operator does who is told that the store can't be reached: ask again.
+      // An operator repeats the request if the store is unavailable.
       if (error.code === ResultCode.StoreUnavailable) return confirm(index);
       return { error };
     }
@@ -103,60 +106,63 @@
 }
 
 /*
- * Symptom: two members both have a host name or a target, or an operator is told the wrong thing.
- * Sequence: rivals confirm plans for the same host, address or base revision at the same moment,
- * while answers are lost after their writes took effect and reads come from lagging copies.
- * Cause: deciding on rows that are not conditions of the one transaction that writes.
+ * Guards against two owners of a host name or a target, and against wrong results for operators.
+ * Competing plans for the same host, address or base revision are confirmed concurrently, while
+ * responses are lost after their writes took effect and reads are served by lagging replicas. A
+ * decision on rows that are not conditions of the writing transaction would be wrong.
  */
-test('of rivals that race for a host, a target or a revision, exactly one wins each', async () => {
+test('of concurrent plans for the same host, target or base revision, only one is confirmed', async () => {
   await fc.assert(
     fc.asyncProperty(races, async (race) => {
       const { rows, outcomes, repeated } = await runRace(race);
-      const winners = race.operators.flatMap((operator, index) => {
+      const confirmed = race.operators.flatMap((operator, index) => {
         const outcome = outcomes[index]!;
         return 'revision' in outcome ? [{ ...operator, index, revision: outcome.revision }] : [];
       });
-      const revisions = winners.map((winner) => winner.revision).sort((a, b) => a - b);
+      const revisions = confirmed.map((plan) => plan.revision).sort((a, b) => a - b);
       assert.deepEqual(
         revisions,
         revisions.map((_, index) => index + 1),
-        'each confirmation has a revision of its own',
+        'each confirmation has a separate revision',
       );
-      assert.equal(decodeHead(rows.get(HEAD_KEY)), winners.length);
-      const members = winners.map((winner) => winner.member);
-      assert.equal(new Set(members).size, members.length, 'one plan from one base revision');
+      assert.equal(decodeHead(rows.get(HEAD_KEY)), confirmed.length);
+      const members = confirmed.map((plan) => plan.member);
+      assert.equal(new Set(members).size, members.length, 'one confirmed plan per base revision');
       const changes = [...rows.keys()].filter((key) => key.startsWith(CHANGE_PREFIX));
-      assert.equal(changes.length, winners.length);
-      for (const winner of winners) {
-        const pointer = decodePointer(rows.get(formatMemberKey(MEMBERS[winner.member]!)));
-        assert.equal(Number(pointer?.fleetRevision), winner.revision);
+      assert.equal(changes.length, confirmed.length);
+      for (const plan of confirmed) {
+        const pointer = decodePointer(rows.get(formatMemberKey(MEMBERS[plan.member]!)));
+        assert.equal(Number(pointer?.fleetRevision), plan.revision);
       }
-      const ownsHost = winners.filter((winner) => winner.wantsHost);
-      const ownsTarget = winners.filter((winner) => winner.wantsTarget);
-      assert.ok(ownsHost.length <= 1 && ownsTarget.length <= 1);
-      assert.equal(decodeOwner(rows.get(formatHostKey(CONTESTED_HOST)))?.member, getName(ownsHost));
+      const hostOwners = confirmed.filter((plan) => plan.hasContestedHost);
+      const targetOwners = confirmed.filter((plan) => plan.hasContestedTarget);
+      assert.ok(hostOwners.length <= 1 && targetOwners.length <= 1);
+      assert.equal(
+        decodeOwner(rows.get(formatHostKey(CONTESTED_HOST)))?.member,
+        getName(hostOwners),
+      );
       assert.equal(
         decodeOwner(rows.get(formatTargetKey(CONTESTED_TARGET)))?.member,
-        getName(ownsTarget),
+        getName(targetOwners),
       );
-      assert.ok(winners.length > 0, 'somebody wins');
+      assert.ok(confirmed.length > 0, 'at least one plan is confirmed');
       assert.deepEqual(repeated.map(describeOutcome), outcomes.map(describeOutcome));
     }),
     { seed: 11, numRuns: RUNS },
   );
 });
 
-test('whoever loses a race learns nothing of the winner', async () => {
+test('the error of a rejected plan discloses nothing about the competing member', async () => {
   await fc.assert(
     fc.asyncProperty(races, async (race) => {
       const { outcomes, plans } = await runRace(race);
       outcomes.forEach((outcome, index) => {
         if ('revision' in outcome) return;
-        const own = race.operators[index]!.member;
-        assert.ok(LOSING_CODES.includes(outcome.error.code), outcome.error.message);
+        const ownMember = race.operators[index]!.member;
+        assert.ok(CONFLICT_CODES.includes(outcome.error.code), outcome.error.message);
         const shown = `${outcome.error.message} ${JSON.stringify(outcome.error)}`;
         const foreign = plans
-          .filter((plan) => plan.member !== MEMBERS[own])
+          .filter((plan) => plan.member !== MEMBERS[ownMember])
           .flatMap((plan) => [plan.member, plan.id, plan.intent?.note ?? '']);
         for (const word of foreign) assert.ok(!shown.includes(word), `${shown} has ${word}`);
       });
@@ -165,11 +171,11 @@
   );
 });
 
-function getName(winners: readonly { readonly member: number }[]): string | undefined {
-  return winners[0] === undefined ? undefined : MEMBERS[winners[0].member];
+function getName(confirmed: readonly { readonly member: number }[]): string | undefined {
+  return confirmed[0] === undefined ? undefined : MEMBERS[confirmed[0].member];
 }
 
 function describeOutcome(outcome: Outcome): string {
-  // A loser may be told another reason later: its member's revision can have moved on since.
-  return 'revision' in outcome ? `revision ${outcome.revision}` : 'lost';
+  // A repeated rejection may have another reason, because the member's revision can have changed.
+  return 'revision' in outcome ? `revision ${outcome.revision}` : 'rejected';
 }
--- a/packages/config/src/plans/common/confirmTransaction.ts
+++ b/packages/config/src/plans/common/confirmTransaction.ts
@@ -1,4 +1,4 @@
-/** The one transaction that confirms a plan. */
+/** Builds the transaction that confirms a plan. */
 import type { ITableCondition, ITableRow, ITableTransaction, ITableWrite } from '@parsleymux/store';
 import type { Intent, Service } from '@parsleymux/schema';
 import { MemberPointerSchema, PlanState } from '@parsleymux/schema';
@@ -29,7 +29,7 @@
 } from '../../layout/common/rows.js';
 import { isDraining } from './capacity.js';
 
-/** Host names and target addresses that a plan takes and gives up. */
+/** Host names and target addresses that a plan claims and releases. */
 export interface IOwnershipChange {
   readonly addedHosts: readonly string[];
   readonly removedHosts: readonly string[];
@@ -37,7 +37,7 @@
   readonly removedTargets: readonly string[];
 }
 
-/** What the transaction is made from. */
+/** Input of the confirming transaction. */
 export interface IConfirmInput {
   readonly member: string;
   readonly planId: string;
@@ -49,14 +49,14 @@
   readonly audit: IAuditEntry;
 }
 
-/** The transaction, and the plan's row as it will be. */
+/** The transaction, and the plan's row as the transaction writes it. */
 export interface IConfirmTransaction {
   readonly transaction: ITableTransaction;
   readonly confirmed: IPlanRow;
 }
 
 /**
- * Which host names and addresses change hands.
+ * The host names and target addresses that differ between two intents.
  *
  * @example
  * const { addedHosts } = compareOwnership(undefined, intent);
@@ -75,7 +75,7 @@
 }
 
 /**
- * Keys of the rows that the decision to confirm rests on.
+ * Keys of the rows that the decision to confirm depends on.
  *
  * @example
  * const rows = toRowMap(await table.read(listConfirmKeys('dobrescu', 'p1', before, after)));
@@ -109,9 +109,9 @@
 }
 
 /**
- * The transaction: conditional on every row that was read, so that whatever changed since then,
- * be it a rival's claim on a host name, an ejection, or the same plan confirmed through another
- * node, makes it fail as a whole.
+ * The transaction that confirms a plan. It is conditional on every row that was read, so that it
+ * fails as a whole if any of them has changed, such as by another member's claim on a host name, an
+ * ejection, or a confirmation of the same plan through another node.
  *
  * @example
  * const result = await table.transact(makeConfirmTransaction(input).transaction);
@@ -131,7 +131,7 @@
 }
 
 /**
- * Requires a row to be as it was read.
+ * The condition that a row still has the version that was read.
  *
  * @example
  * makeCondition('head', rows.get('head'));
@@ -164,20 +164,20 @@
   ];
 }
 
-/** Targets that begin to serve with this plan, and those that it adds without that. */
+/** Owner rows of the targets that the plan adds and of those that it returns to service. */
 function makeTargetWrites(input: IConfirmInput): readonly ITableWrite[] {
   const { member, nowMs } = input;
   const oldServices = new Set(input.before?.services.map((service) => service.name));
-  const known = new Map(
+  const oldTargets = new Map(
     input.before?.services.flatMap((service) =>
       service.targets.map((target) => [target.address, target] as const),
     ),
   );
   return input.after.services.flatMap((service) => {
-    // A new service has no capacity yet that its first targets could be cold beside.
+    // The first targets of a new service count as warm: there is no capacity that they replace.
     const servesSinceMs = oldServices.has(service.name) ? nowMs : 0;
     return service.targets.flatMap((target) => {
-      const former = known.get(target.address);
+      const former = oldTargets.get(target.address);
       const hasReturned = former !== undefined && isDraining(former) && !isDraining(target);
       if (former !== undefined && !hasReturned) return [];
       const value = encodeOwner({ member, servesSinceMs });
@@ -201,29 +201,30 @@
 }
 
 /**
- * Rewrites the ejections of every service. A node that ejects on the configuration before this
- * one would add its target to capacity that the plan has just spent; the new version makes its
- * conditional write fail, and the member's revision in the row tells it that it is behind.
+ * Rewrites the ejection row of every service. A node that still uses the previous configuration
+ * could otherwise eject a target although the plan has used up the capacity above the floor. The
+ * row's new version makes that node's conditional write fail, and the member revision in the row
+ * shows that the node's configuration is outdated.
  */
 function makeEjectionWrites(input: IConfirmInput): readonly ITableWrite[] {
   const memberRevision = input.planRow.baseMemberRevision + 1;
   return listServiceNames(input.before, input.after).map((service) => {
     const key = formatEjectionKey(input.member, service);
-    const kept = input.after.services.find((candidate) => candidate.name === service);
-    const targets = new Set(kept?.targets.map((target) => target.address));
+    const remaining = input.after.services.find((candidate) => candidate.name === service);
+    const targets = new Set(remaining?.targets.map((target) => target.address));
     const ejected = decodeEjections(input.rows.get(key)).ejected.filter((entry) => {
       return targets.has(entry.target);
     });
-    // The row of a removed service stays: were it deleted and made again, its version would
-    // start anew, and the late write of a home that was paused meanwhile could fit by chance.
+    // The row of a removed service is kept. If it were deleted and created again, its version would
+    // restart, and a late conditional write by a home that was paused could match it by chance.
     return { key, value: encodeEjections({ ejected, memberRevision }) };
   });
 }
 
-/** Keeps the change log bounded: each confirmation drops the change that falls off its end. */
+/** Keeps the change log bounded: each confirmation removes the oldest change beyond the limit. */
 function makeLogTrim(fleetRevision: number): readonly ITableWrite[] {
-  const dropped = fleetRevision - CHANGE_LOG_LENGTH;
-  return dropped > 0 ? [{ key: formatChangeKey(dropped), value: null }] : [];
+  const expiredRevision = fleetRevision - CHANGE_LOG_LENGTH;
+  return expiredRevision > 0 ? [{ key: formatChangeKey(expiredRevision), value: null }] : [];
 }
 
 function listHosts(intent: Intent | undefined): ReadonlySet<string> {
--- a/packages/config/src/plans/common/planBuilder.ts
+++ b/packages/config/src/plans/common/planBuilder.ts
@@ -1,4 +1,4 @@
-/** Works out what confirming an intent will do. */
+/** Computes what confirming an intent will change. */
 import { create } from '@bufbuild/protobuf';
 import type { Change, Plan, Service } from '@parsleymux/schema';
 import { ChangeKind, PlanSchema, PlanState } from '@parsleymux/schema';
@@ -7,7 +7,7 @@
 import { computeChanges } from './changes.js';
 import { createFloorError } from './planErrors.js';
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface IPlanInput extends ICapacityInput {
   readonly id: string;
   readonly operator: string;
@@ -17,36 +17,36 @@
 }
 
 /**
- * Builds plans, refusing those that would break a floor.
+ * Builds plans and rejects those that would break a floor.
  *
  * @example
  * const plan = new PlanBuilder().build(input);
  */
 export class PlanBuilder {
-  /** The plan without its intent. Throws FloorWouldBreak with the arithmetic. */
+  /** Builds the plan without its intent. Throws FloorWouldBreak with the arithmetic. */
   build(input: IPlanInput): Plan {
-    const findings = this.check(input);
+    const results = this.check(input);
     const changes = computeChanges(input.before, input.after);
     return create(PlanSchema, {
       id: input.id,
       member: input.after.member,
       baseMemberRevision: BigInt(input.baseMemberRevision),
       changes: [...changes],
-      capacity: findings.map((finding) => finding.capacity),
+      capacity: results.map((result) => result.capacity),
       steps: [...describeSteps(changes, input.baseMemberRevision)],
-      warnings: [...describeWarnings(input, findings)],
+      warnings: [...describeWarnings(input, results)],
       state: PlanState.PROPOSED,
       createdAtMs: BigInt(input.nowMs),
       operator: input.operator,
     });
   }
 
-  /** The capacity of every service. Throws FloorWouldBreak with the arithmetic. */
+  /** Returns the capacity of every service. Throws FloorWouldBreak with the arithmetic. */
   check(input: ICapacityInput): readonly ICapacityResult[] {
-    const findings = computeCapacity(input);
-    const broken = findings.filter((finding) => finding.isFloorViolated);
-    if (broken.length > 0) throw createFloorError(broken.map((finding) => finding.arithmetic));
-    return findings;
+    const results = computeCapacity(input);
+    const violated = results.filter((result) => result.isFloorViolated);
+    if (violated.length > 0) throw createFloorError(violated.map((result) => result.arithmetic));
+    return results;
   }
 }
 
@@ -63,11 +63,11 @@
 
 function describeWarnings(
   input: IPlanInput,
-  findings: readonly ICapacityResult[],
+  results: readonly ICapacityResult[],
 ): readonly string[] {
-  const warnings = findings
-    .filter((finding) => finding.isRepair)
-    .map((finding) => `below the floor already: ${finding.arithmetic}`);
+  const warnings = results
+    .filter((result) => result.isRepair)
+    .map((result) => `below the floor already: ${result.arithmetic}`);
   const routed = new Set(input.after.routes.map((route) => route.service));
   for (const service of input.after.services) {
     warnings.push(...describeServiceWarnings(service, input));
--- a/packages/config/src/plans/common/planErrors.ts
+++ b/packages/config/src/plans/common/planErrors.ts
@@ -1,4 +1,4 @@
-/** The refusals of intents and plans, worded so that they name only the operator's own things. */
+/** Errors of rejected intents and plans. Their messages name only resources of the operator's member. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IIntentProblem } from '../../intents/common/intentValidator.js';
 
@@ -10,7 +10,7 @@
 }
 
 /**
- * The intent can't be planned.
+ * The intent is invalid.
  *
  * @example
  * throw createMalformedIntentError([{ path: 'member', message: 'is missing' }]);
@@ -24,7 +24,7 @@
 }
 
 /**
- * There is no such plan of this member.
+ * The member has no plan with this identifier.
  *
  * @example
  * throw createPlanNotFoundError('p1');
@@ -47,7 +47,7 @@
 }
 
 /**
- * The plan was confirmed or discarded before.
+ * The plan was confirmed or discarded already.
  *
  * @example
  * throw createPlanDecidedError('p1', 'discarded');
@@ -70,7 +70,7 @@
 }
 
 /**
- * Another member has the host name. Who it is stays untold.
+ * The host name belongs to another member, which the message does not disclose.
  *
  * @example
  * throw createHostTakenError('booking.example');
@@ -80,7 +80,7 @@
 }
 
 /**
- * Another member has the target address. Who it is stays untold.
+ * The target address belongs to another member, which the message does not disclose.
  *
  * @example
  * throw createTargetTakenError('127.0.0.1:9001');
@@ -90,8 +90,8 @@
 }
 
 /**
- * The platform's service gave no usable answer. When the change may have been made all the
- * same, the message says so: asking again is harmless and settles it.
+ * The platform's store returned no usable response. If the change may have been made nevertheless,
+ * the message says so: repeating the request is safe and settles the outcome.
  *
  * @example
  * throw createStoreError(false, error);
--- a/packages/config/src/plans/common/planLimits.ts
+++ b/packages/config/src/plans/common/planLimits.ts
@@ -1,4 +1,4 @@
-/** Keeps the number of a member's plan rows bounded. */
+/** Bounds the number of a member's plan rows. */
 import { MS_PER_DAY, MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { ITableRow, ITableWrite, TableService } from '@parsleymux/store';
 import { PlanState } from '@parsleymux/schema';
@@ -6,19 +6,19 @@
 import type { IPlanRow } from '../../layout/common/rows.js';
 import { decodePlanRow } from '../../layout/common/rows.js';
 
-/** Open plans that a member may have. */
+/** Maximum number of open plans of a member. */
 export const MAX_OPEN_PLANS = 50;
-/** A plan that nobody confirmed for this long is dropped. */
+/** An open plan that is not confirmed within this time is removed. */
 export const OPEN_PLAN_LIFETIME_MS = MS_PER_DAY;
-/** Longer than anyone repeats a confirmation whose answer was lost. */
+/** Longer than any client repeats a confirmation whose response was lost. */
 export const DECIDED_PLAN_LIFETIME_MS = 30 * MS_PER_DAY;
 
 const SCAN_LIMIT = 1000;
 const MAX_REMOVED_ROWS = 100;
 
 /**
- * Removes rows of plans that are of no more use, and counts the open ones.
- * Throws LimitExceeded when the member has too many.
+ * Removes the rows of expired plans and counts the open plans.
+ * Throws LimitExceeded when the member has too many open plans.
  *
  * @example
  * await checkOpenPlans(table, 'dobrescu', clock.getWallTime(), signal);
@@ -38,7 +38,7 @@
   throw new MuxError({ code: ResultCode.LimitExceeded, message, runState: RunState.NotRun });
 }
 
-/** On the condition that nothing happened to them since, so that no plan is lost in mid-decision. */
+/** Removes only rows that are unchanged since the read, so that no plan is lost while it is decided. */
 async function removeRows(
   table: TableService,
   rows: readonly ITableRow[],
--- a/packages/config/src/plans/common/planRefusals.ts
+++ b/packages/config/src/plans/common/planRefusals.ts
@@ -1,4 +1,4 @@
-/** Why a plan may not be confirmed on the rows as they were read. */
+/** Finds the reason why the rows that were read don't allow a plan to be confirmed. */
 import { MuxError } from '@parsleymux/base';
 import type { Intent } from '@parsleymux/schema';
 import { PlanState } from '@parsleymux/schema';
@@ -23,36 +23,36 @@
 } from './planErrors.js';
 import type { IIntentInForce } from './planRepository.js';
 
-/** A refusal and the rows that it rests on. */
+/** A refusal and the keys of the rows that it depends on. */
 export interface IPlanRefusal {
   readonly error: MuxError;
   readonly keys: readonly string[];
 }
 
-/** What a decision is made on. */
+/** Input of the decision whether to confirm a plan. */
 export interface IDecisionInput {
   readonly member: string;
   readonly planId: string;
   readonly inForce: IIntentInForce;
   readonly after: Intent;
   readonly rows: RowMap;
-  /** Targets in force that began to serve a moment ago. */
+  /** Addresses of targets in force that are still warming up. */
   readonly warmingUp: ReadonlySet<string>;
 }
 
 /**
- * The first reason against confirming, or undefined when there is none.
+ * The first reason not to confirm the plan, or undefined when there is none.
  *
  * @example
  * const refusal = findRefusal(input, builder);
  */
 export function findRefusal(input: IDecisionInput, builder: PlanBuilder): IPlanRefusal | undefined {
   const row = decodePlanRow(input.rows.get(formatPlanKey(input.member, input.planId)));
-  const found = findStateRefusal(input, row);
+  const stateError = findStateRefusal(input, row);
   const keys = [formatPlanKey(input.member, input.planId), formatMemberKey(input.member)];
-  if (found !== undefined) return { error: found, keys };
-  const taken = findOwnershipRefusal(input);
-  if (taken !== undefined) return { error: taken.error, keys: [...keys, ...taken.keys] };
+  if (stateError !== undefined) return { error: stateError, keys };
+  const conflict = findOwnershipRefusal(input);
+  if (conflict !== undefined) return { error: conflict.error, keys: [...keys, ...conflict.keys] };
   return findFloorRefusal(input, builder, keys);
 }
 
@@ -76,7 +76,7 @@
 }
 
 /**
- * Addresses that the rows have as ejected, by service.
+ * Addresses of the targets that are ejected according to the rows, by service name.
  *
  * @example
  * const ejected = listEjected(input);
--- a/packages/config/src/plans/common/planRepository.ts
+++ b/packages/config/src/plans/common/planRepository.ts
@@ -19,7 +19,7 @@
 import { decodeOwner, decodePointer, encodePlanRow, toRowMap } from '../../layout/common/rows.js';
 import { listTargetsOfShrinkingServices } from './capacity.js';
 
-/** Time from which a target that a plan added counts as warm. */
+/** Time after which a target that a plan added counts as warm. */
 export const WARM_UP_MS = 60_000;
 
 /** A member's intent in force. */
@@ -30,25 +30,25 @@
 }
 
 /**
- * The rows that the last refused transaction of an operation returned. They are current, while a
- * read may come from a copy that lags; without them an operation could lose every attempt for as
- * long as the copy lags.
+ * The conflicting rows that the last rejected transaction of an operation returned. They are
+ * current, whereas a read may be served by a lagging replica. Without them an operation could fail
+ * every attempt for as long as the replica lags.
  */
 export class ConflictRows {
   private rows: RowMap = new Map();
 
-  /** Takes the rows of a result; those of the result before are of no more use. */
+  /** Replaces the rows by those of a newer result. */
   update(result: ITransactionResult): void {
     this.rows = toRowMap(result.conflicts);
   }
 
-  /** The rows as read, each replaced by the known one where that is newer. */
+  /** The rows that were read, each replaced by its conflicting row where that is newer. */
   merge(read: readonly ITableRow[], keys: readonly string[]): RowMap {
     const merged = new Map(toRowMap(read));
     for (const key of keys) {
-      const known = this.rows.get(key);
-      if (known !== undefined && known.version > (merged.get(key)?.version ?? 0)) {
-        merged.set(key, known);
+      const conflict = this.rows.get(key);
+      if (conflict !== undefined && conflict.version > (merged.get(key)?.version ?? 0)) {
+        merged.set(key, conflict);
       }
     }
     return merged;
@@ -56,7 +56,7 @@
 }
 
 /**
- * Access to plans as stored. Every method rejects with a PlatformError when the store fails.
+ * Reads and writes stored plans. Every method rejects with a PlatformError when the store fails.
  *
  * @example
  * const repository = new PlanRepository(platform);
@@ -64,18 +64,18 @@
 export class PlanRepository {
   constructor(private readonly platform: Pick<IPlatform, 'table' | 'objects'>) {}
 
-  /** Rows by key; absent rows are left out. */
+  /** Reads rows by key; absent rows are left out. */
   async readRows(
     keys: readonly string[],
     signal?: AbortSignal,
-    current = new ConflictRows(),
+    conflicts = new ConflictRows(),
   ): Promise<RowMap> {
-    return current.merge(await this.platform.table.read(keys, signal), keys);
+    return conflicts.merge(await this.platform.table.read(keys, signal), keys);
   }
 
   /**
-   * One row. When a read finds none, a transaction that writes nothing makes sure: a copy that
-   * lags would deny a plan that was stored a moment ago.
+   * Reads one row. When the read finds none, a transaction without writes confirms its absence,
+   * because a lagging replica may not have a plan that was stored a moment ago.
    */
   async readCurrent(key: string, signal?: AbortSignal): Promise<ITableRow | undefined> {
     const row = (await this.readRows([key], signal)).get(key);
@@ -84,31 +84,31 @@
     return (await this.platform.table.transact({ conditions, writes: [] }, signal)).conflicts[0];
   }
 
-  /** Whether the transaction was committed. */
+  /** Resolves to whether the transaction was committed. */
   async transact(
     transaction: ITableTransaction,
     signal?: AbortSignal,
-    current = new ConflictRows(),
+    conflicts = new ConflictRows(),
   ): Promise<boolean> {
     const result = await this.platform.table.transact(transaction, signal);
-    current.update(result);
+    conflicts.update(result);
     return result.committed;
   }
 
-  /** The member's intent in force. */
+  /** Fetches the member's intent in force. */
   async fetchInForce(
     member: string,
     signal?: AbortSignal,
-    current?: ConflictRows,
+    conflicts?: ConflictRows,
   ): Promise<IIntentInForce> {
     const key = formatMemberKey(member);
-    return this.fetchByPointer((await this.readRows([key], signal, current)).get(key), signal);
+    return this.fetchByPointer((await this.readRows([key], signal, conflicts)).get(key), signal);
   }
 
   /**
-   * Targets in force that began to serve a moment ago, of the services that the plan takes
-   * capacity from. Their rows change only together with the member's pointer, on which the
-   * confirmation is conditional, so they need no condition of their own.
+   * Addresses of targets in force that are still warming up, of the services whose capacity the
+   * plan reduces. Their rows change only together with the member's pointer, on which the
+   * confirmation is conditional, so they need no separate condition.
    */
   async fetchWarmingUp(
     before: Intent | undefined,
@@ -127,7 +127,7 @@
     );
   }
 
-  /** The plan with its intent, in the state in which it was stored: proposed. */
+  /** Fetches the plan with its intent. The stored plan always has the state PROPOSED. */
   async fetchPlan(member: string, planId: string, signal?: AbortSignal): Promise<Plan> {
     const plan = fromBinary(
       PlanSchema,
@@ -137,7 +137,7 @@
     return create(PlanSchema, { ...plan, intent });
   }
 
-  /** Writes the plan's objects. They come before its row: a row never names a missing object. */
+  /** Writes the plan's objects. They precede its row, so that a row never refers to a missing object. */
   async storeObjects(plan: Plan, intent: Intent, signal?: AbortSignal): Promise<void> {
     const { objects } = this.platform;
     const bytes = toBinary(IntentSchema, intent);
@@ -145,7 +145,7 @@
     await objects.put(formatPlanKey(plan.member, plan.id), toBinary(PlanSchema, plan), signal);
   }
 
-  /** Writes the row of a new plan, unless an earlier try, whose answer was lost, wrote it. */
+  /** Writes the row of a new plan, unless an earlier attempt whose response was lost wrote it. */
   async storeRow(plan: Plan, signal?: AbortSignal): Promise<void> {
     const key = formatPlanKey(plan.member, plan.id);
     const row: IPlanRow = {
--- a/packages/config/src/plans/common/planStore.test.ts
+++ b/packages/config/src/plans/common/planStore.test.ts
@@ -36,7 +36,7 @@
   return store.confirm({ member: intent.member, planId: plan.id, operator: 'key-1' });
 }
 
-test('nothing changes until a plan is confirmed, and confirming it again changes nothing more', async () => {
+test('a plan takes effect when it is confirmed, and confirming it again has no effect', async () => {
   const { store, platform } = createStore();
   const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
   assert.equal((await store.getIntent('dobrescu')).memberRevision, 0);
@@ -49,7 +49,7 @@
   assert.equal(decodeHead(platform.table.getRows().get(HEAD_KEY)), 1);
 });
 
-test('a plan made before another was confirmed is stale', async () => {
+test('a plan proposed before another one was confirmed is stale', async () => {
   const { store } = createStore();
   const older = await store.propose(createTestIntent('dobrescu'), 'key-1');
   await putInForce(store, createTestIntent('dobrescu', { note: 'newer' }));
@@ -57,7 +57,7 @@
   await assert.rejects(store.confirm(request), isRefusal(ResultCode.PlanStale));
 });
 
-test('a discarded plan is refused, and a confirmed one is not discarded', async () => {
+test('a discarded plan can not be confirmed, and a confirmed plan can not be discarded', async () => {
   const { store } = createStore();
   const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
   const request = { member: 'dobrescu', planId: plan.id, operator: 'key-1' };
@@ -68,26 +68,25 @@
   await assert.rejects(store.discard(other), isRefusal(ResultCode.PlanAlreadyDecided));
 });
 
-test('a host name given up by one member can be taken by another', async () => {
+test('a host name released by one member can be claimed by another', async () => {
   const { store, platform } = createStore();
   await putInForce(store, createTestIntent('dobrescu', { host: 'shared.example' }));
-  const rival = createTestIntent('donautal', {
+  const competing = createTestIntent('donautal', {
     host: 'shared.example',
     targets: ['127.0.0.3:9001'],
   });
-  await assert.rejects(store.propose(rival, 'key-2'), isRefusal(ResultCode.HostTaken));
+  await assert.rejects(store.propose(competing, 'key-2'), isRefusal(ResultCode.HostTaken));
   await putInForce(store, createTestIntent('dobrescu', { host: 'own.example' }));
-  await putInForce(store, rival);
+  await putInForce(store, competing);
   const row = platform.table.getRows().get(formatHostKey('shared.example'));
   assert.match(row?.value ?? '', /donautal/);
 });
 
 /*
- * Symptom: after a plan that removes targets, healthy capacity is below the floor.
- * Sequence: a home ejects a target; an operator's plan, made before, removes another one.
- * Cause: the plan reckoned with the ejected target as if it served.
+ * Guards against healthy capacity below the floor after a plan that removes targets. A home ejects a
+ * target after the plan was proposed, and the plan, which still counts that target, removes another.
  */
-test('a target ejected after the plan was made counts as gone when it is confirmed', async () => {
+test('a target ejected after the plan was proposed does not count when the plan is confirmed', async () => {
   const { store, platform } = createStore();
   const all = ['127.0.0.1:9001', '127.0.0.2:9001', '127.0.0.3:9001'];
   await putInForce(store, createTestIntent('dobrescu', { targets: all, floorSlots: 8 }));
@@ -108,11 +107,10 @@
 });
 
 /*
- * Symptom: an operator is told that a plan failed, and it is in force.
- * Sequence: the store commits the confirmation, its answer is lost, and reads lag behind.
- * Cause: taking the lost answer, or a stale read after it, for a failure.
+ * Guards against reporting a failure for a plan that is in force. The store commits the confirmation,
+ * its response is lost, and a later read from a lagging replica still shows the plan as open.
  */
-test('a confirmation whose answer is lost is settled by the row of the plan', async () => {
+test('a confirmation whose response is lost is settled by the row of the plan', async () => {
   for (let seed = 1; seed <= 60; seed += 1) {
     const { store, platform } = createStore(seed);
     const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
@@ -130,11 +128,11 @@
 });
 
 /*
- * Symptom: healthy capacity is below the floor for a minute after a change of targets.
- * Sequence: one plan adds targets, the next, seconds later, takes the former ones away.
- * Cause: the second plan takes the cold targets for warm ones.
+ * Guards against healthy capacity below the floor for a minute after a change of targets. One plan
+ * adds targets, and the next one, seconds later, removes the former targets and counts the added ones
+ * although they are still warming up.
  */
-test('two plans in a row can not do what one may not: added targets stay cold for a while', async () => {
+test('a plan can not replace warm targets by targets that an earlier plan added shortly before', async () => {
   const { store, clock } = createStore();
   const former = ['127.0.0.1:9001', '127.0.0.2:9001'];
   const added = ['127.0.0.3:9001', '127.0.0.4:9001'];
@@ -154,7 +152,7 @@
   await putInForce(store, exchanged);
 });
 
-test('what is cold may not be taken away on the ground that nothing is warm', async () => {
+test('cold targets that the floor needs can not be removed even if no target is warm', async () => {
   const { store } = createStore();
   const createIntent = (targets: readonly string[], floorSlots: number) => {
     return createTestIntent('dobrescu', { targets, floorSlots });
@@ -167,7 +165,7 @@
   await putInForce(store, more);
 });
 
-test('open plans of a member are bounded, and old ones make room', async () => {
+test('the number of open plans of a member is bounded, and expired plans are removed', async () => {
   const { store, platform, clock } = createStore();
   const intent = createTestIntent('dobrescu');
   for (let count = 0; count < MAX_OPEN_PLANS; count += 1) await store.propose(intent, 'key-1');
@@ -179,7 +177,7 @@
   assert.equal(keys.filter((key) => key.startsWith('plans/dobrescu/')).length, 1);
 });
 
-test('with the store out, the refusal says that nothing was done, and when to come back', async () => {
+test('during a store outage the error reports that nothing was done, and a retry delay', async () => {
   const { store, platform } = createStore();
   const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
   platform.table.faults.isUnavailable = true;
--- a/packages/config/src/plans/common/planStore.ts
+++ b/packages/config/src/plans/common/planStore.ts
@@ -1,4 +1,4 @@
-/** Plans from proposal to decision, kept in the platform's table and object store. */
+/** Manages plans from proposal to decision in the platform's table and object store. */
 import { randomUUID } from 'node:crypto';
 import { create } from '@bufbuild/protobuf';
 import type { Clock, RandomSource } from '@parsleymux/base';
@@ -36,25 +36,25 @@
   readonly random: RandomSource;
   readonly validator: IntentValidator;
   readonly builder: PlanBuilder;
-  /** Makes identifiers of plans. Default: random UUIDs. */
+  /** Creates identifiers of plans. Default: random UUIDs. */
   readonly createId?: () => string;
-  /** Told of each revision that was confirmed here, before anyone could have polled it. */
+  /** Called with each revision confirmed by this store, before any node can have polled it. */
   readonly onDidConfirm?: (fleetRevision: number) => void;
 }
 
-/** A plan of a member, and who asks. */
+/** Identifies a plan of a member and the operator that makes the request. */
 export interface IPlanRequest {
   readonly member: string;
   readonly planId: string;
   readonly operator: string;
 }
 
-/** One attempt at a confirmation, and what the attempts before learnt. */
+/** One attempt at a confirmation, with the conflicting rows of earlier attempts. */
 interface IConfirmAttempt {
   readonly request: IPlanRequest;
   readonly plan: Plan;
   readonly attempt: IStoreAttempt;
-  readonly current: ConflictRows;
+  readonly conflicts: ConflictRows;
 }
 
 /**
@@ -75,13 +75,13 @@
     this.retry = new StoreRetry(options);
   }
 
-  /** The member's intent in force. Throws StoreUnavailable. */
+  /** Fetches the member's intent in force. Throws StoreUnavailable. */
   async getIntent(member: string, signal?: AbortSignal): Promise<IIntentInForce> {
     return wrapStoreErrors(() => this.repository.fetchInForce(member, signal));
   }
 
   /**
-   * Checks an intent and stores the plan that it makes.
+   * Validates an intent, and builds and stores its plan.
    * Throws MalformedIntent, FloorWouldBreak, HostTaken, TargetAddressTaken, LimitExceeded,
    * StoreUnavailable.
    */
@@ -99,7 +99,7 @@
     return create(PlanSchema, { ...plan, intent });
   }
 
-  /** The plan with its intent and state. Throws PlanNotFound, StoreUnavailable. */
+  /** Fetches the plan with its intent and state. Throws PlanNotFound, StoreUnavailable. */
   async getPlan(member: string, planId: string, signal?: AbortSignal): Promise<Plan> {
     return this.retry.run(signal, async () => {
       const row = decodePlanRow(
@@ -111,21 +111,21 @@
   }
 
   /**
-   * Puts the plan in force. Repeating it is harmless: a plan takes effect once, and each later
-   * call returns the plan as confirmed. Throws PlanNotFound, PlanAlreadyDecided, PlanStale,
+   * Puts the plan in force. The call is idempotent: a plan takes effect once, and each later
+   * call returns the confirmed plan. Throws PlanNotFound, PlanAlreadyDecided, PlanStale,
    * FloorWouldBreak, HostTaken, TargetAddressTaken, StoreUnavailable.
    */
   async confirm(request: IPlanRequest, signal?: AbortSignal): Promise<Plan> {
     const plan = await this.getPlan(request.member, request.planId, signal);
-    const current = new ConflictRows();
+    const conflicts = new ConflictRows();
     const confirmed = await this.retry.run(signal, (attempt) =>
-      this.tryConfirm({ request, plan, attempt, current }, signal),
+      this.tryConfirm({ request, plan, attempt, conflicts }, signal),
     );
     this.options.onDidConfirm?.(Number(confirmed.confirmedFleetRevision));
     return confirmed;
   }
 
-  /** Gives the plan up. Throws PlanNotFound, PlanAlreadyDecided, StoreUnavailable. */
+  /** Discards the plan. Throws PlanNotFound, PlanAlreadyDecided, StoreUnavailable. */
   async discard(request: IPlanRequest, signal?: AbortSignal): Promise<Plan> {
     const plan = await this.getPlan(request.member, request.planId, signal);
     return this.retry.run(signal, (attempt) => this.tryDiscard(request, plan, attempt, signal));
@@ -148,18 +148,18 @@
   }
 
   private async tryConfirm(
-    { request, plan, attempt, current }: IConfirmAttempt,
+    { request, plan, attempt, conflicts }: IConfirmAttempt,
     signal?: AbortSignal,
   ): Promise<Plan | undefined> {
     const { member, planId } = request;
     const after = plan.intent ?? create(IntentSchema, { member });
-    const input = await this.readDecisionInput(member, planId, after, signal, current);
+    const input = await this.readDecisionInput(member, planId, after, signal, conflicts);
     const planRow = decodePlanRow(input.rows.get(formatPlanKey(member, planId)));
-    // An earlier try, or the same plan confirmed through another node, has done it.
+    // Confirmed by an earlier attempt or through another node.
     if (planRow?.state === PlanState.CONFIRMED) return copyInState(plan, planRow);
     if (!isConsistent(input)) return undefined;
     const refusal = findRefusal(input, this.options.builder);
-    if (refusal !== undefined) return this.throwIfFresh(refusal, input.rows, current, signal);
+    if (refusal !== undefined) return this.throwIfCurrent(refusal, input.rows, conflicts, signal);
     if (planRow === undefined) return undefined;
     const { transaction, confirmed } = makeConfirmTransaction({
       ...input,
@@ -169,7 +169,7 @@
       audit: this.makeAuditEntry(request, 'plan.confirm'),
     });
     attempt.markSent();
-    const isCommitted = await this.repository.transact(transaction, signal, current);
+    const isCommitted = await this.repository.transact(transaction, signal, conflicts);
     return isCommitted ? copyInState(plan, confirmed) : undefined;
   }
 
@@ -199,19 +199,20 @@
   }
 
   /**
-   * A read may come from a copy that lags: after a lost answer it can still show the plan as
-   * open and another row as changed, and the refusal would be untrue. A transaction that writes
-   * nothing tells whether the rows are current; if not, undefined asks for another try.
+   * Throws the refusal if the rows behind it are current, and returns undefined, which leads to
+   * another attempt, if they are not. A read may be served by a lagging replica: after a lost
+   * response it can still show the plan as open and another row as changed, and the refusal would
+   * be wrong. A transaction without writes verifies that the rows are current.
    */
-  private async throwIfFresh(
+  private async throwIfCurrent(
     refusal: IPlanRefusal,
     rows: RowMap,
-    current: ConflictRows,
+    conflicts: ConflictRows,
     signal?: AbortSignal,
   ): Promise<undefined> {
     const conditions = refusal.keys.map((key) => makeCondition(key, rows.get(key)));
-    const isFresh = await this.repository.transact({ conditions, writes: [] }, signal, current);
-    if (isFresh) throw refusal.error;
+    const isCurrent = await this.repository.transact({ conditions, writes: [] }, signal, conflicts);
+    if (isCurrent) throw refusal.error;
     return undefined;
   }
 
@@ -220,11 +221,11 @@
     planId: string,
     after: Intent,
     signal?: AbortSignal,
-    current = new ConflictRows(),
+    conflicts = new ConflictRows(),
   ): Promise<IDecisionInput> {
-    const inForce = await this.repository.fetchInForce(member, signal, current);
+    const inForce = await this.repository.fetchInForce(member, signal, conflicts);
     const keys = listConfirmKeys(member, planId, inForce.intent, after);
-    const rows = await this.repository.readRows(keys, signal, current);
+    const rows = await this.repository.readRows(keys, signal, conflicts);
     const warmingUp = await this.repository.fetchWarmingUp(
       inForce.intent,
       after,
@@ -234,7 +235,7 @@
     return { member, planId, inForce, after, rows, warmingUp };
   }
 
-  /** A replay's clock may stand between two milliseconds; rows hold whole ones. */
+  /** The wall time in whole ms, as rows store it. The clock of a replay may return fractions. */
   private getNowMs(): number {
     return Math.trunc(this.options.clock.getWallTime());
   }
@@ -252,7 +253,7 @@
   }
 }
 
-/** The member's configuration changed between the two reads: which rows matter is not certain. */
+/** Returns false if the member's configuration changed between the reads, so that rows may be missing. */
 function isConsistent(input: IDecisionInput): boolean {
   const pointer = decodePointer(input.rows.get(formatMemberKey(input.member)));
   return Number(pointer?.memberRevision ?? 0) === input.inForce.memberRevision;
--- a/packages/config/src/plans/common/storeRetry.ts
+++ b/packages/config/src/plans/common/storeRetry.ts
@@ -1,4 +1,4 @@
-/** Repeats work on the platform's store that lost a race or an answer. */
+/** Retries store operations that lost a write conflict or whose response was lost. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { PlatformError, PlatformFailure } from '@parsleymux/store';
 import { createStoreError } from './planErrors.js';
@@ -14,14 +14,14 @@
   readonly random: RandomSource;
 }
 
-/** What one attempt tells about itself. */
+/** Records the progress of one attempt. */
 export interface IStoreAttempt {
-  /** To be called before a write is sent: from then on a failure may hide that it took effect. */
+  /** Must be called before a write is sent: a later failure does not rule out that it took effect. */
   markSent(): void;
 }
 
 /**
- * Runs attempts until one gives a value, bounded and with jitter.
+ * Runs attempts until one returns a value, up to a limit and with jittered delays.
  *
  * @example
  * const plan = await retry.run(signal, (attempt) => tryConfirm(attempt));
@@ -30,7 +30,7 @@
   constructor(private readonly options: IStoreRetryOptions) {}
 
   /**
-   * Repeats `work` while it returns undefined or the platform fails.
+   * Repeats `work` while it returns undefined or fails with a PlatformError.
    * Throws StoreUnavailable, which says whether a write may have taken effect.
    */
   async run<T>(
@@ -56,7 +56,7 @@
     throw createStoreError(mayHaveRun, cause);
   }
 
-  /** Full jitter: rivals that collided once on the head row must not collide in step again. */
+  /** Uses full jitter, so that writers that collided on the head row don't collide again. */
   private async sleep(count: number, signal: AbortSignal | undefined): Promise<void> {
     const delayMs = Math.min(INITIAL_DELAY_MS * 2 ** count, MAX_DELAY_MS);
     await this.options.clock.sleep(this.options.random.getFloat() * delayMs, signal);
--- a/packages/config/src/routes/common/routeTable.test.ts
+++ b/packages/config/src/routes/common/routeTable.test.ts
@@ -25,7 +25,7 @@
   return typeof found === 'string' ? undefined : found.member;
 }
 
-test('the longest path prefix that takes the method wins', () => {
+test('the route with the longest path prefix that accepts the method is matched', () => {
   const table = new RouteTable(createFleet(createConfig('dobrescu', 'a.example', 1)));
   const deep = table.match('a.example', '/deep/x', 'GET');
   assert.ok(typeof deep !== 'string' && deep.route.name === 'deep');
@@ -34,10 +34,10 @@
   assert.equal(table.match('b.example', '/', 'GET'), RouteMiss.UnknownHost);
 });
 
-test('a change replaces the routes of its members and leaves the others', () => {
-  const own = createConfig('dobrescu', 'a.example', 1);
-  const table = new RouteTable(createFleet(own, createConfig('donautal', 'b.example', 2)));
-  const moved = createFleet(own, createConfig('donautal', 'c.example', 3));
+test('a change replaces the routes of the changed members only', () => {
+  const unchanged = createConfig('dobrescu', 'a.example', 1);
+  const table = new RouteTable(createFleet(unchanged, createConfig('donautal', 'b.example', 2)));
+  const moved = createFleet(unchanged, createConfig('donautal', 'c.example', 3));
   table.update({ config: moved, members: ['donautal'] });
   assert.equal(findMember(table, 'a.example'), 'dobrescu');
   assert.equal(findMember(table, 'b.example'), undefined);
@@ -45,19 +45,19 @@
 });
 
 /*
- * Symptom: callers of a host name are served by the member that gave it up.
- * Sequence: the host changes hands; the former owner's newer configuration can't be read yet.
- * Cause: two members' configurations name the host, and the order of reading them decides.
+ * Guards against routing a host's requests to its former owner. After the host moved to another
+ * member, both members' configurations contain it until the former owner's newer configuration can
+ * be read; the order in which they are read must not decide.
  */
-test('a host that stands in two configurations belongs to whoever took it last', () => {
+test('a host in two configurations belongs to the member that claimed it last', () => {
   const former = createConfig('dobrescu', 'a.example', 1);
-  const taker = createConfig('donautal', 'a.example', 3);
-  assert.equal(findMember(new RouteTable(createFleet(former, taker)), 'a.example'), 'donautal');
-  assert.equal(findMember(new RouteTable(createFleet(taker, former)), 'a.example'), 'donautal');
+  const newOwner = createConfig('donautal', 'a.example', 3);
+  assert.equal(findMember(new RouteTable(createFleet(former, newOwner)), 'a.example'), 'donautal');
+  assert.equal(findMember(new RouteTable(createFleet(newOwner, former)), 'a.example'), 'donautal');
   const table = new RouteTable(createFleet(former));
-  table.update({ config: createFleet(former, taker), members: ['donautal'] });
-  const given = createConfig('dobrescu', 'other.example', 2);
-  table.update({ config: createFleet(given, taker), members: ['dobrescu'] });
+  table.update({ config: createFleet(former, newOwner), members: ['donautal'] });
+  const released = createConfig('dobrescu', 'other.example', 2);
+  table.update({ config: createFleet(released, newOwner), members: ['dobrescu'] });
   assert.equal(findMember(table, 'a.example'), 'donautal');
   assert.equal(findMember(table, 'other.example'), 'dobrescu');
 });
--- a/packages/config/src/routes/common/routeTable.ts
+++ b/packages/config/src/routes/common/routeTable.ts
@@ -2,13 +2,13 @@
 import type { MemberConfig, Route } from '@parsleymux/schema';
 import type { IFleetConfig, IFleetConfigChange } from '../../fleetConfig/common/fleetConfig.js';
 
-/** The route that a request takes, and whose it is. */
+/** The route of a request and the member that owns it. */
 export interface IRouteMatch {
   readonly member: string;
   readonly route: Route;
 }
 
-/** Why there is no match. */
+/** The reason why a request matches no route. */
 export const RouteMiss = {
   UnknownHost: 'unknown-host',
   UnknownPath: 'unknown-path',
@@ -20,14 +20,14 @@
 /** The routes of one host name, longest path prefix first. */
 interface IHostRoutes {
   readonly member: string;
-  /** Revision of the configuration that they come from. */
+  /** Fleet revision of the configuration that contains the routes. */
   readonly fleetRevision: bigint;
   readonly matches: readonly IRouteMatch[];
 }
 
 /**
- * An index over all routes. A change rebuilds the hosts of the members that changed and no
- * others, so that one member's frequent changes cost the others' requests nothing.
+ * An index of all routes. A change rebuilds only the hosts of the members that changed, so that
+ * frequent changes of one member don't slow down the requests of others.
  *
  * @example
  * const table = new RouteTable(config);
@@ -41,7 +41,7 @@
     for (const memberConfig of config.members.values()) this.addMember(memberConfig);
   }
 
-  /** Takes over a change of some members' configurations. */
+  /** Applies a change of some members' configurations. */
   update(change: IFleetConfigChange): void {
     for (const member of change.members) this.removeMember(member);
     for (const member of change.members) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** The match with the longest path prefix, or why there is none. */
+  /** Returns the match with the longest path prefix, or the reason why there is none. */
   match(host: string, path: string, method: string): IRouteMatch | RouteMiss {
     const matches = this.routesByHost.get(host)?.matches;
     if (matches === undefined) return RouteMiss.UnknownHost;
@@ -71,8 +71,8 @@
       byHost.set(route.host, matches);
     }
     for (const [host, matches] of byHost) {
-      // A host that changed hands can stand in both members' configurations while the former
-      // owner's newer one can't be read; its callers belong to whoever took it last.
+      // A host that moved to another member can be in both members' configurations while the former
+      // owner's newer configuration can't be read. Requests go to the member that claimed it last.
       const other = this.routesByHost.get(host);
       if (other !== undefined && other.fleetRevision > fleetRevision) continue;
       matches.sort((left, right) => right.route.pathPrefix.length - left.route.pathPrefix.length);
--- a/packages/config/src/testing/instantClock.ts
+++ b/packages/config/src/testing/instantClock.ts
@@ -1,8 +1,8 @@
-/** A clock for tests of races: sleeps last no real time, and take a turn of the event loop. */
+/** A clock for concurrency tests: a sleep takes one turn of the event loop and no real time. */
 import type { IDisposable } from '@parsleymux/base';
 import { Clock, toDisposable } from '@parsleymux/base';
 
-/** Time advances by each timer's delay as it fires. */
+/** Advances the time by a timer's delay when the timer fires. */
 export class InstantClock extends Clock {
   private nowMs = 1_700_000_000_000;
 
@@ -14,7 +14,7 @@
     return this.nowMs;
   }
 
-  /** Lets time pass without firing anything. */
+  /** Advances the time without firing timers. */
   advance(durationMs: number): void {
     this.nowMs += durationMs;
   }
--- a/packages/config/src/testing/intents.ts
+++ b/packages/config/src/testing/intents.ts
@@ -3,17 +3,17 @@
 import type { Intent } from '@parsleymux/schema';
 import { IntentSchema } from '@parsleymux/schema';
 
-/** What differs from the usual intent. */
+/** Differences from the default intent. */
 export interface ITestIntentOptions {
   readonly host?: string;
-  /** IP number and port of each target; each has 4 slots. */
+  /** IP address and port of each target; each has 4 slots. */
   readonly targets?: readonly string[];
   readonly floorSlots?: number;
   readonly note?: string;
 }
 
 /**
- * One service "booking" with a route that is not idempotent.
+ * Creates an intent with one service "booking" and one route that is not idempotent.
  *
  * @example
  * const intent = createTestIntent('dobrescu', { floorSlots: 4 });
--- a/packages/config/src/testing/memoryPlatform.ts
+++ b/packages/config/src/testing/memoryPlatform.ts
@@ -1,4 +1,4 @@
-/** The platform's table and object store in memory, for tests: with outages, stale reads and lost answers. */
+/** In-memory table and object store for tests that simulate outages, stale reads and lost responses. */
 import type { RandomSource } from '@parsleymux/base';
 import type {
   IScanOptions,
@@ -8,22 +8,22 @@
 } from '@parsleymux/store';
 import { ObjectStore, PlatformError, PlatformFailure, TableService } from '@parsleymux/store';
 
-/** Faults of the store; shares are in [0, 1]. */
+/** Simulated faults of the store; shares are in [0, 1]. */
 export interface IStoreFaults {
-  /** Nothing answers. */
+  /** Every call fails. */
   isUnavailable: boolean;
-  /** Share of transactions whose answer is lost, before or after they take effect. */
+  /** Share of transactions whose response is lost, before or after they take effect. */
   lostResponseShare: number;
-  /** Reads show the table as it was this many transactions ago. */
+  /** Maximum number of transactions by which a read lags behind. */
   staleness: number;
 }
 
-/** A table in memory. Every call takes a few turns of the event loop, so that callers interleave. */
+/** An in-memory table. Every call yields a few times, so that concurrent callers interleave. */
 export class MemoryTable extends TableService {
   readonly faults: IStoreFaults = { isUnavailable: false, lostResponseShare: 0, staleness: 0 };
   private readonly history: ReadonlyMap<string, ITableRow>[] = [new Map()];
   readCount = 0;
-  /** Called with every row after each transaction that took effect. */
+  /** Called with all rows after each committed transaction. */
   onDidCommit: ((rows: ReadonlyMap<string, ITableRow>) => void) | undefined;
   transactionCount = 0;
 
@@ -59,7 +59,7 @@
     return result;
   }
 
-  /** Every row as it is. */
+  /** Returns the current rows, without staleness. */
   getRows(): ReadonlyMap<string, ITableRow> {
     return this.history.at(-1) ?? new Map<string, ITableRow>();
   }
@@ -89,7 +89,7 @@
 
   private async sleepOrFail(): Promise<void> {
     await this.sleepTurns();
-    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'out');
+    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'unavailable');
   }
 
   private async sleepTurns(): Promise<void> {
@@ -97,7 +97,7 @@
   }
 }
 
-/** Objects in memory, out whenever the table is. */
+/** An in-memory object store, which is unavailable whenever the table is. */
 export class MemoryObjects extends ObjectStore {
   private readonly objects = new Map<string, Uint8Array>();
 
@@ -120,25 +120,25 @@
     return [...this.objects.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
-  /** Loses an object, as no store should. */
+  /** Removes an object, to simulate its loss. */
   remove(key: string): void {
     this.objects.delete(key);
   }
 
   private async checkAvailable(): Promise<void> {
     await Promise.resolve();
-    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'out');
+    if (this.faults.isUnavailable) throw new PlatformError(PlatformFailure.Refused, 'unavailable');
   }
 }
 
-/** Both together. */
+/** The in-memory table and object store. */
 export interface IMemoryPlatform {
   readonly table: MemoryTable;
   readonly objects: MemoryObjects;
 }
 
 /**
- * An empty table and object store in memory that fail as told.
+ * Creates an empty in-memory table and object store with configurable faults.
  *
  * @example
  * const platform = createMemoryPlatform(new SeededRandom(1));
@@ -150,5 +150,5 @@
 }
 
 function createLostResponseError(): PlatformError {
-  return new PlatformError(PlatformFailure.Unknown, 'no answer');
+  return new PlatformError(PlatformFailure.Unknown, 'no response');
 }
