--- a/packages/dispatch/src/app/node/tenantParts.ts
+++ b/packages/dispatch/src/app/node/tenantComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that look after tenants, put together. */
+/** Composes a node's key checks and quotas. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { NodeDirectory } from '../../directory/common/nodeDirectory.js';
 import type { DatagramChannel } from '../../grants/common/datagramChannel.js';
@@ -11,8 +11,8 @@
 import { KeyChecker } from '../../tenants/common/keyChecker.js';
 import type { ITenantBounds } from '../../tenants/common/tenant.js';
 
-/** Options of {@link TenantParts}. */
-export interface ITenantPartsOptions {
+/** Options of {@link TenantComponents}. */
+export interface ITenantComponentsOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly directory: NodeDirectory;
@@ -20,15 +20,17 @@
 }
 
 /**
+ * Creates the components of a node that check keys and enforce quotas.
+ *
  * @example
  * const tenants = new TenantParts({ clock, random, directory, getBounds });
  * const homes = new HomeService({ admission: tenants.createAdmission(self), ... });
  */
-export class TenantParts {
+export class TenantComponents {
   readonly keys: KeyChecker;
   private readonly shares: QuotaShares;
 
-  constructor(private readonly options: ITenantPartsOptions) {
+  constructor(private readonly options: ITenantComponentsOptions) {
     const { clock, directory } = options;
     this.keys = new KeyChecker(options);
     this.shares = new QuotaShares({
@@ -37,14 +39,14 @@
     });
   }
 
-  /** Whether requests with keys are served; a node that would refuse them all is not ready. */
+  /** Whether requests with keys are served. A node that would refuse them all is not ready. */
   isServing(): boolean {
     const { directory } = this.options;
     if (directory.getCatalog()?.requiresKeys !== true) return true;
-    return directory.tenants.version !== undefined && this.keys.isRecent();
+    return directory.tenants.version !== undefined && this.keys.isLeaseValid();
   }
 
-  /** What decides at the homes of this node, whose address is `self`. */
+  /** The admission control for the homes on this node, whose address is `self`. */
   createAdmission(self: string): TenantAdmission {
     const { directory } = this.options;
     const quotas = new TenantQuotas({
@@ -55,7 +57,7 @@
     return new TenantAdmission({ directory, keys: this.keys, quotas, self });
   }
 
-  createSharing(channel: DatagramChannel, homes: HomeService): QuotaSharing {
+  createQuotaSharing(channel: DatagramChannel, homes: HomeService): QuotaSharing {
     const { clock, directory, getBounds } = this.options;
     return new QuotaSharing({
       channel,
--- a/packages/dispatch/src/quotas/common/requestRate.ts
+++ b/packages/dispatch/src/quotas/common/requestRate.ts
@@ -1,10 +1,15 @@
-/** Requests a second, averaged so that what lies further back counts less. */
+/** Estimates a request rate by an exponentially weighted average. */
 
 const MS_PER_S = 1000;
-/** After this time a request counts for a third, in ms: several announcements, a fraction of a window. */
-const AVERAGED_MS = 2000;
+/**
+ * Time constant, in ms, after which a request counts about a third: several announcement intervals, and a
+ * fraction of a quota window.
+ */
+const TIME_CONSTANT_MS = 2000;
 
 /**
+ * The average rate of recorded requests, in requests per second.
+ *
  * @example
  * rate.add(now);
  * rate.getPerS(now);
@@ -14,11 +19,11 @@
   private updatedMs = 0;
 
   add(nowMs: number): void {
-    this.perS = this.getPerS(nowMs) + MS_PER_S / AVERAGED_MS;
+    this.perS = this.getRatePerS(nowMs) + MS_PER_S / TIME_CONSTANT_MS;
     this.updatedMs = nowMs;
   }
 
-  getPerS(nowMs: number): number {
-    return this.perS * Math.exp((this.updatedMs - nowMs) / AVERAGED_MS);
+  getRatePerS(nowMs: number): number {
+    return this.perS * Math.exp((this.updatedMs - nowMs) / TIME_CONSTANT_MS);
   }
 }
