--- a/packages/config/src/plans/common/capacity.ts
+++ b/packages/config/src/plans/common/capacity.ts
@@ -40,7 +40,7 @@
  * shortly before that instant would break the floor.
  *
  * @example
- * const serving = service.targets.filter((target) => !isLeaving(target));
+ * const serving = service.targets.filter((target) => !isDraining(target));
  */
 export function isDraining(target: Target): boolean {
   return target.state === TargetState.DRAINING || target.leaveAtMs > 0n;
@@ -77,7 +77,7 @@
  * is cold matters only for these services.
  *
  * @example
- * const addresses = listTargetsOfShrinking(before, after);
+ * const addresses = listTargetsOfShrinkingServices(before, after);
  */
 export function listTargetsOfShrinkingServices(
   before: Intent | undefined,
