--- a/packages/ctl/src/cli/common/suggestion.ts
+++ b/packages/ctl/src/cli/common/suggestion.ts
@@ -2,7 +2,7 @@
 import { distance } from 'fastest-levenshtein';
 
 /** Suggested only when at most this share of the letters differs. */
-const MAX_CHANGED_SHARE = 0.5;
+const MAX_CHANGED_FRACTION = 0.5;
 
 /**
  * The known command nearest to the words given, or undefined when none is near.
@@ -17,7 +17,7 @@
   const plain = words.filter((word) => !word.startsWith('-'));
   const ranked = paths
     .map((path) => ({ path, changes: countChanges(plain, path) }))
-    .filter(({ path, changes }) => changes <= path.join(' ').length * MAX_CHANGED_SHARE)
+    .filter(({ path, changes }) => changes <= path.join(' ').length * MAX_CHANGED_FRACTION)
     .sort((left, right) => left.changes - right.changes);
   return ranked[0]?.path.join(' ');
 }
--- a/packages/ctl/src/cli/node/cli.ts
+++ b/packages/ctl/src/cli/node/cli.ts
@@ -60,7 +60,7 @@
  */
 export async function execute(words: readonly string[], context: BaseContext): Promise<number> {
   const cli = createCli(isTerminal(context.stdout));
-  if (isHelpWanted(words)) {
+  if (isHelpRequested(words)) {
     const known = COMMANDS.find((command) => hasPath(command, words));
     context.stdout.write(formatHelp(cli.usage(known ?? null, { detailed: known !== undefined })));
     return ExitStatus.Ok;
@@ -68,7 +68,7 @@
   try {
     return await cli.run(cli.process([...words], context), context);
   } catch (error) {
-    context.stderr.write(formatUsageFailure(error, words, cli));
+    context.stderr.write(formatUsageError(error, words, cli));
     return ExitStatus.Usage;
   }
 }
@@ -83,7 +83,7 @@
   return cli;
 }
 
-function isHelpWanted(words: readonly string[]): boolean {
+function isHelpRequested(words: readonly string[]): boolean {
   return words.length === 0 || words.includes('--help') || words.includes('-h');
 }
 
@@ -97,9 +97,10 @@
 }
 
 /** For a known command its usage; for an unknown one the nearest that is known. */
-function formatUsageFailure(error: unknown, words: readonly string[], cli: Cli): string {
+function formatUsageError(error: unknown, words: readonly string[], cli: Cli): string {
   const known = COMMANDS.find((command) => hasPath(command, words));
-  const lines = known === undefined ? describeUnknown(words) : [describeFailure(error, known, cli)];
+  const lines =
+    known === undefined ? describeUnknownCommand(words) : [describeUsageError(error, known, cli)];
   return `${[...lines, `"${BINARY_NAME} --help" lists the commands`].join('\n')}\n`;
 }
 
@@ -108,7 +109,7 @@
   return paths.some((path) => path.every((word, index) => words[index] === word));
 }
 
-function describeUnknown(words: readonly string[]): readonly string[] {
+function describeUnknownCommand(words: readonly string[]): readonly string[] {
   const paths = COMMANDS.flatMap((command) => command.paths ?? []);
   const nearest = findNearestCommand(words, paths);
   const lines = [`there is no command "${words.join(' ')}"`];
@@ -116,7 +117,7 @@
   return lines;
 }
 
-function describeFailure(error: unknown, command: CommandClass, cli: Cli): string {
+function describeUsageError(error: unknown, command: CommandClass, cli: Cli): string {
   const name = `${BINARY_NAME} ${command.paths?.[0]?.join(' ') ?? ''}`;
   const reason = error instanceof Error && error.name === 'UsageError' ? `: ${error.message}` : '';
   return `"${name}" is called wrongly${reason}; it takes\n  ${formatHelp(cli.usage(command).trim())}`;
--- a/packages/ctl/src/client/node/adminClient.ts
+++ b/packages/ctl/src/client/node/adminClient.ts
@@ -6,9 +6,9 @@
 import { ErrorBodySchema } from '@parsleymux/schema';
 import { Agent, request } from 'undici';
 
-const FIRST_ERROR_STATUS = 400;
-const CALL_LIMIT_MS = 30_000;
-const CONNECT_LIMIT_MS = 3000;
+const MIN_ERROR_STATUS = 400;
+const CALL_TIMEOUT_MS = 30_000;
+const CONNECT_TIMEOUT_MS = 3000;
 
 /** Options of an {@link AdminClient}. */
 export interface IAdminClientOptions {
@@ -41,7 +41,7 @@
   constructor(private readonly options: IAdminClientOptions) {
     const { authorityFile } = options;
     const authority = authorityFile === undefined ? {} : { ca: readFileSync(authorityFile) };
-    this.agent = new Agent({ connect: { timeout: CONNECT_LIMIT_MS, ...authority } });
+    this.agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS, ...authority } });
   }
 
   /** The message answered. Throws a MuxError with the node's result, or ConnectionFailed. */
@@ -81,10 +81,10 @@
       method: call.method,
       headers: key === undefined ? {} : { authorization: `Bearer ${key}` },
       body: call.body ?? null,
-      signal: AbortSignal.timeout(CALL_LIMIT_MS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
     const text = await answer.body.text();
-    if (answer.statusCode >= FIRST_ERROR_STATUS) throw decodeError(text);
+    if (answer.statusCode >= MIN_ERROR_STATUS) throw decodeError(text);
     return fromJsonString(schema, text, { ignoreUnknownFields: true });
   }
 }
--- a/packages/ctl/src/commands/node/adminCommand.ts
+++ b/packages/ctl/src/commands/node/adminCommand.ts
@@ -38,7 +38,7 @@
       return ExitStatus.Ok;
     } catch (error) {
       if (!(error instanceof MuxError)) throw error;
-      this.printRefusal(error);
+      this.printError(error);
       return chooseExitStatus(error.code);
     }
   }
@@ -82,8 +82,8 @@
     }
   }
 
-  private printRefusal(error: MuxError): void {
-    const name = findName(error.code);
+  private printError(error: MuxError): void {
+    const name = findResultName(error.code);
     const { code, runState, summary } = error;
     if (this.json) {
       const body = { code, name, message: summary, runState, retryAfterMs: error.retryAfterMs };
@@ -113,6 +113,6 @@
   }
 }
 
-function findName(code: ResultCode): string {
+function findResultName(code: ResultCode): string {
   return Object.entries(ResultCode).find(([, value]) => value === code)?.[0] ?? '';
 }
--- a/packages/ctl/src/commands/node/explainCommands.ts
+++ b/packages/ctl/src/commands/node/explainCommands.ts
@@ -3,11 +3,11 @@
 import { Command, Option } from 'clipanion';
 import { ExitStatus } from '../../cli/common/exitStatus.js';
 import type { ILogLine } from '../../explain/common/logLine.js';
-import { countLosses } from '../../explain/common/lossAccount.js';
-import { findRequestStory, findTargetStory } from '../../explain/common/story.js';
+import { countLosses } from '../../explain/common/lossReport.js';
+import { findRequestTimeline, findTargetTimeline } from '../../explain/common/timeline.js';
 import { readLogs } from '../../explain/node/logReader.js';
 import { formatLosses } from '../../output/common/lossText.js';
-import { formatStory } from '../../output/common/storyText.js';
+import { formatTimeline } from '../../output/common/timelineText.js';
 
 /** What the commands have in common: they read logs and need no node. */
 abstract class LogCommand extends Command {
@@ -36,30 +36,30 @@
 }
 
 /** Tells the story of one thing. */
-abstract class StoryCommand extends LogCommand {
+abstract class TimelineCommand extends LogCommand {
   readonly id = Option.String({ name: 'ID' });
 
   override readonly files = Option.Rest({ name: 'FILES' });
 
   protected override printLines(lines: readonly ILogLine[]): number {
     const { stderr, stdout } = this.context;
-    const story = this.findStory(lines);
-    if (story.length === 0) {
+    const timeline = this.findTimeline(lines);
+    if (timeline.length === 0) {
       stderr.write(`none of ${lines.length} lines tells of ${this.id}\n`);
       return ExitStatus.Refused;
     }
     const text = this.json
-      ? story.map(({ fields }) => JSON.stringify(fields)).join('\n')
-      : formatStory(story);
+      ? timeline.map(({ fields }) => JSON.stringify(fields)).join('\n')
+      : formatTimeline(timeline);
     stdout.write(`${text}\n`);
     return ExitStatus.Ok;
   }
 
-  protected abstract findStory(lines: readonly ILogLine[]): readonly ILogLine[];
+  protected abstract findTimeline(lines: readonly ILogLine[]): readonly ILogLine[];
 }
 
 /** Tells one request's story across nodes. */
-export class ExplainRequestCommand extends StoryCommand {
+export class ExplainRequestCommand extends TimelineCommand {
   static override readonly paths = [['explain', 'request']];
 
   static override readonly usage = Command.Usage({
@@ -69,13 +69,13 @@
     examples: [['From collected logs', 'parsleyctl explain request 9c41d07be2a35f68 logs/*.log']],
   });
 
-  protected override findStory(lines: readonly ILogLine[]): readonly ILogLine[] {
-    return findRequestStory(lines, this.id);
+  protected override findTimeline(lines: readonly ILogLine[]): readonly ILogLine[] {
+    return findRequestTimeline(lines, this.id);
   }
 }
 
 /** Tells what was believed of one target, and why. */
-export class ExplainTargetCommand extends StoryCommand {
+export class ExplainTargetCommand extends TimelineCommand {
   static override readonly paths = [['explain', 'target']];
 
   static override readonly usage = Command.Usage({
@@ -85,8 +85,8 @@
     examples: [['From collected logs', 'parsleyctl explain target i-7f3a91c2 logs/*.log']],
   });
 
-  protected override findStory(lines: readonly ILogLine[]): readonly ILogLine[] {
-    return findTargetStory(lines, this.id);
+  protected override findTimeline(lines: readonly ILogLine[]): readonly ILogLine[] {
+    return findTargetTimeline(lines, this.id);
   }
 }
 
--- a/packages/ctl/src/explain/common/lossAccount.test.ts
+++ b/packages/ctl/src/explain/common/lossReport.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { formatLosses } from '../../output/common/lossText.js';
 import type { ILogLine } from './logLine.js';
-import { countLosses } from './lossAccount.js';
+import { countLosses } from './lossReport.js';
 
 function makeLine(
   message: string,
--- a/packages/ctl/src/explain/common/lossAccount.ts
+++ b/packages/ctl/src/explain/common/lossReport.ts
@@ -2,10 +2,10 @@
 import type { ILogLine } from './logLine.js';
 
 /** From this probability on, a target counted as failing when it was granted. */
-const FAILING_FROM = 0.5;
+const MIN_FAILING_SUSPICION = 0.5;
 /** Nodes that started so recently take part in a recovery, in ms. */
 const RECENT_START_MS = 5000;
-const FIRST_FAILURE_STATUS = 400;
+const MIN_FAILURE_STATUS = 400;
 
 /** What became of a request that was not answered in time. */
 export const LossKind = {
@@ -14,7 +14,7 @@
   Failed: 'failed',
   Late: 'late',
   /** The caller went away before the answer. */
-  Left: 'left',
+  CallerDisconnected: 'left',
 } as const;
 
 export type LossKind = (typeof LossKind)[keyof typeof LossKind];
@@ -28,7 +28,7 @@
 }
 
 /** All requests, and those lost. */
-export interface ILossAccount {
+export interface ILossReport {
   readonly requests: number;
   readonly inTime: number;
   /** Most first. Together with those in time they make all requests. */
@@ -52,8 +52,8 @@
  * @example
  * const { rows } = countLosses(lines);
  */
-export function countLosses(lines: readonly ILogLine[]): ILossAccount {
-  const starts = findStarts(lines);
+export function countLosses(lines: readonly ILogLine[]): ILossReport {
+  const starts = findStartTimes(lines);
   const noRetry = findRequestsWithoutRetry(lines);
   const counts = new Map<string, ILossRow>();
   let requests = 0;
@@ -66,7 +66,7 @@
       inTime += 1;
       continue;
     }
-    const reason = `${loss.reason}${isAfterStart(line, starts) ? ', node just started' : ''}`;
+    const reason = `${loss.reason}${isSoonAfterRestart(line, starts) ? ', node just started' : ''}`;
     const service = String(line.fields.service);
     const key = [service, loss.kind, reason].join('\n');
     const row = counts.get(key) ?? { service, kind: loss.kind, reason, requests: 0 };
@@ -78,20 +78,21 @@
 
 function findLoss(line: ILogLine, noRetry: ReadonlySet<string>): ILoss | undefined {
   const { fields, message } = line;
-  if (message === 'caller left') return { kind: LossKind.Left, reason: 'caller left' };
+  if (message === 'caller left')
+    return { kind: LossKind.CallerDisconnected, reason: 'caller left' };
   const attempts = listAttempts(fields);
-  if (Number(fields.status) < FIRST_FAILURE_STATUS) return findLateness(fields, attempts);
+  if (Number(fields.status) < MIN_FAILURE_STATUS) return findLateLoss(fields, attempts);
   const result = String(fields.result);
   if (fields.runState === 'not-run') return { kind: LossKind.Refused, reason: result };
   const last = attempts[attempts.length - 1];
   if (last === undefined) return { kind: LossKind.Failed, reason: result };
-  const belief = last.suspicion >= FAILING_FROM ? 'believed failing' : 'believed sound';
+  const belief = last.suspicion >= MIN_FAILING_SUSPICION ? 'believed failing' : 'believed sound';
   const isEnded = noRetry.has(String(fields.request));
   const reason = `${last.outcome} at a target ${belief}${isEnded ? ', no retry left' : ''}`;
   return { kind: LossKind.Failed, reason };
 }
 
-function findLateness(
+function findLateLoss(
   fields: Readonly<Record<string, unknown>>,
   attempts: readonly IAttempt[],
 ): ILoss | undefined {
@@ -113,7 +114,7 @@
   return new Set(refused.map(({ fields }) => String(fields.request)));
 }
 
-function findStarts(lines: readonly ILogLine[]): ReadonlyMap<string, readonly number[]> {
+function findStartTimes(lines: readonly ILogLine[]): ReadonlyMap<string, readonly number[]> {
   const starts = new Map<string, number[]>();
   for (const { message, node, time } of lines) {
     if (message !== 'started') continue;
@@ -126,7 +127,7 @@
   return starts;
 }
 
-function isAfterStart(
+function isSoonAfterRestart(
   { node, time }: ILogLine,
   starts: ReadonlyMap<string, readonly number[]>,
 ): boolean {
--- a/packages/ctl/src/explain/common/story.test.ts
+++ b/packages/ctl/src/explain/common/timeline.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { formatStory } from '../../output/common/storyText.js';
+import { formatTimeline } from '../../output/common/timelineText.js';
 import type { ILogLine } from './logLine.js';
 import { parseLogLine } from './logLine.js';
-import { findRequestStory, findTargetStory } from './story.js';
+import { findRequestTimeline, findTargetTimeline } from './timeline.js';
 
 function makeLine(second: number, node: string, message: string, fields: object): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, '0')}.000Z`;
@@ -27,7 +27,7 @@
 });
 
 test('a request is told with what was believed of its targets and had happened to its nodes', () => {
-  const story = findRequestStory(LINES, 'q1').map(({ message, node }) => `${node} ${message}`);
+  const story = findRequestTimeline(LINES, 'q1').map(({ message, node }) => `${node} ${message}`);
   assert.deepEqual(story, [
     'n3 target trusted',
     'n1 store lost',
@@ -35,11 +35,11 @@
     'n1 request',
     'n3 target doubted',
   ]);
-  assert.match(formatStory(findRequestStory(LINES, 'q1')), /attempt 1: target=t1 home=h/);
-  assert.deepEqual(findRequestStory(LINES, 'nobody'), []);
+  assert.match(formatTimeline(findRequestTimeline(LINES, 'q1')), /attempt 1: target=t1 home=h/);
+  assert.deepEqual(findRequestTimeline(LINES, 'nobody'), []);
 });
 
 test('a target is told with every change of belief and each failure there', () => {
-  const story = findTargetStory(LINES, 't1').map(({ message }) => message);
+  const story = findTargetTimeline(LINES, 't1').map(({ message }) => message);
   assert.deepEqual(story, ['target trusted', 'targets changed', 'request', 'target doubted']);
 });
--- a/packages/ctl/src/explain/common/story.ts
+++ b/packages/ctl/src/explain/common/timeline.ts
@@ -3,9 +3,9 @@
 import { sortLines } from './logLine.js';
 
 /** How far back news about a request's targets and nodes may explain it, in ms. */
-const LOOK_BACK_MS = 20_000;
-const BELIEF_MESSAGES: ReadonlySet<string> = new Set(['target doubted', 'target trusted']);
-const DEPENDENCY_MESSAGES: ReadonlySet<string> = new Set([
+const LOOKBACK_MS = 20_000;
+const HEALTH_MESSAGES: ReadonlySet<string> = new Set(['target doubted', 'target trusted']);
+const NODE_MESSAGES: ReadonlySet<string> = new Set([
   'started',
   'stopping',
   'store lost',
@@ -20,9 +20,12 @@
  * to, and what had happened to the nodes that dealt with it.
  *
  * @example
- * const story = findRequestStory(lines, '9c41d07be2a35f68');
+ * const timeline = findRequestTimeline(lines, '9c41d07be2a35f68');
  */
-export function findRequestStory(lines: readonly ILogLine[], request: string): readonly ILogLine[] {
+export function findRequestTimeline(
+  lines: readonly ILogLine[],
+  request: string,
+): readonly ILogLine[] {
   const own = lines.filter(({ fields }) => fields.request === request);
   const first = own[0];
   if (first === undefined) return [];
@@ -31,22 +34,25 @@
   const nodes = new Set(own.map(({ node }) => node));
   const before = lines.filter((line) => {
     const ageMs = endMs - Date.parse(line.time);
-    if (own.includes(line) || ageMs < 0 || ageMs > LOOK_BACK_MS) return false;
+    if (own.includes(line) || ageMs < 0 || ageMs > LOOKBACK_MS) return false;
     return isAboutTargets(line, targets) || isAboutNode(line, nodes);
   });
-  return sortLines([...pickNewest(before), ...own]);
+  return sortLines([...pickNewestOfEach(before), ...own]);
 }
 
 /**
  * Who believed what of a target, when and why.
  *
  * @example
- * const story = findTargetStory(lines, 'i-7f3a91c2');
+ * const timeline = findTargetTimeline(lines, 'i-7f3a91c2');
  */
-export function findTargetStory(lines: readonly ILogLine[], target: string): readonly ILogLine[] {
+export function findTargetTimeline(
+  lines: readonly ILogLine[],
+  target: string,
+): readonly ILogLine[] {
   const targets = new Set([target]);
   return sortLines(
-    lines.filter((line) => isAboutTargets(line, targets) || isFailureAt(line, target)),
+    lines.filter((line) => isAboutTargets(line, targets) || hasFailureAt(line, target)),
   );
 }
 
@@ -58,17 +64,17 @@
 }
 
 function isAboutTargets({ fields, message }: ILogLine, targets: ReadonlySet<string>): boolean {
-  if (BELIEF_MESSAGES.has(message)) return targets.has(String(fields.target));
+  if (HEALTH_MESSAGES.has(message)) return targets.has(String(fields.target));
   if (message !== 'targets changed' || !Array.isArray(fields.targets)) return false;
   const changed = (fields.targets as unknown[]).map((entry) => String(entry).split(' ')[0]);
   return changed.some((id) => id !== undefined && targets.has(id));
 }
 
 function isAboutNode({ message, node }: ILogLine, nodes: ReadonlySet<string>): boolean {
-  return nodes.has(node) && DEPENDENCY_MESSAGES.has(message);
+  return nodes.has(node) && NODE_MESSAGES.has(message);
 }
 
-function isFailureAt(line: ILogLine, target: string): boolean {
+function hasFailureAt(line: ILogLine, target: string): boolean {
   if (line.message !== 'request' || !Array.isArray(line.fields.attempts)) return false;
   const attempts = line.fields.attempts as Record<string, unknown>[];
   return attempts.some((attempt) => {
@@ -77,7 +83,7 @@
 }
 
 /** Of lines that say the same of the same thing, every node writes one; the newest explains most. */
-function pickNewest(lines: readonly ILogLine[]): readonly ILogLine[] {
+function pickNewestOfEach(lines: readonly ILogLine[]): readonly ILogLine[] {
   const newest = new Map<string, ILogLine>();
   for (const line of sortLines(lines)) {
     const about = line.fields.target ?? line.fields.targets ?? line.node;
--- a/packages/ctl/src/output/common/lossText.ts
+++ b/packages/ctl/src/output/common/lossText.ts
@@ -1,5 +1,5 @@
 /** The account of lost requests for people. */
-import type { ILossAccount } from '../../explain/common/lossAccount.js';
+import type { ILossReport } from '../../explain/common/lossReport.js';
 import { formatTable } from './table.js';
 
 const PERCENT = 100;
@@ -10,7 +10,7 @@
  * @example
  * process.stdout.write(formatLosses(countLosses(lines)));
  */
-export function formatLosses({ inTime, requests, rows }: ILossAccount): string {
+export function formatLosses({ inTime, requests, rows }: ILossReport): string {
   const formatRow = (service: string, kind: string, reason: string, count: number) => {
     const share = `${((count / Math.max(1, requests)) * PERCENT).toFixed(2)}%`;
     return [service, kind, reason, String(count), share];
--- a/packages/ctl/src/output/common/storyText.ts
+++ b/packages/ctl/src/output/common/timelineText.ts
@@ -2,15 +2,21 @@
 import type { ILogLine } from '../../explain/common/logLine.js';
 
 /** Fields that stand elsewhere in the text. */
-const SHOWN: ReadonlySet<string> = new Set(['time', 'node', 'message', 'level', 'attempts']);
+const COLUMN_FIELDS: ReadonlySet<string> = new Set([
+  'time',
+  'node',
+  'message',
+  'level',
+  'attempts',
+]);
 
 /**
  * Time, node and message in columns, then the fields, then a line for each attempt.
  *
  * @example
- * process.stdout.write(formatStory(story));
+ * process.stdout.write(formatTimeline(timeline));
  */
-export function formatStory(lines: readonly ILogLine[]): string {
+export function formatTimeline(lines: readonly ILogLine[]): string {
   const nodeWidth = Math.max(0, ...lines.map(({ node }) => node.length));
   const messageWidth = Math.max(0, ...lines.map(({ message }) => message.length));
   return lines
@@ -24,7 +30,7 @@
 
 function formatFields({ fields }: ILogLine): string {
   return Object.entries(fields)
-    .filter(([name]) => !SHOWN.has(name))
+    .filter(([name]) => !COLUMN_FIELDS.has(name))
     .map(([name, value]) => `${name}=${formatValue(value)}`)
     .join(' ');
 }
--- a/packages/operators/src/access/common/accessControl.ts
+++ b/packages/operators/src/access/common/accessControl.ts
@@ -6,8 +6,8 @@
 import { compareSecrets, FLEET_MEMBER } from '../../keys/common/operatorKey.js';
 import { RateLimiter } from './rateLimiter.js';
 
-const LOOPBACK = /^(::ffff:)?127\.|^::1$/;
-const BEARER = /^Bearer ([\x21-\x7e]+)$/i;
+const LOOPBACK_ADDRESS = /^(::ffff:)?127\.|^::1$/;
+const BEARER_HEADER = /^Bearer ([\x21-\x7e]+)$/i;
 /** Wrong keys from one address: enough for typing errors, too few to load the store. */
 const FAILURES_PER_SECOND = 0.5;
 const FAILURE_BURST = 20;
@@ -46,18 +46,22 @@
  * await access.checkMember(operator, 'dobrescu', 'intent.submit', signal);
  */
 export class AccessControl {
-  private readonly failures: RateLimiter;
-  private readonly audits: RateLimiter;
+  private readonly failureLimiter: RateLimiter;
+  private readonly auditLimiter: RateLimiter;
   private unauditedCount = 0;
 
   constructor(private readonly options: IAccessControlOptions) {
     const { clock } = options;
-    this.failures = new RateLimiter({
+    this.failureLimiter = new RateLimiter({
       clock,
       perSecond: FAILURES_PER_SECOND,
       burst: FAILURE_BURST,
     });
-    this.audits = new RateLimiter({ clock, perSecond: AUDITS_PER_SECOND, burst: AUDIT_BURST });
+    this.auditLimiter = new RateLimiter({
+      clock,
+      perSecond: AUDITS_PER_SECOND,
+      burst: AUDIT_BURST,
+    });
   }
 
   /** Refusals that were left out of the audit log because too many came at once. */
@@ -67,8 +71,8 @@
 
   /** The operator. Throws Unauthenticated, LimitExceeded, StoreUnavailable. */
   async verify(request: IAccessRequest, signal: AbortSignal): Promise<IOperator> {
-    this.checkFailures(request.remoteAddress);
-    const key = BEARER.exec(request.authorization ?? '')?.[1];
+    this.checkFailureRate(request.remoteAddress);
+    const key = BEARER_HEADER.exec(request.authorization ?? '')?.[1];
     const row = key === undefined ? undefined : await this.options.keys.verify(key, signal);
     if (row !== undefined) {
       return { keyId: row.id, member: row.member, isFleet: row.member === FLEET_MEMBER };
@@ -87,10 +91,12 @@
     secret: string | undefined,
     signal: AbortSignal,
   ): Promise<void> {
-    this.checkFailures(request.remoteAddress);
-    const offered = BEARER.exec(request.authorization ?? '')?.[1] ?? '';
+    this.checkFailureRate(request.remoteAddress);
+    const offered = BEARER_HEADER.exec(request.authorization ?? '')?.[1] ?? '';
     const isTrusted =
-      secret === undefined ? LOOPBACK.test(request.remoteAddress) : compareSecrets(offered, secret);
+      secret === undefined
+        ? LOOPBACK_ADDRESS.test(request.remoteAddress)
+        : compareSecrets(offered, secret);
     if (isTrusted) return;
     await this.recordFailure(request, signal);
     const message = "the first key needs proof of the fleet's secret";
@@ -118,8 +124,8 @@
   }
 
   /** Guessing must be slow, and must not load the store. */
-  private checkFailures(address: string): void {
-    const waitMs = this.failures.getWaitMs(address);
+  private checkFailureRate(address: string): void {
+    const waitMs = this.failureLimiter.getWaitMs(address);
     if (waitMs === 0) return;
     throw new MuxError({
       code: ResultCode.LimitExceeded,
@@ -131,7 +137,7 @@
 
   private async recordFailure(request: IAccessRequest, signal: AbortSignal): Promise<void> {
     const { remoteAddress, action } = request;
-    this.failures.spend(remoteAddress);
+    this.failureLimiter.spend(remoteAddress);
     await this.auditRefusal(
       FLEET_MEMBER,
       'anonymous',
@@ -150,7 +156,7 @@
     limitName: string,
     signal: AbortSignal,
   ): Promise<void> {
-    if (!this.audits.spend(limitName)) {
+    if (!this.auditLimiter.spend(limitName)) {
       this.unauditedCount += 1;
       return;
     }
--- a/packages/operators/src/access/common/memberLimiter.ts
+++ b/packages/operators/src/access/common/memberLimiter.ts
@@ -40,14 +40,14 @@
 export class MemberLimiter {
   readonly limits: Required<IMemberLimits>;
   private readonly requests: RateLimiter;
-  private readonly proposals: RateLimiter;
-  private readonly running = new Map<string, number>();
+  private readonly proposalLimiter: RateLimiter;
+  private readonly runningCounts = new Map<string, number>();
 
   constructor(clock: Clock, limits: IMemberLimits = {}) {
     this.limits = { ...DEFAULT_MEMBER_LIMITS, ...limits };
     const { requestsPerSecond, requestBurst, proposalsPerMinute } = this.limits;
     this.requests = new RateLimiter({ clock, perSecond: requestsPerSecond, burst: requestBurst });
-    this.proposals = new RateLimiter({
+    this.proposalLimiter = new RateLimiter({
       clock,
       perSecond: proposalsPerMinute / SECONDS_PER_MINUTE,
       burst: proposalsPerMinute,
@@ -59,26 +59,26 @@
     if (!this.requests.spend(member)) {
       throw createLimitError('too many requests', this.requests.getWaitMs(member));
     }
-    const count = this.running.get(member) ?? 0;
+    const count = this.runningCounts.get(member) ?? 0;
     if (count >= this.limits.concurrentRequests) throw createLimitError('too many at once', 1000);
-    this.running.set(member, count + 1);
+    this.runningCounts.set(member, count + 1);
     try {
       return await work();
     } finally {
-      this.endOne(member);
+      this.releaseRequest(member);
     }
   }
 
   /** Counts a proposal. Throws LimitExceeded. */
   spendProposal(member: string): void {
-    if (this.proposals.spend(member)) return;
-    throw createLimitError('too many intents', this.proposals.getWaitMs(member));
+    if (this.proposalLimiter.spend(member)) return;
+    throw createLimitError('too many intents', this.proposalLimiter.getWaitMs(member));
   }
 
-  private endOne(member: string): void {
-    const count = (this.running.get(member) ?? 1) - 1;
-    if (count === 0) this.running.delete(member);
-    else this.running.set(member, count);
+  private releaseRequest(member: string): void {
+    const count = (this.runningCounts.get(member) ?? 1) - 1;
+    if (count === 0) this.runningCounts.delete(member);
+    else this.runningCounts.set(member, count);
   }
 }
 
--- a/packages/operators/src/access/common/rateLimiter.ts
+++ b/packages/operators/src/access/common/rateLimiter.ts
@@ -35,31 +35,31 @@
 
   /** Takes one token of `name`; false when there is none. */
   spend(name: string): boolean {
-    const tokens = this.countTokens(name);
+    const tokens = this.updateTokens(name);
     if (tokens < 1) return false;
-    this.putTokens(name, tokens - 1);
+    this.storeTokens(name, tokens - 1);
     return true;
   }
 
   /** Milliseconds until `name` has a token. */
   getWaitMs(name: string): number {
-    const missing = 1 - this.countTokens(name);
+    const missing = 1 - this.updateTokens(name);
     return Math.max(0, Math.ceil((missing / this.options.perSecond) * MS_PER_SECOND));
   }
 
   /** The tokens that `name` has now. Asking also counts as use: the name is remembered longest. */
-  private countTokens(name: string): number {
+  private updateTokens(name: string): number {
     const { perSecond, burst } = this.options;
     const nowMs = this.options.clock.getMonotonicTime();
     const bucket = this.buckets.get(name) ?? { tokens: burst, updatedAtMs: nowMs };
     const gained = ((nowMs - bucket.updatedAtMs) / MS_PER_SECOND) * perSecond;
     const tokens = Math.min(burst, bucket.tokens + gained);
-    this.putTokens(name, tokens);
+    this.storeTokens(name, tokens);
     return tokens;
   }
 
   /** Removed first, so that the bucket goes to the end of the order in which they are forgotten. */
-  private putTokens(name: string, tokens: number): void {
+  private storeTokens(name: string, tokens: number): void {
     const updatedAtMs = this.options.clock.getMonotonicTime();
     this.buckets.delete(name);
     this.buckets.set(name, { tokens, updatedAtMs });
--- a/packages/operators/src/api/common/adminRoute.ts
+++ b/packages/operators/src/api/common/adminRoute.ts
@@ -17,7 +17,7 @@
 }
 
 /** A successful answer: a status of HTTP and a body of JSON. */
-export interface IAdminAnswer {
+export interface IAdminResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -29,7 +29,7 @@
   readonly path: string;
   /** Name for the audit log and counters, such as "plan.confirm". */
   readonly action: string;
-  readonly handle: (request: IAdminRequest) => Promise<IAdminAnswer>;
+  readonly handle: (request: IAdminRequest) => Promise<IAdminResponse>;
 }
 
 /** Offers routes. */
@@ -46,13 +46,13 @@
  * An answer with a message as its body.
  *
  * @example
- * return createAnswer(PlanSchema, plan, 201);
+ * return createResponse(PlanSchema, plan, 201);
  */
-export function createAnswer<Desc extends DescMessage>(
+export function createResponse<Desc extends DescMessage>(
   schema: Desc,
   message: MessageShape<Desc>,
   status = OK_STATUS,
-): IAdminAnswer {
+): IAdminResponse {
   return { status, body: toJsonString(schema, message, { alwaysEmitImplicit: true }) };
 }
 
--- a/packages/operators/src/api/common/burnHandler.ts
+++ b/packages/operators/src/api/common/burnHandler.ts
@@ -2,8 +2,8 @@
 import { BurnResponseSchema } from '@parsleymux/schema';
 import type { AccessControl } from '../../access/common/accessControl.js';
 import type { BurnReader } from '../../burn/common/burnReader.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
-import { AdminHandler, createAnswer } from './adminRoute.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import { AdminHandler, createResponse } from './adminRoute.js';
 
 /** Options of a {@link BurnHandler}. */
 export interface IBurnHandlerOptions {
@@ -28,10 +28,10 @@
     ];
   }
 
-  private async getReport(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getReport(request: IAdminRequest): Promise<IAdminResponse> {
     const { operator, signal } = request;
     const member = request.query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'burn.show', signal);
-    return createAnswer(BurnResponseSchema, await this.options.burn.getReport(member, signal));
+    return createResponse(BurnResponseSchema, await this.options.burn.getReport(member, signal));
   }
 }
--- a/packages/operators/src/api/common/claimHandler.ts
+++ b/packages/operators/src/api/common/claimHandler.ts
@@ -5,8 +5,8 @@
 import { ClaimInfoSchema, ClaimOutcome, SettleClaimRequestSchema } from '@parsleymux/schema';
 import type { AuditLog } from '../../audit/common/auditLog.js';
 import type { ClaimSettler } from '../../claims/common/claimSettler.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
-import { AdminHandler, createAnswer, getParameter, parseBody } from './adminRoute.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import { AdminHandler, createResponse, getParameter, parseBody } from './adminRoute.js';
 
 /** Options of a {@link ClaimHandler}. */
 export interface IClaimHandlerOptions {
@@ -38,20 +38,20 @@
     ];
   }
 
-  private async getClaim(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getClaim(request: IAdminRequest): Promise<IAdminResponse> {
     const claimKey = getParameter(request);
     const { member } = request.operator;
     const info = await this.options.claims.getClaim(member, claimKey, request.signal);
     if (info === undefined) {
-      throw refuse(ResultCode.NotFound, 'there is no claim under this idempotency key');
+      throw createRefusal(ResultCode.NotFound, 'there is no claim under this idempotency key');
     }
-    return createAnswer(ClaimInfoSchema, info);
+    return createResponse(ClaimInfoSchema, info);
   }
 
-  private async settle(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async settle(request: IAdminRequest): Promise<IAdminResponse> {
     const body = parseBody(SettleClaimRequestSchema, request.body);
     if (body.outcome === ClaimOutcome.UNSPECIFIED) {
-      throw refuse(ResultCode.MalformedRequest, 'the outcome is "ran" or "not-run"');
+      throw createRefusal(ResultCode.MalformedRequest, 'the outcome is "ran" or "not-run"');
     }
     const { member, keyId } = request.operator;
     const claimKey = getParameter(request);
@@ -60,7 +60,7 @@
     // Before the settlement, so that none can take effect without its line in the audit log.
     await this.recordAudit(request, `${ClaimOutcome[outcome]}: ${note}`);
     const info = await this.options.claims.settle(settlement, request.signal);
-    return createAnswer(ClaimInfoSchema, create(ClaimInfoSchema, info));
+    return createResponse(ClaimInfoSchema, create(ClaimInfoSchema, info));
   }
 
   private async recordAudit(request: IAdminRequest, note: string): Promise<void> {
@@ -78,6 +78,6 @@
   }
 }
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/api/common/errorBody.ts
+++ b/packages/operators/src/api/common/errorBody.ts
@@ -7,9 +7,9 @@
  * The error that may be shown: an unforeseen one could name anything, so it is replaced.
  *
  * @example
- * const shown = toShownError(error);
+ * const shown = toPublicError(error);
  */
-export function toShownError(error: unknown): MuxError {
+export function toPublicError(error: unknown): MuxError {
   if (error instanceof MuxError) return error;
   return new MuxError({
     code: ResultCode.Internal,
--- a/packages/operators/src/api/common/keyHandler.ts
+++ b/packages/operators/src/api/common/keyHandler.ts
@@ -11,9 +11,9 @@
 import type { AccessControl } from '../../access/common/accessControl.js';
 import type { AuditLog } from '../../audit/common/auditLog.js';
 import type { KeyStore } from '../../keys/common/keyStore.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
-import { AdminHandler, createAnswer, getParameter, parseBody } from './adminRoute.js';
-import { createKeyAnswer, toKeyInfo } from './keyAnswer.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import { AdminHandler, createResponse, getParameter, parseBody } from './adminRoute.js';
+import { createKeyResponse, toKeyInfo } from './keyResponse.js';
 
 const DEFAULT_AUDIT_ENTRIES = 100;
 const MAX_AUDIT_ENTRIES = 1000;
@@ -69,39 +69,39 @@
     ];
   }
 
-  private async list(request: IAdminRequest): Promise<IAdminAnswer> {
-    const member = await this.resolveMember(request, 'key.list');
+  private async list(request: IAdminRequest): Promise<IAdminResponse> {
+    const member = await this.resolveRequestedMember(request, 'key.list');
     const rows = await this.options.keys.list(member, request.signal);
     const response = create(ListKeysResponseSchema, { keys: rows.map(toKeyInfo) });
-    return createAnswer(ListKeysResponseSchema, response);
+    return createResponse(ListKeysResponseSchema, response);
   }
 
-  private async create(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async create(request: IAdminRequest): Promise<IAdminResponse> {
     const body = parseBody(CreateKeyRequestSchema, request.body);
-    const member = await this.resolveMember(request, 'key.create', body.member);
+    const member = await this.resolveRequestedMember(request, 'key.create', body.member);
     const { keys } = this.options;
     const operator = request.operator.keyId;
-    return createKeyAnswer(
+    return createKeyResponse(
       await keys.create({ member, note: body.note, operator }, request.signal),
     );
   }
 
-  private async rotate(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async rotate(request: IAdminRequest): Promise<IAdminResponse> {
     const body = parseBody(RotateKeyRequestSchema, request.body);
-    const member = await this.resolveMember(request, 'key.rotate');
+    const member = await this.resolveRequestedMember(request, 'key.rotate');
     const target = { member, id: getParameter(request), operator: request.operator.keyId };
     const overlapMs = body.overlapS * MS_PER_SECOND;
-    return createKeyAnswer(await this.options.keys.rotate(target, overlapMs, request.signal));
+    return createKeyResponse(await this.options.keys.rotate(target, overlapMs, request.signal));
   }
 
-  private async revoke(request: IAdminRequest): Promise<IAdminAnswer> {
-    const member = await this.resolveMember(request, 'key.revoke');
+  private async revoke(request: IAdminRequest): Promise<IAdminResponse> {
+    const member = await this.resolveRequestedMember(request, 'key.revoke');
     const target = { member, id: getParameter(request), operator: request.operator.keyId };
     const row = await this.options.keys.revoke(target, request.signal);
-    return createAnswer(KeyInfoSchema, create(KeyInfoSchema, toKeyInfo(row)));
+    return createResponse(KeyInfoSchema, create(KeyInfoSchema, toKeyInfo(row)));
   }
 
-  private async listAudit(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async listAudit(request: IAdminRequest): Promise<IAdminResponse> {
     const { operator, query, signal } = request;
     const member = query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'audit.show', signal);
@@ -111,10 +111,10 @@
     const response = create(ListAuditResponseSchema, {
       entries: entries.map((entry) => ({ ...entry, atMs: BigInt(entry.atMs) })),
     });
-    return createAnswer(ListAuditResponseSchema, response);
+    return createResponse(ListAuditResponseSchema, response);
   }
 
-  private async resolveMember(
+  private async resolveRequestedMember(
     request: IAdminRequest,
     action: string,
     wanted = '',
--- a/packages/operators/src/api/common/keyAnswer.ts
+++ b/packages/operators/src/api/common/keyResponse.ts
@@ -5,21 +5,21 @@
 import { CreateKeyResponseSchema } from '@parsleymux/schema';
 import type { IKeyRow } from '../../keys/common/keyRow.js';
 import type { ICreatedKey } from '../../keys/common/keyStore.js';
-import type { IAdminAnswer } from './adminRoute.js';
-import { createAnswer, CREATED_STATUS } from './adminRoute.js';
+import type { IAdminResponse } from './adminRoute.js';
+import { createResponse, CREATED_STATUS } from './adminRoute.js';
 
 /**
  * The answer with a new key: the only one that ever holds a secret.
  *
  * @example
- * return createKeyAnswer(await keys.createFirst('bootstrap', signal));
+ * return createKeyResponse(await keys.createBootstrapKey('bootstrap', signal));
  */
-export function createKeyAnswer(created: ICreatedKey): IAdminAnswer {
+export function createKeyResponse(created: ICreatedKey): IAdminResponse {
   const response = create(CreateKeyResponseSchema, {
     info: toKeyInfo(created.row),
     key: created.key,
   });
-  return createAnswer(CreateKeyResponseSchema, response, CREATED_STATUS);
+  return createResponse(CreateKeyResponseSchema, response, CREATED_STATUS);
 }
 
 /**
--- a/packages/operators/src/api/common/planHandler.ts
+++ b/packages/operators/src/api/common/planHandler.ts
@@ -9,10 +9,10 @@
 import { createLimitError } from '../../access/common/memberLimiter.js';
 import type { IntentReader } from '../../intents/common/intentReader.js';
 import { applyTargetAction } from '../../targets/common/targetAction.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
 import {
   AdminHandler,
-  createAnswer,
+  createResponse,
   CREATED_STATUS,
   getParameter,
   parseBody,
@@ -80,22 +80,22 @@
       const { operator, signal } = request;
       const member = request.query.get('member') ?? operator.member;
       await this.options.access.checkMember(operator, member, route.action, signal);
-      if (operator.isFleet) throw createFleetError();
+      if (operator.isFleet) throw createFleetOperatorError();
       return route.handle(request);
     };
     return { ...route, handle };
   }
 
-  private async getIntent(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getIntent(request: IAdminRequest): Promise<IAdminResponse> {
     const inForce = await this.options.plans.getIntent(request.operator.member, request.signal);
     const response = create(IntentResponseSchema, {
       memberRevision: BigInt(inForce.memberRevision),
       ...(inForce.intent === undefined ? {} : { intent: inForce.intent }),
     });
-    return createAnswer(IntentResponseSchema, response);
+    return createResponse(IntentResponseSchema, response);
   }
 
-  private async submit(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async submit(request: IAdminRequest): Promise<IAdminResponse> {
     this.options.limiter.spendProposal(request.operator.member);
     const intent = await this.options.intents.read(request.body, request.signal);
     const { access } = this.options;
@@ -103,7 +103,7 @@
     return this.propose(request.operator, intent, request.signal);
   }
 
-  private async planTarget(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async planTarget(request: IAdminRequest): Promise<IAdminResponse> {
     this.options.limiter.spendProposal(request.operator.member);
     const body = parseBody(TargetRequestSchema, request.body);
     const inForce = await this.options.plans.getIntent(request.operator.member, request.signal);
@@ -115,38 +115,38 @@
     operator: IOperator,
     intent: Intent,
     signal: AbortSignal,
-  ): Promise<IAdminAnswer> {
+  ): Promise<IAdminResponse> {
     const { plans, limiter } = this.options;
     const targets = intent.services.reduce((sum, service) => sum + service.targets.length, 0);
     if (targets > limiter.limits.targets) {
       throw createLimitError(`${targets} targets are more than ${limiter.limits.targets}`);
     }
-    return createPlanAnswer(await plans.propose(intent, operator.keyId, signal), CREATED_STATUS);
+    return createPlanResponse(await plans.propose(intent, operator.keyId, signal), CREATED_STATUS);
   }
 
-  private async getPlan(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getPlan(request: IAdminRequest): Promise<IAdminResponse> {
     const { member } = request.operator;
     const plan = await this.options.plans.getPlan(member, getParameter(request), request.signal);
-    return createPlanAnswer(plan);
+    return createPlanResponse(plan);
   }
 
-  private async confirm(request: IAdminRequest): Promise<IAdminAnswer> {
-    return createPlanAnswer(
+  private async confirm(request: IAdminRequest): Promise<IAdminResponse> {
+    return createPlanResponse(
       await this.options.plans.confirm(makePlanRequest(request), request.signal),
     );
   }
 
-  private async discard(request: IAdminRequest): Promise<IAdminAnswer> {
-    return createPlanAnswer(
+  private async discard(request: IAdminRequest): Promise<IAdminResponse> {
+    return createPlanResponse(
       await this.options.plans.discard(makePlanRequest(request), request.signal),
     );
   }
 }
 
 /** The fleet's revision is left out: its steps would tell how often other members change theirs. */
-function createPlanAnswer(plan: Plan, status?: number): IAdminAnswer {
+function createPlanResponse(plan: Plan, status?: number): IAdminResponse {
   const visible = create(PlanSchema, { ...plan, confirmedFleetRevision: 0n });
-  return createAnswer(PlanSchema, visible, status);
+  return createResponse(PlanSchema, visible, status);
 }
 
 function makePlanRequest(request: IAdminRequest) {
@@ -154,7 +154,7 @@
   return { member, planId: getParameter(request), operator: keyId };
 }
 
-function createFleetError(): MuxError {
+function createFleetOperatorError(): MuxError {
   const message = 'intents and plans belong to members; use the key of one';
   return new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/api/common/statusHandler.ts
+++ b/packages/operators/src/api/common/statusHandler.ts
@@ -7,8 +7,8 @@
 import { NodeStatusSchema, StatusResponseSchema } from '@parsleymux/schema';
 import type { AccessControl, IOperator } from '../../access/common/accessControl.js';
 import type { StatusProvider } from '../../status/common/statusProvider.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
-import { AdminHandler, createAnswer } from './adminRoute.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import { AdminHandler, createResponse } from './adminRoute.js';
 
 /** Options of a {@link StatusHandler}. */
 export interface IStatusHandlerOptions {
@@ -35,13 +35,13 @@
     ];
   }
 
-  private async getStatus(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getStatus(request: IAdminRequest): Promise<IAdminResponse> {
     const { operator, signal } = request;
     const member = request.query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'status.show', signal);
     const found = await this.options.status.getStatus(operator.member, signal);
     const newest = this.getNewestRevision(operator, found.nodes);
-    const nodes = found.nodes.map((node) => this.buildNode(node, operator, newest));
+    const nodes = found.nodes.map((node) => this.buildNodeStatus(node, operator, newest));
     const inForce = nodes.filter((node) => node.inForce).length;
     const memberConfig = this.options.config.getCurrent().members.get(operator.member);
     const response = create(StatusResponseSchema, {
@@ -52,7 +52,7 @@
       silentNodes: [...found.silentNodes],
       nodes,
     });
-    return createAnswer(StatusResponseSchema, response);
+    return createResponse(StatusResponseSchema, response);
   }
 
   /** For a member the fleet revision of its own newest change; for the fleet the newest of all. */
@@ -65,7 +65,11 @@
   }
 
   /** Checked here again, whatever the provider returns: a shard of another member stays hidden. */
-  private buildNode(node: GetNodeStatusResponse, operator: IOperator, newest: bigint): NodeStatus {
+  private buildNodeStatus(
+    node: GetNodeStatusResponse,
+    operator: IOperator,
+    newest: bigint,
+  ): NodeStatus {
     const shards = node.shards.filter((shard) => shard.member === operator.member);
     this.options.invariants.check(
       InvariantName.MemberIsolation,
--- a/packages/operators/src/api/node/adminApi.ts
+++ b/packages/operators/src/api/node/adminApi.ts
@@ -13,11 +13,11 @@
 import { WorkerIntentReader } from '../../intents/node/workerIntentReader.js';
 import type { KeyStore } from '../../keys/common/keyStore.js';
 import type { StatusProvider } from '../../status/common/statusProvider.js';
-import type { IAdminAnswer, IAdminRoute } from '../common/adminRoute.js';
+import type { IAdminResponse, IAdminRoute } from '../common/adminRoute.js';
 import { BurnHandler } from '../common/burnHandler.js';
 import { ClaimHandler } from '../common/claimHandler.js';
-import { formatErrorBody, toShownError } from '../common/errorBody.js';
-import { createKeyAnswer } from '../common/keyAnswer.js';
+import { formatErrorBody, toPublicError } from '../common/errorBody.js';
+import { createKeyResponse } from '../common/keyResponse.js';
 import { KeyHandler } from '../common/keyHandler.js';
 import { PlanHandler } from '../common/planHandler.js';
 import { StatusHandler } from '../common/statusHandler.js';
@@ -72,7 +72,7 @@
       ...new KeyHandler(shared).listRoutes(),
       ...new ClaimHandler(shared).listRoutes(),
       ...this.listBurnRoutes(),
-    ].map((route) => ({ ...route, pattern: makePattern(route.path) }));
+    ].map((route) => ({ ...route, pattern: makePathPattern(route.path) }));
   }
 
   /** Every operation, for the docs. */
@@ -99,16 +99,16 @@
     });
     try {
       const answer = await this.execute(request, gone.signal);
-      this.recordCode(ResultCode.Ok);
-      writeAnswer(response, answer);
+      this.countResult(ResultCode.Ok);
+      writeResponse(response, answer);
     } catch (error) {
-      this.writeRefusal(response, error);
+      this.writeErrorResponse(response, error);
     }
   }
 
-  private async execute(request: IncomingMessage, signal: AbortSignal): Promise<IAdminAnswer> {
+  private async execute(request: IncomingMessage, signal: AbortSignal): Promise<IAdminResponse> {
     const url = new URL(request.url ?? '/', 'http://admin.invalid');
-    if (url.pathname === BOOTSTRAP_PATH) return this.createFirst(request, signal);
+    if (url.pathname === BOOTSTRAP_PATH) return this.createBootstrapKey(request, signal);
     const { route, parameters } = this.findRoute(request.method ?? '', url.pathname);
     const access = makeAccessRequest(request, route.action);
     const operator = await this.access.verify(access, signal);
@@ -128,33 +128,36 @@
       const match = route.pattern.exec(path);
       return match === null ? [] : [{ route, parameters: match.slice(1).map(decodeParameter) }];
     });
-    if (matches.length === 0) throw refuse(ResultCode.UnknownRoute, 'there is no such path');
+    if (matches.length === 0) throw createRefusal(ResultCode.UnknownRoute, 'there is no such path');
     const found = matches.find(({ route }) => route.method === method);
     if (found === undefined) {
-      throw refuse(ResultCode.MethodNotAllowed, 'the path does not take this method');
+      throw createRefusal(ResultCode.MethodNotAllowed, 'the path does not take this method');
     }
     return found;
   }
 
   /** The fleet's first key, for whoever holds the fleet's secret. */
-  private async createFirst(request: IncomingMessage, signal: AbortSignal): Promise<IAdminAnswer> {
+  private async createBootstrapKey(
+    request: IncomingMessage,
+    signal: AbortSignal,
+  ): Promise<IAdminResponse> {
     if (request.method !== 'POST') {
-      throw refuse(ResultCode.MethodNotAllowed, 'the path takes POST only');
+      throw createRefusal(ResultCode.MethodNotAllowed, 'the path takes POST only');
     }
     const { bootstrapSecret, keys } = this.options;
     const access = makeAccessRequest(request, BOOTSTRAP_ACTION);
     await this.access.checkSecret(access, bootstrapSecret, signal);
-    return createKeyAnswer(await keys.createFirst(BOOTSTRAP_ACTION, signal));
+    return createKeyResponse(await keys.createBootstrapKey(BOOTSTRAP_ACTION, signal));
   }
 
-  private writeRefusal(response: ServerResponse, error: unknown): void {
+  private writeErrorResponse(response: ServerResponse, error: unknown): void {
     if (response.destroyed) {
       // Whatever broke off, nobody reads the answer; an operator's Ctrl-C is no fault of ours.
-      this.recordCode(ResultCode.CallerGone);
+      this.countResult(ResultCode.CallerGone);
       return;
     }
-    const shown = toShownError(error);
-    this.recordCode(shown.code);
+    const shown = toPublicError(error);
+    this.countResult(shown.code);
     if (shown.code === ResultCode.Internal) {
       this.options.logger.error('administration request failed', { error: String(error) });
     }
@@ -164,13 +167,13 @@
     }
     // The rest of a body that was not read would be taken for the next request.
     response.setHeader('connection', 'close');
-    writeAnswer(response, {
+    writeResponse(response, {
       status: getResultInfo(shown.code).httpStatus,
       body: formatErrorBody(shown),
     });
   }
 
-  private recordCode(code: ResultCode): void {
+  private countResult(code: ResultCode): void {
     this.counts.set(code, (this.counts.get(code) ?? 0) + 1);
   }
 }
@@ -184,11 +187,11 @@
   readonly parameters: readonly string[];
 }
 
-function makePattern(path: string): RegExp {
+function makePathPattern(path: string): RegExp {
   return new RegExp(`^${path.replaceAll(/\{[a-z]+\}/g, '([^/]+)')}$`);
 }
 
-function writeAnswer(response: ServerResponse, answer: IAdminAnswer): void {
+function writeResponse(response: ServerResponse, answer: IAdminResponse): void {
   response.writeHead(answer.status, {
     'content-type': 'application/json',
     'cache-control': 'no-store',
@@ -200,7 +203,7 @@
   try {
     return decodeURIComponent(text);
   } catch {
-    throw refuse(ResultCode.MalformedRequest, 'the path is not encoded as URLs are');
+    throw createRefusal(ResultCode.MalformedRequest, 'the path is not encoded as URLs are');
   }
 }
 
@@ -212,6 +215,6 @@
   };
 }
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/audit/common/auditLog.ts
+++ b/packages/operators/src/audit/common/auditLog.ts
@@ -15,10 +15,10 @@
 
 const SCAN_LIMIT = 1000;
 /** Spans that are read until there are enough entries; the last one is all that is kept. */
-const SPANS_DAYS = [1, 7, 30, 90] as const;
+const SCAN_SPANS_DAYS = [1, 7, 30, 90] as const;
 /** Entries older than this go, a batch at a time, whenever the log is read. */
-const KEPT_DAYS = 90;
-const REMOVED_AT_ONCE = 100;
+const RETENTION_DAYS = 90;
+const REMOVAL_BATCH_SIZE = 100;
 
 /** Options of an {@link AuditLog}. */
 export interface IAuditLogOptions {
@@ -68,7 +68,7 @@
     try {
       await this.removeExpired(member, signal);
       let rows: readonly ITableRow[] = [];
-      for (const days of SPANS_DAYS) {
+      for (const days of SCAN_SPANS_DAYS) {
         rows = await this.scanSince(member, this.getNowMs() - days * MS_PER_DAY, signal);
         if (rows.length >= limit) break;
       }
@@ -106,8 +106,12 @@
 
   private async removeExpired(member: string, signal?: AbortSignal): Promise<void> {
     const prefix = formatAuditPrefix(member);
-    const oldest = await this.options.table.scan({ prefix, limit: REMOVED_AT_ONCE }, signal);
-    const limit = formatAuditKey(member, Math.max(0, this.getNowMs() - KEPT_DAYS * MS_PER_DAY), '');
+    const oldest = await this.options.table.scan({ prefix, limit: REMOVAL_BATCH_SIZE }, signal);
+    const limit = formatAuditKey(
+      member,
+      Math.max(0, this.getNowMs() - RETENTION_DAYS * MS_PER_DAY),
+      '',
+    );
     const writes = oldest.filter(({ key }) => key < limit).map(({ key }) => ({ key, value: null }));
     if (writes.length > 0) await this.options.table.transact({ conditions: [], writes }, signal);
   }
--- a/packages/operators/src/burn/common/burnMerger.ts
+++ b/packages/operators/src/burn/common/burnMerger.ts
@@ -6,7 +6,7 @@
 import {
   decodeRawRow,
   decodeSlotRow,
-  KEPT_SLOTS,
+  RETAINED_SLOTS,
   mergeBySlot,
   parseRawInstant,
   parseSlotStart,
@@ -14,9 +14,9 @@
 } from './burnRows.js';
 
 /** Until then the writer may repeat a write whose answer was lost. */
-export const MERGE_AFTER_MS = 600_000;
+export const MIN_MERGE_AGE_MS = 600_000;
 const DEFAULT_INTERVAL_MS = 300_000;
-const MAX_ROWS_AT_ONCE = 100;
+const MERGE_BATCH_SIZE = 100;
 
 /** Options of a {@link BurnMerger}. */
 export interface IBurnMergerOptions {
@@ -61,8 +61,8 @@
 
   private async scanMergeable(signal: AbortSignal): Promise<readonly ITableRow[]> {
     const { table, clock } = this.options;
-    const rows = await table.scan({ prefix: RAW_PREFIX, limit: MAX_ROWS_AT_ONCE }, signal);
-    const limitMs = clock.getWallTime() - MERGE_AFTER_MS;
+    const rows = await table.scan({ prefix: RAW_PREFIX, limit: MERGE_BATCH_SIZE }, signal);
+    const limitMs = clock.getWallTime() - MIN_MERGE_AGE_MS;
     return rows.filter((row) => parseRawInstant(row.key) <= limitMs);
   }
 
@@ -80,16 +80,19 @@
     const writes: ITableWrite[] = rows.map(({ key }) => ({ key, value: null }));
     for (const [key, counts] of sums) {
       const total = mergeServiceCounts(decodeSlotRow(known.get(key)), counts);
-      writes.push({ key, value: JSON.stringify(total) }, { key: formatExpired(key), value: null });
+      writes.push(
+        { key, value: JSON.stringify(total) },
+        { key: formatExpiredSlotKey(key), value: null },
+      );
     }
     return (await table.transact({ conditions, writes }, signal)).committed;
   }
 }
 
 /** The row that falls out of the longest window as this one comes in. */
-function formatExpired(key: string): string {
+function formatExpiredSlotKey(key: string): string {
   const slotMs = parseSlotStart(key);
   const prefix = key.slice(0, key.lastIndexOf('/') + 1);
-  const expired = String(Math.max(0, slotMs - KEPT_SLOTS * SLOT_MS));
+  const expired = String(Math.max(0, slotMs - RETAINED_SLOTS * SLOT_MS));
   return prefix + expired.padStart(key.length - prefix.length, '0');
 }
--- a/packages/operators/src/burn/common/burnPlot.ts
+++ b/packages/operators/src/burn/common/burnPlot.ts
@@ -4,7 +4,7 @@
 import { scaleSymlog, scaleUtc } from 'd3-scale';
 import { line } from 'd3-shape';
 import type { ISlotCounts } from './burnRates.js';
-import { computeBurnAt } from './burnRates.js';
+import { computeBurnRatesAt } from './burnRates.js';
 
 const WIDTH = 960;
 const HEIGHT = 260;
@@ -12,11 +12,11 @@
 const PLOT_SPAN_MS = 3 * MS_PER_DAY;
 const TICK_LENGTH = 5;
 const LABEL_GAP = 14;
-const TOP_OF_CALM = 20;
+const MIN_TOP_BURN = 20;
 const X_TICKS = 7;
 /** Even, over a month, and the limits of the two alerts that page. */
 const GUIDES = [0, 1, 6, 14.4] as const;
-const MORE_TICKS = [100, 1000] as const;
+const HIGH_BURN_GUIDES = [100, 1000] as const;
 
 const AVAILABILITY_COLOR = '#a4161a';
 const LATENCY_COLOR = '#1c5d99';
@@ -44,8 +44,8 @@
   const series = listSeries(service);
   const highest = Math.max(...series.flatMap(({ points }) => points.map(({ burn }) => burn)), 0);
   const x = scaleUtc([nowMs - PLOT_SPAN_MS, nowMs], [MARGIN.left, WIDTH - MARGIN.right]);
-  const y = scaleSymlog([0, Math.max(TOP_OF_CALM, highest)], [HEIGHT - MARGIN.bottom, MARGIN.top]);
-  const guides = [...GUIDES, ...MORE_TICKS.filter((tick) => tick <= highest)];
+  const y = scaleSymlog([0, Math.max(MIN_TOP_BURN, highest)], [HEIGHT - MARGIN.bottom, MARGIN.top]);
+  const guides = [...GUIDES, ...HIGH_BURN_GUIDES.filter((tick) => tick <= highest)];
   const parts = [
     ...guides.map((burn) => renderGuide(y(burn), String(burn))),
     ...x
@@ -77,7 +77,7 @@
     },
   }));
   const burns = slots.map(({ slotMs }) => {
-    return { atMs: slotMs, ...computeBurnAt(slots, service.objective, slotMs, MS_PER_HOUR) };
+    return { atMs: slotMs, ...computeBurnRatesAt(slots, service.objective, slotMs, MS_PER_HOUR) };
   });
   return [
     {
--- a/packages/operators/src/burn/common/burnRates.ts
+++ b/packages/operators/src/burn/common/burnRates.ts
@@ -47,18 +47,18 @@
  * window can be up to one slot longer than its name.
  *
  * @example
- * const windows = computeWindows(slots, service.objective, clock.getWallTime());
+ * const windows = computeWindowBurns(slots, service.objective, clock.getWallTime());
  */
-export function computeWindows(
+export function computeWindowBurns(
   slots: readonly ISlotCounts[],
   objective: Objective | undefined,
   nowMs: number,
 ): readonly WindowBurn[] {
   return WINDOWS_S.map((windowS) => {
-    const burn = computeBurnAt(slots, objective, nowMs, windowS * MS_PER_SECOND);
+    const burn = computeBurnRatesAt(slots, objective, nowMs, windowS * MS_PER_SECOND);
     return create(WindowBurnSchema, {
       windowS,
-      counts: create(BurnCountsSchema, toMessage(burn.counts)),
+      counts: create(BurnCountsSchema, toCountsMessage(burn.counts)),
       availabilityBurn: burn.availability,
       latencyBurn: burn.latency,
     });
@@ -66,7 +66,7 @@
 }
 
 /** The burn of one span of time. */
-export interface IBurn {
+export interface IBurnRates {
   readonly counts: IBurnCounts;
   readonly availability: number;
   readonly latency: number;
@@ -76,23 +76,23 @@
  * The burn of the span of `spanMs` that ends at `atMs`.
  *
  * @example
- * computeBurnAt(slots, objective, nowMs, 3_600_000).availability;
+ * computeBurnRatesAt(slots, objective, nowMs, 3_600_000).availability;
  */
-export function computeBurnAt(
+export function computeBurnRatesAt(
   slots: readonly ISlotCounts[],
   objective: Objective | undefined,
   atMs: number,
   spanMs: number,
-): IBurn {
+): IBurnRates {
   const counts = slots
     .filter((slot) => slot.slotMs > atMs - spanMs - SLOT_MS && slot.slotMs <= atMs)
     .reduce((sum, slot) => addCounts(sum, slot.counts), NO_COUNTS);
-  const availability = getShare(objective?.availability, DEFAULT_AVAILABILITY);
-  const latencyShare = getShare(objective?.latencyShare, DEFAULT_LATENCY_SHARE);
+  const availability = getShareOrDefault(objective?.availability, DEFAULT_AVAILABILITY);
+  const latencyShare = getShareOrDefault(objective?.latencyShare, DEFAULT_LATENCY_SHARE);
   return {
     counts,
-    availability: computeBurn(counts.failed, counts.requests, availability),
-    latency: computeBurn(counts.slow, counts.requests - counts.failed, latencyShare),
+    availability: computeBurnRate(counts.failed, counts.requests, availability),
+    latency: computeBurnRate(counts.slow, counts.requests - counts.failed, latencyShare),
   };
 }
 
@@ -125,9 +125,9 @@
  * Counts as they are in messages.
  *
  * @example
- * create(BurnCountsSchema, toMessage(counts));
+ * create(BurnCountsSchema, toCountsMessage(counts));
  */
-export function toMessage(counts: IBurnCounts) {
+export function toCountsMessage(counts: IBurnCounts) {
   return {
     requests: BigInt(counts.requests),
     failed: BigInt(counts.failed),
@@ -136,11 +136,11 @@
 }
 
 /** Share of bad ones over the share that the objective allows; 0 without requests. */
-function computeBurn(bad: number, all: number, objective: number): number {
+function computeBurnRate(bad: number, all: number, objective: number): number {
   return all <= 0 ? 0 : bad / all / (1 - objective);
 }
 
 /** An absent number is 0 in a message. */
-function getShare(share: number | undefined, byDefault: number): number {
+function getShareOrDefault(share: number | undefined, byDefault: number): number {
   return share === undefined || share === 0 ? byDefault : share;
 }
--- a/packages/operators/src/burn/common/burnReader.ts
+++ b/packages/operators/src/burn/common/burnReader.ts
@@ -16,13 +16,13 @@
 import type { ServiceCounts } from './burnCounts.js';
 import { getSlotStart, mergeServiceCounts, SLOT_MS } from './burnCounts.js';
 import type { ISlotCounts } from './burnRates.js';
-import { computeWindows, listAlerts, toMessage } from './burnRates.js';
+import { computeWindowBurns, listAlerts, toCountsMessage } from './burnRates.js';
 import {
   decodeRawRow,
   decodeSlotRow,
   formatSlotKey,
   formatSlotPrefix,
-  KEPT_SLOTS,
+  RETAINED_SLOTS,
   mergeBySlot,
   parseSlotStart,
   RAW_PREFIX,
@@ -30,7 +30,7 @@
 
 const SCAN_LIMIT = 1000;
 /** A merge between the two scans would hide the rows it moved; then both are read anew. */
-const MAX_SCANS = 3;
+const MAX_SCAN_ATTEMPTS = 3;
 
 /** Options of a {@link BurnReader}. */
 export interface IBurnReaderOptions {
@@ -67,10 +67,11 @@
     try {
       let raw = await this.scanAll(RAW_PREFIX, '', signal);
       for (let count = 1; ; count += 1) {
-        const after = formatSlotKey(member, getSlotStart(nowMs) - KEPT_SLOTS * SLOT_MS);
+        const after = formatSlotKey(member, getSlotStart(nowMs) - RETAINED_SLOTS * SLOT_MS);
         const merged = await this.scanAll(formatSlotPrefix(member), after, signal);
         const rawAfter = await this.scanAll(RAW_PREFIX, '', signal);
-        if (!hasLost(raw, rawAfter) || count === MAX_SCANS) return joinRows(member, merged, raw);
+        if (!hasRemovedRows(raw, rawAfter) || count === MAX_SCAN_ATTEMPTS)
+          return mergeRows(member, merged, raw);
         raw = rawAfter;
       }
     } catch (error) {
@@ -97,12 +98,12 @@
 }
 
 /** Raw rows that are gone were merged between the scans, before or after the merged rows were read. */
-function hasLost(before: readonly ITableRow[], after: readonly ITableRow[]): boolean {
+function hasRemovedRows(before: readonly ITableRow[], after: readonly ITableRow[]): boolean {
   const kept = new Set(after.map((row) => row.key));
   return before.some((row) => !kept.has(row.key));
 }
 
-function joinRows(
+function mergeRows(
   member: string,
   merged: readonly ITableRow[],
   raw: readonly ITableRow[],
@@ -125,7 +126,7 @@
     return counts === undefined ? [] : [{ slotMs: parseSlotStart(key), counts }];
   });
   own.sort((left, right) => left.slotMs - right.slotMs);
-  const windows = computeWindows(own, service.objective, nowMs);
+  const windows = computeWindowBurns(own, service.objective, nowMs);
   return create(ServiceBurnSchema, {
     service: service.name,
     ...(service.objective === undefined ? {} : { objective: service.objective }),
@@ -134,7 +135,7 @@
       create(BurnPointSchema, {
         startMs: BigInt(slotMs),
         durationS: SLOT_MS / MS_PER_SECOND,
-        counts: create(BurnCountsSchema, toMessage(counts)),
+        counts: create(BurnCountsSchema, toCountsMessage(counts)),
       }),
     ),
     alerts: [...listAlerts(windows)],
--- a/packages/operators/src/burn/common/burnRecorder.ts
+++ b/packages/operators/src/burn/common/burnRecorder.ts
@@ -9,14 +9,14 @@
 import { addCounts, getSlotStart, NO_COUNTS } from './burnCounts.js';
 import type { IRawCounts } from './burnRows.js';
 import { encodeRawCounts, formatRawKey } from './burnRows.js';
-import { MERGE_AFTER_MS } from './burnMerger.js';
+import { MIN_MERGE_AGE_MS } from './burnMerger.js';
 
 const DEFAULT_FLUSH_MS = 60_000;
 /** Counts kept while the store is out: two hours of 200 services. Beyond it the oldest go. */
-const MAX_PENDING = 5000;
+const MAX_PENDING_COUNTS = 5000;
 const DEFAULT_LATENCY_MS = 1000;
 /** Requests refused for what they are, and callers that left, say nothing of the service. */
-const FIRST_SERVER_CODE = 2000;
+const MIN_SERVER_CODE = 2000;
 const UNCOUNTED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.IdempotencyKeyMissing,
   ResultCode.IdempotencyKeyConflict,
@@ -45,7 +45,7 @@
 /** A write whose outcome is not known yet. It is repeated as it is, under the same key. */
 interface IBatch {
   readonly key: string;
-  readonly madeAtMs: number;
+  readonly createdAtMs: number;
   readonly counts: readonly IRawCounts[];
 }
 
@@ -74,7 +74,7 @@
 
   /** Counts one finished request. */
   record(request: IFinishedRequest): void {
-    const counts = this.count(request);
+    const counts = this.toCounts(request);
     if (counts === undefined || request.member === '') return;
     const { member, service } = request;
     const slotMs = getSlotStart(this.options.clock.getWallTime());
@@ -123,8 +123,8 @@
       return;
     }
     this.unresolvedKey = batch.key;
-    const ageMs = this.options.clock.getWallTime() - batch.madeAtMs;
-    if (ageMs < MERGE_AFTER_MS / 2) return;
+    const ageMs = this.options.clock.getWallTime() - batch.createdAtMs;
+    if (ageMs < MIN_MERGE_AGE_MS / 2) return;
     this.batch = undefined;
     this.lostCount += batch.counts.reduce((sum, counts) => sum + counts.requests, 0);
   }
@@ -133,9 +133,9 @@
     if (this.pending.size === 0) return undefined;
     const counts = [...this.pending.values()];
     this.pending.clear();
-    const madeAtMs = this.options.clock.getWallTime();
+    const createdAtMs = this.options.clock.getWallTime();
     this.sequence += 1;
-    return { key: formatRawKey(madeAtMs, this.writer, this.sequence), madeAtMs, counts };
+    return { key: formatRawKey(createdAtMs, this.writer, this.sequence), createdAtMs, counts };
   }
 
   private addPending(counts: IRawCounts): void {
@@ -145,7 +145,7 @@
       key,
       known === undefined ? counts : { ...counts, ...addCounts(known, counts) },
     );
-    if (this.pending.size <= MAX_PENDING) return;
+    if (this.pending.size <= MAX_PENDING_COUNTS) return;
     const oldest = this.pending.entries().next();
     if (oldest.done === true) return;
     this.pending.delete(oldest.value[0]);
@@ -153,13 +153,13 @@
   }
 
   /** Undefined when the request says nothing of how the service is served. */
-  private count(request: IFinishedRequest): IBurnCounts | undefined {
+  private toCounts(request: IFinishedRequest): IBurnCounts | undefined {
     const { code } = request;
     if (code === ResultCode.Ok) {
       const isSlow = request.durationMs > this.getLatencyObjective(request);
       return { ...NO_COUNTS, requests: 1, slow: isSlow ? 1 : 0 };
     }
-    if (code < FIRST_SERVER_CODE || UNCOUNTED_CODES.has(code)) return undefined;
+    if (code < MIN_SERVER_CODE || UNCOUNTED_CODES.has(code)) return undefined;
     return { requests: 1, failed: 1, slow: 0 };
   }
 
--- a/packages/operators/src/burn/common/burnRows.ts
+++ b/packages/operators/src/burn/common/burnRows.ts
@@ -10,7 +10,7 @@
 /** Prefix of the rows that nodes insert, until they are merged. */
 export const RAW_PREFIX = 'burn/raw/';
 /** Slots kept of each member: the longest window, three days, and the slot that is running. */
-export const KEPT_SLOTS = 865;
+export const RETAINED_SLOTS = 865;
 
 const INSTANT_DIGITS = 14;
 
--- a/packages/operators/src/intents/node/intentWorker.ts
+++ b/packages/operators/src/intents/node/intentWorker.ts
@@ -5,11 +5,11 @@
 import { parseIntentText } from './intentText.js';
 
 /** What the thread answers. */
-export type IntentWorkerAnswer =
+export type IntentWorkerResponse =
   | { readonly bytes: Uint8Array; readonly problem?: undefined }
   | { readonly bytes?: undefined; readonly problem: string };
 
-function readIntent(text: string): IntentWorkerAnswer {
+function readIntent(text: string): IntentWorkerResponse {
   try {
     return { bytes: toBinary(IntentSchema, parseIntentText(text)) };
   } catch (error) {
--- a/packages/operators/src/intents/node/workerIntentReader.ts
+++ b/packages/operators/src/intents/node/workerIntentReader.ts
@@ -10,15 +10,15 @@
 import { IntentSchema } from '@parsleymux/schema';
 import { createLimitError } from '../../access/common/memberLimiter.js';
 import { IntentReader } from '../common/intentReader.js';
-import type { IntentWorkerAnswer } from './intentWorker.js';
+import type { IntentWorkerResponse } from './intentWorker.js';
 import { createIntentError, parseIntentText } from './intentText.js';
 
 /** Below this a thread costs more than it spares. */
-const INLINE_LENGTH = 8192;
-const DEFAULT_LIMIT_MS = 5000;
+const MAX_INLINE_LENGTH = 8192;
+const DEFAULT_TIMEOUT_MS = 5000;
 const MAX_THREADS = 2;
-const MAX_WAITING = 20;
-const HEAP_MB = 96;
+const MAX_QUEUED_READS = 20;
+const MAX_HEAP_MB = 96;
 const BUSY_RETRY_MS = 2000;
 
 /** Options of a {@link WorkerIntentReader}. */
@@ -43,7 +43,7 @@
   }
 
   override async read(text: string, signal: AbortSignal): Promise<Intent> {
-    if (text.length <= INLINE_LENGTH) return parseIntentText(text);
+    if (text.length <= MAX_INLINE_LENGTH) return parseIntentText(text);
     await this.reserveThread();
     try {
       signal.throwIfAborted();
@@ -56,14 +56,14 @@
   private async readInThread(text: string, signal: AbortSignal): Promise<Intent> {
     const worker = new Worker(new URL('./intentWorker.js', import.meta.url), {
       workerData: text,
-      resourceLimits: { maxOldGenerationSizeMb: HEAP_MB },
+      resourceLimits: { maxOldGenerationSizeMb: MAX_HEAP_MB },
     });
-    const limitMs = this.options.limitMs ?? DEFAULT_LIMIT_MS;
+    const limitMs = this.options.limitMs ?? DEFAULT_TIMEOUT_MS;
     const end = () => void worker.terminate();
     const timer = this.options.clock.startTimer(limitMs, end);
     signal.addEventListener('abort', end, { once: true });
     try {
-      const answer = await waitForAnswer(worker);
+      const answer = await waitForResponse(worker);
       if (answer.bytes === undefined) throw createIntentError(answer.problem);
       return fromBinary(IntentSchema, answer.bytes);
     } finally {
@@ -78,7 +78,7 @@
       this.running += 1;
       return;
     }
-    if (this.waiting.length >= MAX_WAITING) {
+    if (this.waiting.length >= MAX_QUEUED_READS) {
       throw createLimitError('too many large intents are being read', BUSY_RETRY_MS);
     }
     await new Promise<void>((resolve) => this.waiting.push(resolve));
@@ -92,7 +92,7 @@
   }
 }
 
-function waitForAnswer(worker: Worker): Promise<IntentWorkerAnswer> {
+function waitForResponse(worker: Worker): Promise<IntentWorkerResponse> {
   return new Promise((resolve) => {
     const fail = () => {
       resolve({ problem: 'reading the intent takes too much time or memory' });
--- a/packages/operators/src/keys/common/keyCache.ts
+++ b/packages/operators/src/keys/common/keyCache.ts
@@ -6,12 +6,12 @@
 import type { IKeyRow } from './keyRow.js';
 
 /** A revoked key is refused by every node after this time. */
-const FRESH_MS = 5000;
+const MAX_AGE_MS = 5000;
 /** With the store out, operators who were known shortly before can still look at the status. */
-const OUTAGE_GRACE_MS = 300_000;
+const MAX_OUTAGE_AGE_MS = 300_000;
 const MAX_ENTRIES = 1000;
 
-interface IEntry {
+interface ICachedRow {
   readonly row: IKeyRow;
   readonly readAtMs: number;
 }
@@ -30,7 +30,7 @@
  * const row = await cache.read('keys/dobrescu/0011223344aa');
  */
 export class KeyCache {
-  private readonly entries = new Map<string, IEntry>();
+  private readonly entries = new Map<string, ICachedRow>();
 
   constructor(private readonly options: IKeyCacheOptions) {}
 
@@ -38,7 +38,7 @@
   async read(rowKey: string, signal?: AbortSignal): Promise<IKeyRow | undefined> {
     const known = this.entries.get(rowKey);
     const ageMs = this.getNow() - (known?.readAtMs ?? -Infinity);
-    if (known !== undefined && ageMs <= FRESH_MS) return known.row;
+    if (known !== undefined && ageMs <= MAX_AGE_MS) return known.row;
     try {
       const [row] = await this.options.table.read([rowKey], signal);
       if (row === undefined) {
@@ -48,7 +48,7 @@
       return this.putEntry(rowKey, JSON.parse(row.value) as IKeyRow);
     } catch (error) {
       if (!(error instanceof PlatformError)) throw error;
-      if (known !== undefined && ageMs <= OUTAGE_GRACE_MS) return known.row;
+      if (known !== undefined && ageMs <= MAX_OUTAGE_AGE_MS) return known.row;
       throw createStoreError(false, error);
     }
   }
--- a/packages/operators/src/keys/common/keyStore.ts
+++ b/packages/operators/src/keys/common/keyStore.ts
@@ -19,9 +19,9 @@
 
 const MAX_KEYS_PER_MEMBER = 50;
 /** As long as the audit log that names the key. */
-const ENDED_KEY_KEPT_MS = 90 * MS_PER_DAY;
+const ENDED_KEY_RETENTION_MS = 90 * MS_PER_DAY;
 /** This row stands for "the fleet has had its first key"; only the platform's owner removes it. */
-const BOOTSTRAP_KEY = 'keys/@fleet-bootstrapped';
+const BOOTSTRAP_ROW_KEY = 'keys/@fleet-bootstrapped';
 
 /** Options of a {@link KeyStore}. */
 export interface IKeyStoreOptions {
@@ -89,7 +89,7 @@
     const key = createOperatorKey(request.member);
     const row = this.makeRow(key, request);
     const audit = this.makeAuditWrite(request, 'key.create', key.id);
-    return this.storeNew(key, row, [audit, ...this.makeRemovals(keys)], signal);
+    return this.storeKeyRow(key, row, [audit, ...this.makeRemovals(keys)], signal);
   }
 
   /** The member's keys, revoked ones included. Throws StoreUnavailable. */
@@ -119,23 +119,23 @@
    * Makes the fleet's first operator key, once in the life of the fleet.
    * Throws Forbidden when that was done before.
    */
-  async createFirst(note: string, signal?: AbortSignal): Promise<ICreatedKey> {
+  async createBootstrapKey(note: string, signal?: AbortSignal): Promise<ICreatedKey> {
     const key = createOperatorKey(FLEET_MEMBER);
     const request = { member: FLEET_MEMBER, note, operator: 'bootstrap' };
     const marker = await this.retry.run(signal, async () => {
-      return this.options.table.read([BOOTSTRAP_KEY], signal);
+      return this.options.table.read([BOOTSTRAP_ROW_KEY], signal);
     });
-    if (marker.length > 0) throw createBootstrappedError();
+    if (marker.length > 0) throw createAlreadyBootstrappedError();
     const row = this.makeRow(key, request);
     const writes = [
-      { key: BOOTSTRAP_KEY, value: JSON.stringify({ atMs: row.createdAtMs }) },
+      { key: BOOTSTRAP_ROW_KEY, value: JSON.stringify({ atMs: row.createdAtMs }) },
       this.makeAuditWrite(request, 'key.bootstrap', key.id),
     ];
-    return this.storeNew(key, row, writes, signal, BOOTSTRAP_KEY);
+    return this.storeKeyRow(key, row, writes, signal, BOOTSTRAP_ROW_KEY);
   }
 
   /** Inserts the row with `writes`; of two that need the same absent `guard` row, one fails. */
-  private async storeNew(
+  private async storeKeyRow(
     key: IOperatorKey,
     row: IKeyRow,
     writes: readonly ITableWrite[],
@@ -151,7 +151,7 @@
       const result = await this.options.table.transact({ conditions, writes: allWrites }, signal);
       // Its identifier is random: a row of that name is ours, from a try whose answer was lost.
       const isOurs = result.conflicts.some((conflict) => conflict.key === rowKey);
-      if (!result.committed && !isOurs) throw createBootstrappedError();
+      if (!result.committed && !isOurs) throw createAlreadyBootstrappedError();
       return { row, key: formatOperatorKey(key) };
     });
   }
@@ -185,7 +185,7 @@
 
   /** Keys that ended long ago; without this each rotation would leave a row for ever. */
   private makeRemovals(keys: readonly IKeyRow[]): readonly ITableWrite[] {
-    const limitMs = this.getNowMs() - ENDED_KEY_KEPT_MS;
+    const limitMs = this.getNowMs() - ENDED_KEY_RETENTION_MS;
     return keys
       .filter(({ endsAtMs }) => endsAtMs > 0 && endsAtMs < limitMs)
       .map(({ member, id }) => ({ key: formatKeyRowKey(member, id), value: null }));
@@ -235,7 +235,7 @@
   return new MuxError({ code: ResultCode.NotFound, message, runState: RunState.NotRun });
 }
 
-function createBootstrappedError(): MuxError {
+function createAlreadyBootstrappedError(): MuxError {
   const message = 'the fleet has had its first key; ask an operator of the fleet for one';
   return new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/targets/common/floorRace.test.ts
+++ b/packages/operators/src/targets/common/floorRace.test.ts
@@ -25,7 +25,7 @@
 const TARGETS = [1, 2, 3, 4, 5, 6].map((index) => `127.0.0.${index}:9001`);
 const RUNS = 300;
 /** Turns of the event loop for which a home goes on with what it read; a plan takes about 200. */
-const MAX_TURNS_BEHIND = 600;
+const MAX_STALE_TURNS = 600;
 
 const actions = fc.record({
   kind: fc.constantFrom('eject', 'eject', 'return', 'remove', 'drain', 'restore'),
@@ -38,20 +38,20 @@
 interface IOptions {
   readonly seed: number;
   /** The homes tell the ledger a revision that no plan can be ahead of. */
-  readonly hidesRevision?: boolean;
+  readonly omitsRevision?: boolean;
 }
 
 /** Two homes that eject on the configuration they read last, and operators who change it. */
-class World {
+class FloorFixture {
   readonly platform;
   readonly invariants = new InvariantRegistry();
   readonly plans: PlanStore;
   readonly ledgers: readonly TableEjectionLedger[];
   readonly intents = new Map<string, Intent>();
   private readonly random: SeededRandom;
-  private readonly held = new Set<string>();
+  private readonly effectiveEjections = new Set<string>();
   private readonly returning = new Set<string>();
-  lowest = Infinity;
+  lowestSlots = Infinity;
   ejected = 0;
   confirmed = 0;
   private readonly signal = new AbortController().signal;
@@ -81,25 +81,28 @@
     const addresses = new Set(service.targets.map((target) => target.address));
     const row = decodeEjections(rows.get(formatEjectionKey(MEMBER, SERVICE)));
     const listed = row.ejected.map((entry) => entry.target);
-    for (const target of this.held) {
+    for (const target of this.effectiveEjections) {
       const hasEnded = this.returning.has(target) || !addresses.has(target);
-      if (hasEnded && !listed.includes(target)) this.held.delete(target);
+      if (hasEnded && !listed.includes(target)) this.effectiveEjections.delete(target);
     }
-    for (const target of listed) this.held.add(target);
-    this.lowest = Math.min(this.lowest, computeServingSlots(service, this.held));
+    for (const target of listed) this.effectiveEjections.add(target);
+    this.lowestSlots = Math.min(
+      this.lowestSlots,
+      computeServingSlots(service, this.effectiveEjections),
+    );
   }
 
-  async putInForce(intent: Intent): Promise<void> {
+  async confirmIntent(intent: Intent): Promise<void> {
     const plan = await this.plans.propose(intent, 'key');
     this.intents.set(plan.id, intent);
     await this.plans.confirm({ member: MEMBER, planId: plan.id, operator: 'key' });
     this.confirmed += 1;
   }
 
-  async execute(action: Action): Promise<void> {
+  async runAction(action: Action): Promise<void> {
     if (action.kind === 'eject') return this.eject(action);
     if (action.kind === 'return') return this.returnTarget(action);
-    return this.change(action);
+    return this.changeTargets(action);
   }
 
   private async returnTarget({ home, target }: Action): Promise<void> {
@@ -113,7 +116,7 @@
     const service = intent!.services[0]!;
     if (!service.targets.some((target) => target.address === action.target)) return;
     // The home goes on with this configuration for a while, whatever is confirmed meanwhile.
-    const turns = this.random.getInteger(2) * this.random.getInteger(MAX_TURNS_BEHIND);
+    const turns = this.random.getInteger(2) * this.random.getInteger(MAX_STALE_TURNS);
     for (let turn = 0; turn < turns; turn += 1) await Promise.resolve();
     const decision = await this.ledgers[action.home]!.requestEjection(
       {
@@ -121,21 +124,21 @@
         service,
         target: action.target,
         otherwiseUnhealthy: [],
-        memberRevision: this.options.hidesRevision === true ? Infinity : memberRevision,
+        memberRevision: this.options.omitsRevision === true ? Infinity : memberRevision,
       },
       this.signal,
     );
     if (decision === 'granted') this.ejected += 1;
   }
 
-  private async change(action: Action): Promise<void> {
+  private async changeTargets(action: Action): Promise<void> {
     const { intent } = await this.plans.getIntent(MEMBER);
     const kept = intent!.services[0]!.targets.map((target) => target.address);
     const without = kept.filter((address) => address !== action.target);
     const targets = action.kind === 'remove' ? without : [...without, action.target];
     const next = createTestIntent(MEMBER, { targets, floorSlots: FLOOR });
     if (action.kind === 'drain') next.services[0]!.targets.at(-1)!.state = TargetState.DRAINING;
-    await this.putInForce(next).catch((error: unknown) => {
+    await this.confirmIntent(next).catch((error: unknown) => {
       const { code } = error as MuxError;
       const expected: readonly number[] = [
         ResultCode.FloorWouldBreak,
@@ -147,11 +150,11 @@
   }
 }
 
-async function runRace(list: readonly Action[], options: IOptions): Promise<World> {
-  const world = new World(options);
-  await world.putInForce(createTestIntent(MEMBER, { targets: TARGETS, floorSlots: FLOOR }));
+async function runRace(list: readonly Action[], options: IOptions): Promise<FloorFixture> {
+  const world = new FloorFixture(options);
+  await world.confirmIntent(createTestIntent(MEMBER, { targets: TARGETS, floorSlots: FLOOR }));
   for (let index = 0; index < list.length; index += 4) {
-    await Promise.all(list.slice(index, index + 4).map((action) => world.execute(action)));
+    await Promise.all(list.slice(index, index + 4).map((action) => world.runAction(action)));
   }
   return world;
 }
@@ -168,7 +171,7 @@
   await fc.assert(
     fc.asyncProperty(fc.nat(), fc.array(actions, { maxLength: 32 }), async (seed, list) => {
       const world = await runRace(list, { seed });
-      assert.ok(world.lowest >= FLOOR, `${world.lowest} slots`);
+      assert.ok(world.lowestSlots >= FLOOR, `${world.lowestSlots} slots`);
       assert.equal(world.invariants.getViolations(InvariantName.CapacityFloor), 0);
       ejected += world.ejected;
       confirmed += world.confirmed;
@@ -185,8 +188,8 @@
   });
   let broken = 0;
   for (const [seed, list] of samples.entries()) {
-    const world = await runRace(list, { seed, hidesRevision: true });
-    if (world.lowest < FLOOR) broken += 1;
+    const world = await runRace(list, { seed, omitsRevision: true });
+    if (world.lowestSlots < FLOOR) broken += 1;
   }
   assert.ok(broken > 0);
 });
--- a/packages/operators/src/targets/common/targetAction.ts
+++ b/packages/operators/src/targets/common/targetAction.ts
@@ -16,20 +16,23 @@
     .flatMap((service) => service.targets)
     .find((candidate) => candidate.address === request.target);
   if (target === undefined) {
-    throw refuse(ResultCode.NotFound, `no service in force has the target "${request.target}"`);
+    throw createRefusal(
+      ResultCode.NotFound,
+      `no service in force has the target "${request.target}"`,
+    );
   }
-  target.state = chooseState(request.action);
+  target.state = chooseTargetState(request.action);
   target.leaveAtMs = 0n;
   intent.note = request.note;
   return intent;
 }
 
-function chooseState(action: TargetAction): TargetState {
+function chooseTargetState(action: TargetAction): TargetState {
   if (action === TargetAction.DRAIN) return TargetState.DRAINING;
   if (action === TargetAction.RETURN) return TargetState.SERVING;
-  throw refuse(ResultCode.MalformedRequest, 'the action is "drain" or "return"');
+  throw createRefusal(ResultCode.MalformedRequest, 'the action is "drain" or "return"');
 }
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/testing/apiFixture.ts
+++ b/packages/operators/src/testing/apiFixture.ts
@@ -44,7 +44,7 @@
   }
 }
 
-class FakeClaims extends ClaimSettler {
+class FakeClaimSettler extends ClaimSettler {
   readonly settled: ISettleRequest[] = [];
 
   override getClaim(member: string, claimKey: string): Promise<ClaimInfo | undefined> {
@@ -75,7 +75,7 @@
   readonly keys: KeyStore;
   readonly config: FixedConfig;
   readonly status: FixedStatus;
-  readonly claims: FakeClaims;
+  readonly claims: FakeClaimSettler;
   readonly invariants: InvariantRegistry;
   readonly operations: readonly string[];
   /** Answers so far, by result code. */
@@ -106,7 +106,7 @@
   const keys = new KeyStore(shared);
   const config = new FixedConfig();
   const status = new FixedStatus();
-  const claims = new FakeClaims();
+  const claims = new FakeClaimSettler();
   const invariants = new InvariantRegistry();
   const audit = new AuditLog(shared);
   const logger = createSilentLogger();
--- a/packages/operators/src/testing/burnFixture.ts
+++ b/packages/operators/src/testing/burnFixture.ts
@@ -14,7 +14,7 @@
 /** 2023-11-14 22:10 UTC, the start of a slot. */
 const START_MS = 1_699_999_800_000;
 
-class MembersConfig extends ConfigService {
+class TwoMemberConfig extends ConfigService {
   override readonly onDidChange: Event<IFleetConfigChange> = new Emitter<IFleetConfigChange>()
     .onDidFire;
 
@@ -48,7 +48,7 @@
   const random = new SeededRandom(seed);
   const platform = createMemoryPlatform(random);
   const clock = new ManualClock({ startMs: START_MS });
-  const config = new MembersConfig();
+  const config = new TwoMemberConfig();
   const shared = { table: platform.table, clock, random, config };
   return {
     platform,
