--- a/packages/operators/src/access/common/accessControl.ts
+++ b/packages/operators/src/access/common/accessControl.ts
@@ -1,4 +1,4 @@
-/** Who asks, and whether they may. */
+/** Authenticates operators and authorizes their requests. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { AuditLog } from '../../audit/common/auditLog.js';
@@ -8,14 +8,14 @@
 
 const LOOPBACK_ADDRESS = /^(::ffff:)?127\.|^::1$/;
 const BEARER_HEADER = /^Bearer ([\x21-\x7e]+)$/i;
-/** Wrong keys from one address: enough for typing errors, too few to load the store. */
+/** Limits of wrong keys from one address: enough for typing errors, too few to load the store. */
 const FAILURES_PER_SECOND = 0.5;
 const FAILURE_BURST = 20;
-/** Audited refusals of one key or address: a flood of them must not flood the store. */
+/** Limits of audited rejections of one key or address, so that a flood of them can't load the store. */
 const AUDITS_PER_SECOND = 0.1;
 const AUDIT_BURST = 10;
 
-/** An operator whose key was verified. */
+/** An authenticated operator. */
 export interface IOperator {
   readonly keyId: string;
   /** "@fleet" for operators of the fleet. */
@@ -23,11 +23,11 @@
   readonly isFleet: boolean;
 }
 
-/** Where a request comes from. */
+/** Properties of a request that decide on its access. */
 export interface IAccessRequest {
   readonly authorization: string | undefined;
   readonly remoteAddress: string;
-  /** What is wanted, for the audit log. */
+  /** Name of the requested operation, for the audit log. */
   readonly action: string;
 }
 
@@ -39,7 +39,7 @@
 }
 
 /**
- * Verifies keys, and keeps operators to their own member.
+ * Verifies keys, and restricts operators to their own member.
  *
  * @example
  * const operator = await access.verify(request, signal);
@@ -64,12 +64,12 @@
     });
   }
 
-  /** Refusals that were left out of the audit log because too many came at once. */
+  /** Number of rejections missing from the audit log because they exceeded its rate limit. */
   getUnauditedCount(): number {
     return this.unauditedCount;
   }
 
-  /** The operator. Throws Unauthenticated, LimitExceeded, StoreUnavailable. */
+  /** Returns the operator of the request's key. Throws Unauthenticated, LimitExceeded, StoreUnavailable. */
   async verify(request: IAccessRequest, signal: AbortSignal): Promise<IOperator> {
     this.checkFailureRate(request.remoteAddress);
     const key = BEARER_HEADER.exec(request.authorization ?? '')?.[1];
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Refuses whoever does not prove the secret that the nodes share. Without a secret only clients
-   * on this VM pass. Throws Forbidden, LimitExceeded.
+   * Rejects clients that do not present the secret that the nodes share. Without a secret, only clients
+   * on this VM are accepted. Throws Forbidden, LimitExceeded.
    */
   async checkSecret(
     request: IAccessRequest,
@@ -92,20 +92,21 @@
     signal: AbortSignal,
   ): Promise<void> {
     this.checkFailureRate(request.remoteAddress);
-    const offered = BEARER_HEADER.exec(request.authorization ?? '')?.[1] ?? '';
-    const isTrusted =
+    const presented = BEARER_HEADER.exec(request.authorization ?? '')?.[1] ?? '';
+    const isAccepted =
       secret === undefined
         ? LOOPBACK_ADDRESS.test(request.remoteAddress)
-        : compareSecrets(offered, secret);
-    if (isTrusted) return;
+        : compareSecrets(presented, secret);
+    if (isAccepted) return;
     await this.recordFailure(request, signal);
     const message = "the first key needs proof of the fleet's secret";
     throw new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
   }
 
   /**
-   * Refuses and audits an attempt at another member's rows. The entry goes into the asker's own
-   * log and the fleet's; the other member's log would tell it who its rivals are.
+   * Rejects and audits an attempt to access another member's data. The entry is written to the logs of
+   * the operator's member and of the fleet; in the other member's log it would disclose to that member
+   * which other members exist.
    */
   async checkMember(
     operator: IOperator,
@@ -123,7 +124,7 @@
     throw new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
   }
 
-  /** Guessing must be slow, and must not load the store. */
+  /** Limits the rate of wrong keys: guessing must be slow and must not load the store. */
   private checkFailureRate(address: string): void {
     const waitMs = this.failureLimiter.getWaitMs(address);
     if (waitMs === 0) return;
@@ -153,10 +154,10 @@
     operator: string,
     action: string,
     subject: string,
-    limitName: string,
+    limiterKey: string,
     signal: AbortSignal,
   ): Promise<void> {
-    if (!this.auditLimiter.spend(limitName)) {
+    if (!this.auditLimiter.spend(limiterKey)) {
       this.unauditedCount += 1;
       return;
     }
--- a/packages/operators/src/access/common/memberLimiter.ts
+++ b/packages/operators/src/access/common/memberLimiter.ts
@@ -1,25 +1,25 @@
-/** Keeps one member's operators from taking a node's time and the store's from the others. */
+/** Limits the load that one member's operators put on a node and on the store. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { RateLimiter } from './rateLimiter.js';
 
 /** Limits of one member on one node. */
 export interface IMemberLimits {
-  /** Requests a second. Default 10. */
+  /** Requests per second. Default 10. */
   readonly requestsPerSecond?: number;
-  /** Requests at once after a pause. Default 50. */
+  /** Requests in a burst after an idle period. Default 50. */
   readonly requestBurst?: number;
-  /** Requests being worked on. Default 8. */
+  /** Requests in progress at a time. Default 8. */
   readonly concurrentRequests?: number;
-  /** Intents submitted a minute. Default 12. */
+  /** Submitted intents per minute. Default 12. */
   readonly proposalsPerMinute?: number;
-  /** Bytes of an intent. Default 524288. */
+  /** Size of a request's body, such as an intent, in bytes. Default 524288. */
   readonly intentBytes?: number;
-  /** Targets of an intent, over all services. Default 2000. */
+  /** Targets of an intent, summed over its services. Default 2000. */
   readonly targets?: number;
 }
 
-/** The limits when none are given. */
+/** Default limits. */
 export const DEFAULT_MEMBER_LIMITS: Required<IMemberLimits> = {
   requestsPerSecond: 10,
   requestBurst: 50,
@@ -32,7 +32,7 @@
 const SECONDS_PER_MINUTE = 60;
 
 /**
- * Counts what each member does on this node.
+ * Enforces the limits of each member on this node.
  *
  * @example
  * return limiter.run('dobrescu', () => handle(request));
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Runs `work` within the member's rate and concurrency. Throws LimitExceeded. */
+  /** Runs `work` within the member's rate and concurrency limits. Throws LimitExceeded. */
   async run<T>(member: string, work: () => Promise<T>): Promise<T> {
     if (!this.requests.spend(member)) {
       throw createLimitError('too many requests', this.requests.getWaitMs(member));
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Counts a proposal. Throws LimitExceeded. */
+  /** Counts a submitted intent against the member's rate limit. Throws LimitExceeded. */
   spendProposal(member: string): void {
     if (this.proposalLimiter.spend(member)) return;
     throw createLimitError('too many intents', this.proposalLimiter.getWaitMs(member));
@@ -83,7 +83,7 @@
 }
 
 /**
- * The refusal of what goes over a limit.
+ * Creates the error for a request that exceeds a limit.
  *
  * @example
  * throw createLimitError('the intent has too many targets');
--- a/packages/operators/src/access/common/rateLimiter.ts
+++ b/packages/operators/src/access/common/rateLimiter.ts
@@ -1,29 +1,29 @@
-/** Rates that callers may not exceed, counted in memory on each node. */
+/** Rate limits, counted in memory on each node. */
 import type { Clock } from '@parsleymux/base';
 import { MS_PER_SECOND } from '@parsleymux/base';
 
 /** Options of a {@link RateLimiter}. */
 export interface IRateLimiterOptions {
   readonly clock: Clock;
-  /** What one name may use over time. */
+  /** Sustained rate of one name, in tokens per second. */
   readonly perSecond: number;
-  /** What one name may use at once after a pause. */
+  /** Maximum number of tokens that one name accumulates. */
   readonly burst: number;
-  /** Names remembered; beyond it the one unused for longest is forgotten. Default 1000. */
+  /** Maximum number of buckets; beyond it the least recently used one is evicted. Default 1000. */
   readonly maxNames?: number;
 }
 
 interface IBucket {
-  /** May be a fraction. */
+  /** Can be fractional. */
   readonly tokens: number;
-  /** Monotonic instant at which the tokens were counted. */
+  /** Monotonic time at which the tokens were counted, in ms. */
   readonly updatedAtMs: number;
 }
 
 const DEFAULT_MAX_NAMES = 1000;
 
 /**
- * A token bucket for each name.
+ * Maintains one token bucket per name.
  *
  * @example
  * if (!limiter.spend('dobrescu')) throw limitError;
@@ -33,7 +33,7 @@
 
   constructor(private readonly options: IRateLimiterOptions) {}
 
-  /** Takes one token of `name`; false when there is none. */
+  /** Takes one token of `name`; returns false if there is none. */
   spend(name: string): boolean {
     const tokens = this.updateTokens(name);
     if (tokens < 1) return false;
@@ -41,13 +41,13 @@
     return true;
   }
 
-  /** Milliseconds until `name` has a token. */
+  /** Returns the time until `name` has a token, in ms; 0 if it has one. */
   getWaitMs(name: string): number {
     const missing = 1 - this.updateTokens(name);
     return Math.max(0, Math.ceil((missing / this.options.perSecond) * MS_PER_SECOND));
   }
 
-  /** The tokens that `name` has now. Asking also counts as use: the name is remembered longest. */
+  /** Refills the bucket of `name` and returns its tokens. Marks the bucket as most recently used. */
   private updateTokens(name: string): number {
     const { perSecond, burst } = this.options;
     const nowMs = this.options.clock.getMonotonicTime();
@@ -58,7 +58,7 @@
     return tokens;
   }
 
-  /** Removed first, so that the bucket goes to the end of the order in which they are forgotten. */
+  /** Deletes the bucket before it is set, which moves it to the end of the eviction order. */
   private storeTokens(name: string, tokens: number): void {
     const updatedAtMs = this.options.clock.getMonotonicTime();
     this.buckets.delete(name);
--- a/packages/operators/src/api/common/adminRoute.ts
+++ b/packages/operators/src/api/common/adminRoute.ts
@@ -1,49 +1,49 @@
-/** One operation of the administration API. */
+/** Types and helpers of the operations of the administration API. */
 import type { DescMessage, MessageShape } from '@bufbuild/protobuf';
 import { toJsonString } from '@bufbuild/protobuf';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { checkMessageText, SettingsError } from '@parsleymux/schema';
 import type { IOperator } from '../../access/common/accessControl.js';
 
-/** A request whose operator is known. */
+/** A request of an authenticated operator. */
 export interface IAdminRequest {
   readonly operator: IOperator;
-  /** What stands for the names in braces of the route's path, decoded. */
+  /** Decoded values of the path segments that are in braces in the route's path. */
   readonly parameters: readonly string[];
   readonly query: URLSearchParams;
-  /** The whole body, within the limit. */
+  /** The complete body, within the size limit. */
   readonly body: string;
   readonly signal: AbortSignal;
 }
 
-/** A successful answer: a status of HTTP and a body of JSON. */
+/** A successful response: its HTTP status and JSON body. */
 export interface IAdminResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** A method and path, and what answers them. */
+/** A method and path, and the handler of their requests. */
 export interface IAdminRoute {
   readonly method: 'GET' | 'POST' | 'DELETE';
-  /** Such as "/v1/plans/{id}"; what stands for a name in braces becomes a parameter. */
+  /** Such as "/v1/plans/{id}"; a segment in braces matches any value, which becomes a parameter. */
   readonly path: string;
-  /** Name for the audit log and counters, such as "plan.confirm". */
+  /** Name in the audit log, such as "plan.confirm". */
   readonly action: string;
   readonly handle: (request: IAdminRequest) => Promise<IAdminResponse>;
 }
 
-/** Offers routes. */
+/** Handles a group of related routes. */
 export abstract class AdminHandler {
-  /** The operations that this handler answers. */
+  /** Lists the routes that this handler serves. */
   abstract listRoutes(): readonly IAdminRoute[];
 }
 
 const OK_STATUS = 200;
-/** Status of answers with what a request has made. */
+/** HTTP status of responses to requests that created a resource. */
 export const CREATED_STATUS = 201;
 
 /**
- * An answer with a message as its body.
+ * Creates a response with a message as its body.
  *
  * @example
  * return createResponse(PlanSchema, plan, 201);
@@ -57,7 +57,8 @@
 }
 
 /**
- * The message in a body, checked against the schema's rules. Throws MalformedRequest, or `code`.
+ * Parses the message in a body and validates it against the schema's rules. Throws MalformedRequest,
+ * or `code`.
  *
  * @example
  * const body = parseBody(TargetRequestSchema, request.body);
@@ -76,7 +77,7 @@
 }
 
 /**
- * The first parameter of the path.
+ * Returns the first parameter of the path.
  *
  * @example
  * const planId = getParameter(request);
--- a/packages/operators/src/api/common/burnHandler.ts
+++ b/packages/operators/src/api/common/burnHandler.ts
@@ -1,4 +1,4 @@
-/** The report on service-level burn. */
+/** Serves the burn report. */
 import { BurnResponseSchema } from '@parsleymux/schema';
 import type { AccessControl } from '../../access/common/accessControl.js';
 import type { BurnReader } from '../../burn/common/burnReader.js';
@@ -11,7 +11,7 @@
   readonly access: AccessControl;
 }
 
-/** Answers `/v1/burn`. */
+/** Handles `/v1/burn`. */
 export class BurnHandler extends AdminHandler {
   constructor(private readonly options: IBurnHandlerOptions) {
     super();
--- a/packages/operators/src/api/common/claimHandler.ts
+++ b/packages/operators/src/api/common/claimHandler.ts
@@ -1,4 +1,4 @@
-/** Claims of non-idempotent requests whose outcome an operator looks up or settles. */
+/** Shows and settles claims of non-idempotent requests. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -15,7 +15,7 @@
   readonly clock: Clock;
 }
 
-/** Answers `/v1/claims`. Only the operator's own member's claims can be named at all. */
+/** Handles `/v1/claims`. Only claims of the operator's own member are accessible. */
 export class ClaimHandler extends AdminHandler {
   constructor(private readonly options: IClaimHandlerOptions) {
     super();
@@ -57,7 +57,7 @@
     const claimKey = getParameter(request);
     const { outcome, note } = body;
     const settlement = { member, claimKey, outcome, operator: keyId, note };
-    // Before the settlement, so that none can take effect without its line in the audit log.
+    // Recorded before the settlement, so that none takes effect without its entry in the audit log.
     await this.recordAudit(request, `${ClaimOutcome[outcome]}: ${note}`);
     const info = await this.options.claims.settle(settlement, request.signal);
     return createResponse(ClaimInfoSchema, create(ClaimInfoSchema, info));
--- a/packages/operators/src/api/common/errorBody.ts
+++ b/packages/operators/src/api/common/errorBody.ts
@@ -1,13 +1,14 @@
-/** JSON bodies of refusals. */
+/** Formats JSON bodies of error responses. */
 import { create, toJsonString } from '@bufbuild/protobuf';
 import { getResultInfo, MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { ErrorBodySchema } from '@parsleymux/schema';
 
 /**
- * The error that may be shown: an unforeseen one could name anything, so it is replaced.
+ * Converts an error to one that may be sent to operators. Unexpected errors are replaced, because
+ * their messages may contain internal or confidential details.
  *
  * @example
- * const shown = toPublicError(error);
+ * const publicError = toPublicError(error);
  */
 export function toPublicError(error: unknown): MuxError {
   if (error instanceof MuxError) return error;
@@ -20,7 +21,7 @@
 }
 
 /**
- * The JSON body of a refusal.
+ * Formats the JSON body of an error response.
  *
  * @example
  * response.end(formatErrorBody(error));
--- a/packages/operators/src/api/common/keyHandler.ts
+++ b/packages/operators/src/api/common/keyHandler.ts
@@ -1,4 +1,4 @@
-/** Operators' keys and the audit log. */
+/** Serves operator keys and the audit log. */
 import { MS_PER_SECOND } from '@parsleymux/base';
 import { create } from '@bufbuild/protobuf';
 import {
@@ -26,8 +26,8 @@
 }
 
 /**
- * Answers `/v1/keys` and `/v1/audit`. Operators manage the keys of their own member; those of the
- * fleet also those of any member, for a member's first key must come from somebody.
+ * Handles `/v1/keys` and `/v1/audit`. Operators manage the keys of their own member. Operators of the
+ * fleet also manage those of any member, because they create a member's first key.
  */
 export class KeyHandler extends AdminHandler {
   constructor(private readonly options: IKeyHandlerOptions) {
@@ -105,8 +105,8 @@
     const { operator, query, signal } = request;
     const member = query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'audit.show', signal);
-    const wanted = Number(query.get('limit') ?? DEFAULT_AUDIT_ENTRIES);
-    const limit = Math.min(Math.max(1, Math.trunc(wanted) || 1), MAX_AUDIT_ENTRIES);
+    const requested = Number(query.get('limit') ?? DEFAULT_AUDIT_ENTRIES);
+    const limit = Math.min(Math.max(1, Math.trunc(requested) || 1), MAX_AUDIT_ENTRIES);
     const entries = await this.options.audit.list(member, limit, signal);
     const response = create(ListAuditResponseSchema, {
       entries: entries.map((entry) => ({ ...entry, atMs: BigInt(entry.atMs) })),
@@ -117,11 +117,11 @@
   private async resolveRequestedMember(
     request: IAdminRequest,
     action: string,
-    wanted = '',
+    bodyMember = '',
   ): Promise<string> {
     const { operator } = request;
-    const named = wanted === '' ? request.query.get('member') : wanted;
-    const member = named ?? operator.member;
+    const requested = bodyMember === '' ? request.query.get('member') : bodyMember;
+    const member = requested ?? operator.member;
     if (!operator.isFleet) {
       await this.options.access.checkMember(operator, member, action, request.signal);
     }
--- a/packages/operators/src/api/common/keyResponse.ts
+++ b/packages/operators/src/api/common/keyResponse.ts
@@ -1,4 +1,4 @@
-/** Operators' keys as the administration API shows them. */
+/** Converts operator keys to responses of the administration API. */
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { create } from '@bufbuild/protobuf';
 import type { KeyInfoSchema } from '@parsleymux/schema';
@@ -9,7 +9,7 @@
 import { createResponse, CREATED_STATUS } from './adminRoute.js';
 
 /**
- * The answer with a new key: the only one that ever holds a secret.
+ * Creates the response with a new key, the only response that contains a secret.
  *
  * @example
  * return createKeyResponse(await keys.createBootstrapKey('bootstrap', signal));
@@ -23,7 +23,7 @@
 }
 
 /**
- * A key's row without the hash of its secret.
+ * Converts a key's row to a message, without the hash of its secret.
  *
  * @example
  * const response = create(ListKeysResponseSchema, { keys: rows.map(toKeyInfo) });
--- a/packages/operators/src/api/common/planHandler.ts
+++ b/packages/operators/src/api/common/planHandler.ts
@@ -1,4 +1,4 @@
-/** Intents and plans. */
+/** Serves intents and plans. */
 import { create } from '@bufbuild/protobuf';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { PlanStore } from '@parsleymux/config';
@@ -26,7 +26,7 @@
   readonly intents: IntentReader;
 }
 
-/** Answers `/v1/intent`, `/v1/intents`, `/v1/plans` and `/v1/targets`. */
+/** Handles `/v1/intent`, `/v1/intents`, `/v1/plans` and `/v1/targets`. */
 export class PlanHandler extends AdminHandler {
   constructor(private readonly options: IPlanHandlerOptions) {
     super();
@@ -74,7 +74,7 @@
     return routes.map((route) => this.withMemberCheck(route));
   }
 
-  /** Intents and plans are the members' own: operators of the fleet have none and see none. */
+  /** Intents and plans belong to members: operators of the fleet have no access to them. */
   private withMemberCheck(route: IAdminRoute): IAdminRoute {
     const handle: IAdminRoute['handle'] = async (request) => {
       const { operator, signal } = request;
@@ -143,7 +143,7 @@
   }
 }
 
-/** The fleet's revision is left out: its steps would tell how often other members change theirs. */
+/** Omits the fleet revision: its increments would disclose how often other members change theirs. */
 function createPlanResponse(plan: Plan, status?: number): IAdminResponse {
   const visible = create(PlanSchema, { ...plan, confirmedFleetRevision: 0n });
   return createResponse(PlanSchema, visible, status);
--- a/packages/operators/src/api/common/statusHandler.ts
+++ b/packages/operators/src/api/common/statusHandler.ts
@@ -1,4 +1,4 @@
-/** What the nodes of the fleet know, as far as the operator may see it. */
+/** Serves the status of the fleet's nodes, restricted to what the operator may see. */
 import { create } from '@bufbuild/protobuf';
 import type { InvariantRegistry } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
@@ -18,7 +18,7 @@
   readonly invariants: InvariantRegistry;
 }
 
-/** Answers `/v1/status`. */
+/** Handles `/v1/status`. */
 export class StatusHandler extends AdminHandler {
   constructor(private readonly options: IStatusHandlerOptions) {
     super();
@@ -39,9 +39,9 @@
     const { operator, signal } = request;
     const member = request.query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'status.show', signal);
-    const found = await this.options.status.getStatus(operator.member, signal);
-    const newest = this.getNewestRevision(operator, found.nodes);
-    const nodes = found.nodes.map((node) => this.buildNodeStatus(node, operator, newest));
+    const fleetStatus = await this.options.status.getStatus(operator.member, signal);
+    const newest = this.getNewestRevision(operator, fleetStatus.nodes);
+    const nodes = fleetStatus.nodes.map((node) => this.buildNodeStatus(node, operator, newest));
     const inForce = nodes.filter((node) => node.inForce).length;
     const memberConfig = this.options.config.getCurrent().members.get(operator.member);
     const response = create(StatusResponseSchema, {
@@ -49,13 +49,13 @@
       fleetRevision: operator.isFleet ? newest : 0n,
       nodesInForce: inForce,
       nodesBehind: nodes.length - inForce,
-      silentNodes: [...found.silentNodes],
+      silentNodes: [...fleetStatus.silentNodes],
       nodes,
     });
     return createResponse(StatusResponseSchema, response);
   }
 
-  /** For a member the fleet revision of its own newest change; for the fleet the newest of all. */
+  /** For a member, the fleet revision of its newest change; for the fleet, the newest of all nodes. */
   private getNewestRevision(operator: IOperator, nodes: readonly GetNodeStatusResponse[]): bigint {
     const current = this.options.config.getCurrent();
     if (!operator.isFleet) return current.members.get(operator.member)?.fleetRevision ?? 0n;
@@ -64,7 +64,7 @@
     }, BigInt(current.fleetRevision));
   }
 
-  /** Checked here again, whatever the provider returns: a shard of another member stays hidden. */
+  /** Filters shards again, whatever the provider returns, so that those of other members stay hidden. */
   private buildNodeStatus(
     node: GetNodeStatusResponse,
     operator: IOperator,
--- a/packages/operators/src/api/node/adminApi.ts
+++ b/packages/operators/src/api/node/adminApi.ts
@@ -1,4 +1,4 @@
-/** The administration API over HTTP: versioned paths, JSON bodies, one key for each operator. */
+/** The administration API over HTTP: versioned paths, JSON bodies, one key per operator. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, InvariantRegistry, Logger } from '@parsleymux/base';
 import { getResultInfo, MS_PER_SECOND, MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -34,22 +34,22 @@
   readonly config: ConfigService;
   readonly status: StatusProvider;
   readonly claims: ClaimSettler;
-  /** Without one, `/v1/burn` is unknown. */
+  /** Without a reader, the path `/v1/burn` does not exist. */
   readonly burn?: BurnReader;
   readonly clock: Clock;
   readonly invariants: InvariantRegistry;
   readonly logger: Logger;
-  /** Limits of each member on this node. */
+  /** Limits of each member on this node. Defaults: {@link IMemberLimits}. */
   readonly limits?: IMemberLimits;
   /**
-   * Secret that the nodes share. Whoever proves it may make the fleet's first operator key.
-   * Without one, only a client on this VM may.
+   * Secret that the nodes share. Clients that present it may create the fleet's first operator key.
+   * Without a secret, only clients on this VM may.
    */
   readonly bootstrapSecret?: string;
 }
 
 /**
- * Answers operators.
+ * Authenticates operators, and routes and serves their requests.
  *
  * @example
  * const api = new AdminApi(options);
@@ -75,32 +75,32 @@
     ].map((route) => ({ ...route, pattern: makePathPattern(route.path) }));
   }
 
-  /** Every operation, for the docs. */
+  /** Lists the method and path of every operation, for the documentation. */
   listOperations(): readonly string[] {
     const bootstrap = `POST ${BOOTSTRAP_PATH}`;
     return [bootstrap, ...this.routes.map(({ method, path }) => `${method} ${path}`)];
   }
 
-  /** Answers by result code, for metrics. */
+  /** Returns the number of responses by result code, for metrics. */
   getCounts(): ReadonlyMap<ResultCode, number> {
     return this.counts;
   }
 
-  /** Refusals that are missing from the audit log, for metrics. */
+  /** Returns the number of rejections missing from the audit log, for metrics. */
   getLostAuditCount(): number {
     return this.access.getUnauditedCount() + this.options.audit.getLostCount();
   }
 
-  /** Answers one request. Never rejects. */
+  /** Handles one request. Never rejects. */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const gone = new AbortController();
+    const disconnected = new AbortController();
     response.once('close', () => {
-      gone.abort(new Error('the operator has hung up'));
+      disconnected.abort(new Error('the operator disconnected'));
     });
     try {
-      const answer = await this.execute(request, gone.signal);
+      const result = await this.execute(request, disconnected.signal);
       this.countResult(ResultCode.Ok);
-      writeResponse(response, answer);
+      writeResponse(response, result);
     } catch (error) {
       this.writeErrorResponse(response, error);
     }
@@ -136,7 +136,7 @@
     return found;
   }
 
-  /** The fleet's first key, for whoever holds the fleet's secret. */
+  /** Creates the fleet's first key, for clients that present the fleet's secret. */
   private async createBootstrapKey(
     request: IncomingMessage,
     signal: AbortSignal,
@@ -152,24 +152,24 @@
 
   private writeErrorResponse(response: ServerResponse, error: unknown): void {
     if (response.destroyed) {
-      // Whatever broke off, nobody reads the answer; an operator's Ctrl-C is no fault of ours.
+      // Nobody reads the response. A cancelled command is not a fault of the node, so it isn't logged.
       this.countResult(ResultCode.CallerGone);
       return;
     }
-    const shown = toPublicError(error);
-    this.countResult(shown.code);
-    if (shown.code === ResultCode.Internal) {
+    const publicError = toPublicError(error);
+    this.countResult(publicError.code);
+    if (publicError.code === ResultCode.Internal) {
       this.options.logger.error('administration request failed', { error: String(error) });
     }
     if (response.headersSent) return;
-    if (shown.retryAfterMs !== undefined) {
-      response.setHeader('retry-after', Math.ceil(shown.retryAfterMs / MS_PER_SECOND));
+    if (publicError.retryAfterMs !== undefined) {
+      response.setHeader('retry-after', Math.ceil(publicError.retryAfterMs / MS_PER_SECOND));
     }
-    // The rest of a body that was not read would be taken for the next request.
+    // The unread rest of the body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
     writeResponse(response, {
-      status: getResultInfo(shown.code).httpStatus,
-      body: formatErrorBody(shown),
+      status: getResultInfo(publicError.code).httpStatus,
+      body: formatErrorBody(publicError),
     });
   }
 
@@ -191,12 +191,12 @@
   return new RegExp(`^${path.replaceAll(/\{[a-z]+\}/g, '([^/]+)')}$`);
 }
 
-function writeResponse(response: ServerResponse, answer: IAdminResponse): void {
-  response.writeHead(answer.status, {
+function writeResponse(response: ServerResponse, result: IAdminResponse): void {
+  response.writeHead(result.status, {
     'content-type': 'application/json',
     'cache-control': 'no-store',
   });
-  response.end(answer.body);
+  response.end(result.body);
 }
 
 function decodeParameter(text: string): string {
--- a/packages/operators/src/api/node/requestBody.ts
+++ b/packages/operators/src/api/node/requestBody.ts
@@ -1,10 +1,10 @@
-/** Reads a request's body within a limit. */
+/** Reads a request's body up to a size limit. */
 import type { IncomingMessage } from 'node:http';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 
 /**
- * The whole body as text. Throws BodyTooLarge as soon as the limit is passed, so that a huge
- * body never fills the memory that callers' requests need.
+ * Reads the complete body as text. Throws BodyTooLarge as soon as the limit is exceeded, so that a
+ * large body can't use up the memory that callers' requests need.
  *
  * @example
  * const text = await readRequestBody(request, 65536);
--- a/packages/operators/src/audit/common/auditLog.ts
+++ b/packages/operators/src/audit/common/auditLog.ts
@@ -1,4 +1,4 @@
-/** The audit log in the platform's table. */
+/** Stores the audit log in the platform's table. */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '@parsleymux/base';
 import { MS_PER_DAY } from '@parsleymux/base';
@@ -14,9 +14,9 @@
 import { PlatformError } from '@parsleymux/store';
 
 const SCAN_LIMIT = 1000;
-/** Spans that are read until there are enough entries; the last one is all that is kept. */
+/** Time spans that are scanned in turn until there are enough entries; the last is the retention. */
 const SCAN_SPANS_DAYS = [1, 7, 30, 90] as const;
-/** Entries older than this go, a batch at a time, whenever the log is read. */
+/** Entries older than this are removed, one batch at a time, whenever the log is read. */
 const RETENTION_DAYS = 90;
 const REMOVAL_BATCH_SIZE = 100;
 
@@ -27,8 +27,8 @@
 }
 
 /**
- * Appends and lists entries. Changes that are transactions write their entry in the same
- * transaction; this class serves refusals and everything else.
+ * Appends and lists entries. A change that is a transaction writes its entry in that transaction;
+ * this class records rejections and all other entries.
  *
  * @example
  * await audit.record(entry);
@@ -38,12 +38,12 @@
 
   constructor(private readonly options: IAuditLogOptions) {}
 
-  /** Entries that could not be written. */
+  /** Number of entries that could not be written. */
   getLostCount(): number {
     return this.lostCount;
   }
 
-  /** Writes an entry. A store that fails costs the entry, never the operator's answer. */
+  /** Writes an entry. If the store fails, the entry is lost; the operator's request is not affected. */
   async record(entry: IAuditEntry, signal?: AbortSignal): Promise<void> {
     try {
       await this.writeEntry(entry, signal);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Writes an entry without which the operation must not go on. Throws StoreUnavailable. */
+  /** Writes an entry that is required before the operation continues. Throws StoreUnavailable. */
   async recordRequired(entry: IAuditEntry, signal?: AbortSignal): Promise<void> {
     try {
       await this.writeEntry(entry, signal);
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The newest entries, newest first. Throws StoreUnavailable. */
+  /** Lists the newest entries, newest first. Throws StoreUnavailable. */
   async list(member: string, limit: number, signal?: AbortSignal): Promise<readonly IAuditEntry[]> {
     try {
       await this.removeExpired(member, signal);
--- a/packages/operators/src/burn/common/burn.test.ts
+++ b/packages/operators/src/burn/common/burn.test.ts
@@ -24,11 +24,10 @@
 }
 
 /*
- * Symptom: the report forgets what happened before VMs were replaced.
- * Sequence: nodes count, all are replaced, an operator asks for the report.
- * Cause: counts kept in the memory of nodes.
+ * Guards against a report that loses the requests from before VMs were replaced, because the counts
+ * are only in the memory of nodes.
  */
-test('counts of nodes that are gone stay in the report, merged or not', async () => {
+test('counts of removed nodes stay in the report, merged or not', async () => {
   const fixture = createBurnFixture();
   for (let count = 0; count < 5; count += 1) {
     const recorder = fixture.createRecorder();
@@ -43,17 +42,16 @@
   assert.equal(countRaw(fixture), 0);
   const after = await readWindow(fixture, 3600);
   assert.deepEqual(after.window.counts, before.window.counts);
-  const rival = await readWindow(fixture, 3600, 'donautal');
-  assert.equal(rival.window.counts?.requests, 0n);
+  const other = await readWindow(fixture, 3600, 'donautal');
+  assert.equal(other.window.counts?.requests, 0n);
 });
 
 /*
- * Symptom: the report counts requests twice, or not at all.
- * Sequence: answers to writes are lost, several nodes merge the same rows at once, the store is
- * out for a while.
- * Cause: repeating a write that took effect, or merging and removing in two steps.
+ * Guards against requests that are counted twice or not at all: responses to writes are lost, several
+ * nodes merge the same rows concurrently, and the store is unavailable for a while. Causes are a retry
+ * of a write that took effect, and merging and removing rows in two steps.
  */
-test('with lost answers and rival mergers no request is counted twice, and hardly one is missed', async () => {
+test('with lost responses and concurrent mergers no request is counted twice and over 99% are counted', async () => {
   let total = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const fixture = createBurnFixture(seed);
@@ -75,7 +73,7 @@
     const lost = recorders.reduce((sum, recorder) => sum + recorder.getLostCount(), 0);
     const { window } = await readWindow(fixture, 6 * 3600);
     const counted = Number(window.counts?.requests);
-    // What is given up may have been written all the same; nothing is ever counted twice.
+    // Counts that were dropped may have been written all the same; none is counted twice.
     assert.ok(counted <= 900 && counted + lost >= 900, `seed ${seed}: ${counted}, lost ${lost}`);
     total += counted;
   }
@@ -83,9 +81,8 @@
 });
 
 /*
- * Symptom: for a moment the report shows fewer requests than a minute ago.
- * Sequence: rows are merged between the reading of merged and of raw rows.
- * Cause: taking two scans for one picture.
+ * Guards against a report that temporarily shows fewer requests than before: rows are merged between
+ * the scans of merged and of raw rows, and the two scans are taken for one consistent snapshot.
  */
 test('a report read while rows are merged misses none of them', async () => {
   for (let seed = 1; seed <= 200; seed += 1) {
@@ -103,7 +100,7 @@
   }
 });
 
-test('rows are bounded: slots older than the longest window go', async () => {
+test('the number of rows is bounded: slots older than the longest window are removed', async () => {
   const fixture = createBurnFixture();
   const recorder = fixture.createRecorder();
   for (let slot = 0; slot < 1000; slot += 1) {
@@ -117,7 +114,7 @@
   assert.ok(Math.abs(Number(window.counts?.requests) - 864) <= 1);
 });
 
-test('an alert needs both of its windows, and ends with the short one', async () => {
+test('an alert fires only if both of its windows exceed the limit, and ends with the short one', async () => {
   const fixture = createBurnFixture();
   const recorder = fixture.createRecorder();
   fixture.record(recorder, 1000, 50);
@@ -134,7 +131,7 @@
   assert.deepEqual((await readWindow(fixture, 300)).service.alerts, []);
 });
 
-test('slow answers burn the latency objective; refusals of what the caller sent burn none', async () => {
+test('slow responses count against the latency objective; rejections of malformed requests do not', async () => {
   const fixture = createBurnFixture();
   const recorder = fixture.createRecorder();
   const request = { member: 'dobrescu', service: 'booking', code: ResultCode.Ok, durationMs: 20 };
@@ -149,7 +146,7 @@
   assert.equal(window.availabilityBurn, 0);
 });
 
-test('the page shows names from intents and never runs them', () => {
+test('the page escapes names from intents', () => {
   const service = { service: '<script>alert(1)</script>', alerts: ['"><img>'] };
   const page = renderBurnPage(create(BurnResponseSchema, { services: [service] }));
   assert.ok(!page.includes('<script>') && !page.includes('<img>'));
--- a/packages/operators/src/burn/common/burnCounts.ts
+++ b/packages/operators/src/burn/common/burnCounts.ts
@@ -1,25 +1,25 @@
-/** Counts of requests against the objectives of a service. */
+/** Request counts that are measured against the service-level objectives of a service. */
 
-/** Requests of one service in one span of time. */
+/** Request counts of one service over one time span. */
 export interface IBurnCounts {
   readonly requests: number;
-  /** Requests that the fleet or its targets failed. */
+  /** Requests that failed because of the fleet or its targets. */
   readonly failed: number;
-  /** Requests that succeeded, later than the objective's latency. */
+  /** Requests that succeeded but exceeded the objective's latency. */
   readonly slow: number;
 }
 
 /** Counts by service name. */
 export type ServiceCounts = Readonly<Record<string, IBurnCounts>>;
 
-/** Counts of a span without requests. */
+/** Counts of a time span without requests. */
 export const NO_COUNTS: IBurnCounts = { requests: 0, failed: 0, slow: 0 };
 
 /** Length of the time slots in which requests are counted, in ms. */
 export const SLOT_MS = 300_000;
 
 /**
- * The sum of two counts.
+ * Adds two counts.
  *
  * @example
  * addCounts(NO_COUNTS, { requests: 1, failed: 0, slow: 0 });
@@ -33,7 +33,7 @@
 }
 
 /**
- * The sum of the counts of each service.
+ * Adds the counts of each service.
  *
  * @example
  * mergeServiceCounts({}, { booking: NO_COUNTS });
@@ -47,7 +47,7 @@
 }
 
 /**
- * Start of the slot that an instant falls into, in ms since the Unix epoch.
+ * Returns the start of the slot that contains an instant; both in ms since the Unix epoch.
  *
  * @example
  * getSlotStart(clock.getWallTime());
--- a/packages/operators/src/burn/common/burnMerger.ts
+++ b/packages/operators/src/burn/common/burnMerger.ts
@@ -1,4 +1,4 @@
-/** Merges what the nodes wrote into one row for each member and slot. */
+/** Merges the rows that nodes wrote into one row per member and slot. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { ITableRow, ITableWrite, TableService } from '@parsleymux/store';
 import { PlatformError } from '@parsleymux/store';
@@ -13,7 +13,7 @@
   RAW_PREFIX,
 } from './burnRows.js';
 
-/** Until then the writer may repeat a write whose answer was lost. */
+/** Minimum age of a mergeable row, in ms. Until then its writer may retry a write without a response. */
 export const MIN_MERGE_AGE_MS = 600_000;
 const DEFAULT_INTERVAL_MS = 300_000;
 const MERGE_BATCH_SIZE = 100;
@@ -23,12 +23,13 @@
   readonly table: TableService;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Mean time between two rounds, in ms. Default 300000. */
+  /** Mean interval between two rounds, in ms. Default 300000. */
   readonly intervalMs?: number;
 }
 
 /**
- * Every node tries now and then; of two that try the same rows, one transaction fails.
+ * Merges rows periodically on every node. If two nodes merge the same rows concurrently, only one of
+ * the two transactions commits.
  *
  * @example
  * await merger.runRound(signal);
@@ -41,13 +42,13 @@
     const { clock, random } = this.options;
     const intervalMs = this.options.intervalMs ?? DEFAULT_INTERVAL_MS;
     while (!signal.aborted) {
-      // Full spread: nodes that started together must not all scan at the same moment.
+      // Full jitter: nodes that started together must not all scan at the same time.
       await clock.sleep(random.getFloat() * 2 * intervalMs, signal).catch(() => undefined);
       await this.runRound(signal);
     }
   }
 
-  /** Merges everything that is old enough, a batch at a time. Failures wait for the next round. */
+  /** Merges all rows that are old enough, in batches. After a store failure the next round retries. */
   async runRound(signal: AbortSignal): Promise<void> {
     try {
       while (!signal.aborted) {
@@ -62,24 +63,24 @@
   private async scanMergeable(signal: AbortSignal): Promise<readonly ITableRow[]> {
     const { table, clock } = this.options;
     const rows = await table.scan({ prefix: RAW_PREFIX, limit: MERGE_BATCH_SIZE }, signal);
-    const limitMs = clock.getWallTime() - MIN_MERGE_AGE_MS;
-    return rows.filter((row) => parseRawInstant(row.key) <= limitMs);
+    const newestMs = clock.getWallTime() - MIN_MERGE_AGE_MS;
+    return rows.filter((row) => parseRawInstant(row.key) <= newestMs);
   }
 
-  /** False when another node merged some of the rows meanwhile. */
+  /** Returns false if another node merged some of the rows concurrently. */
   private async merge(rows: readonly ITableRow[], signal: AbortSignal): Promise<boolean> {
     const { table } = this.options;
     const sums = mergeBySlot(rows.flatMap(decodeRawRow));
     const keys = [...sums.keys()];
     const merged = await table.read(keys, signal);
-    const known = new Map(merged.map((row) => [row.key, row]));
+    const mergedByKey = new Map(merged.map((row) => [row.key, row]));
     const conditions = [
       ...rows.map(({ key, version }) => ({ key, version })),
-      ...keys.map((key) => ({ key, version: known.get(key)?.version ?? 0 })),
+      ...keys.map((key) => ({ key, version: mergedByKey.get(key)?.version ?? 0 })),
     ];
     const writes: ITableWrite[] = rows.map(({ key }) => ({ key, value: null }));
     for (const [key, counts] of sums) {
-      const total = mergeServiceCounts(decodeSlotRow(known.get(key)), counts);
+      const total = mergeServiceCounts(decodeSlotRow(mergedByKey.get(key)), counts);
       writes.push(
         { key, value: JSON.stringify(total) },
         { key: formatExpiredSlotKey(key), value: null },
@@ -89,7 +90,7 @@
   }
 }
 
-/** The row that falls out of the longest window as this one comes in. */
+/** Key of the row that leaves the longest window when the row of `key` is added. */
 function formatExpiredSlotKey(key: string): string {
   const slotMs = parseSlotStart(key);
   const prefix = key.slice(0, key.lastIndexOf('/') + 1);
--- a/packages/operators/src/burn/common/burnPage.ts
+++ b/packages/operators/src/burn/common/burnPage.ts
@@ -1,4 +1,4 @@
-/** The report on service-level burn as one HTML page that needs nothing else. */
+/** Renders the burn report as one self-contained HTML page. */
 import type { BurnResponse, ServiceBurn, WindowBurn } from '@parsleymux/schema';
 import { renderBurnPlot } from './burnPlot.js';
 
@@ -22,7 +22,7 @@
 const PERCENT = 100;
 
 /**
- * The page.
+ * Renders the page.
  *
  * @example
  * writeFileSync('burn.html', renderBurnPage(report));
@@ -90,7 +90,7 @@
 }
 
 /**
- * A burn rate for people.
+ * Formats a burn rate for display.
  *
  * @example
  * formatBurn(14.44); // '14.4'
@@ -100,7 +100,7 @@
 }
 
 /**
- * The name of a window's length.
+ * Formats the length of a window, in seconds, for display.
  *
  * @example
  * formatWindow(3600); // '1 h'
@@ -110,7 +110,7 @@
   return windowS < 86_400 ? `${windowS / 3600} h` : `${windowS / 86_400} d`;
 }
 
-/** Names come from members' intents; a page must show them and never run them. */
+/** Escapes names, which come from members' intents, so that the page can't execute them. */
 function encodeHtml(text: string): string {
   return text
     .replaceAll('&', '&amp;')
--- a/packages/operators/src/burn/common/burnPlot.ts
+++ b/packages/operators/src/burn/common/burnPlot.ts
@@ -1,4 +1,4 @@
-/** The plot of one service's burn over three days. */
+/** Renders the plot of one service's burn rate over three days. */
 import { MS_PER_DAY, MS_PER_HOUR } from '@parsleymux/base';
 import type { ServiceBurn } from '@parsleymux/schema';
 import { scaleSymlog, scaleUtc } from 'd3-scale';
@@ -12,10 +12,12 @@
 const PLOT_SPAN_MS = 3 * MS_PER_DAY;
 const TICK_LENGTH = 5;
 const LABEL_GAP = 14;
+/** Minimum upper end of the burn axis, so that all of the guides are visible. */
 const MIN_TOP_BURN = 20;
 const X_TICKS = 7;
-/** Even, over a month, and the limits of the two alerts that page. */
+/** No burn, a burn that spends exactly the budget, and the limits of the two page alerts. */
 const GUIDES = [0, 1, 6, 14.4] as const;
+/** Guides that are drawn only if the burn reaches them. */
 const HIGH_BURN_GUIDES = [100, 1000] as const;
 
 const AVAILABILITY_COLOR = '#a4161a';
@@ -35,7 +37,7 @@
 }
 
 /**
- * An SVG with the burn over the hour before each slot's end.
+ * Renders an SVG with the burn rate over the hour before each slot.
  *
  * @example
  * const svg = renderBurnPlot(service, Number(report.atMs));
@@ -109,15 +111,15 @@
   );
 }
 
-/** Each label at the end of its line, moved apart where the lines end together. */
+/** Places each label at the end of its line, and moves labels apart where lines end close together. */
 function renderLabels(series: readonly ISeries[], y: (burn: number) => number): readonly string[] {
   const labels = series
     .map(({ name, color, points }) => ({ name, color, at: y(points.at(-1)?.burn ?? 0) }))
     .sort((left, right) => left.at - right.at);
-  let lowest = Infinity;
+  let previousTop = Infinity;
   return labels.reverse().map(({ name, color, at }) => {
-    const top = Math.min(at, lowest - LABEL_GAP);
-    lowest = top;
+    const top = Math.min(at, previousTop - LABEL_GAP);
+    previousTop = top;
     const x = WIDTH - MARGIN.right + 8;
     return `<text x="${x}" y="${top + 4}" fill="${color}" font-weight="600">${name}</text>`;
   });
--- a/packages/operators/src/burn/common/burnRates.ts
+++ b/packages/operators/src/burn/common/burnRates.ts
@@ -1,4 +1,4 @@
-/** Burn rates over several windows, and the alerts that follow from them. */
+/** Computes burn rates over several windows, and the alerts that they trigger. */
 import { create } from '@bufbuild/protobuf';
 import { MS_PER_SECOND } from '@parsleymux/base';
 import type { Objective, WindowBurn } from '@parsleymux/schema';
@@ -18,7 +18,10 @@
 const DEFAULT_AVAILABILITY = 0.999;
 const DEFAULT_LATENCY_SHARE = 0.99;
 
-/** Both windows must burn faster than the limit: the long one says it matters, the short one that it lasts. */
+/**
+ * Fires if the burn rates of both windows exceed the limit: the long window shows that the loss is
+ * significant, the short window that it is still going on.
+ */
 interface IAlertRule {
   readonly kind: 'page' | 'ticket';
   readonly longS: number;
@@ -28,8 +31,8 @@
 }
 
 /**
- * The limits for an objective over 30 days: 2% of its budget in an hour, 5% in six hours, 10% in
- * three days.
+ * Alert rules for an objective over 30 days. Their limits correspond to 2% of the error budget in one
+ * hour, 5% in six hours and 10% in three days.
  */
 const ALERT_RULES: readonly IAlertRule[] = [
   { kind: 'page', longS: HOUR_S, shortS: 5 * MINUTE_S, limit: 14.4, label: '1 h and 5 min' },
@@ -37,14 +40,14 @@
   { kind: 'ticket', longS: 3 * DAY_S, shortS: 6 * HOUR_S, limit: 1, label: '3 d and 6 h' },
 ];
 
-/** Every window of the rules, shortest first. */
+/** Lengths of all windows of the rules, in seconds, shortest first. */
 export const WINDOWS_S: readonly number[] = [
   ...new Set(ALERT_RULES.flatMap((rule) => [rule.shortS, rule.longS])),
 ].sort((left, right) => left - right);
 
 /**
- * The burn of each window that ends now. A slot counts when it reaches into the window, so a
- * window can be up to one slot longer than its name.
+ * Computes the burn rates of each window that ends at `nowMs`. A slot that overlaps a window partly is
+ * counted in full, so the effective window can be up to one slot longer than its name.
  *
  * @example
  * const windows = computeWindowBurns(slots, service.objective, clock.getWallTime());
@@ -65,7 +68,7 @@
   });
 }
 
-/** The burn of one span of time. */
+/** Counts and burn rates of one time span. */
 export interface IBurnRates {
   readonly counts: IBurnCounts;
   readonly availability: number;
@@ -73,7 +76,7 @@
 }
 
 /**
- * The burn of the span of `spanMs` that ends at `atMs`.
+ * Computes the burn rates of the time span of `spanMs` that ends at `atMs`.
  *
  * @example
  * computeBurnRatesAt(slots, objective, nowMs, 3_600_000).availability;
@@ -97,7 +100,7 @@
 }
 
 /**
- * The alerts that fire on these burns.
+ * Lists the alerts that fire for these burn rates.
  *
  * @example
  * listAlerts(windows); // ['page: availability over 1 h and 5 min']
@@ -122,7 +125,7 @@
 }
 
 /**
- * Counts as they are in messages.
+ * Converts counts to the fields of a `BurnCounts` message.
  *
  * @example
  * create(BurnCountsSchema, toCountsMessage(counts));
@@ -135,12 +138,12 @@
   };
 }
 
-/** Share of bad ones over the share that the objective allows; 0 without requests. */
+/** Share of bad requests divided by the share that the objective allows; 0 without requests. */
 function computeBurnRate(bad: number, all: number, objective: number): number {
   return all <= 0 ? 0 : bad / all / (1 - objective);
 }
 
-/** An absent number is 0 in a message. */
+/** Returns the default for a share that is not set: an absent number in a message is 0. */
 function getShareOrDefault(share: number | undefined, byDefault: number): number {
   return share === undefined || share === 0 ? byDefault : share;
 }
--- a/packages/operators/src/burn/common/burnReader.ts
+++ b/packages/operators/src/burn/common/burnReader.ts
@@ -1,4 +1,4 @@
-/** Reads a member's counts of the last three days and computes its burn. */
+/** Reads a member's counts of the last three days and computes its burn rates. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '@parsleymux/base';
 import { MS_PER_SECOND } from '@parsleymux/base';
@@ -29,7 +29,7 @@
 } from './burnRows.js';
 
 const SCAN_LIMIT = 1000;
-/** A merge between the two scans would hide the rows it moved; then both are read anew. */
+/** Scans that are tried: a merge between two scans hides the rows that it moved, so both are repeated. */
 const MAX_SCAN_ATTEMPTS = 3;
 
 /** Options of a {@link BurnReader}. */
@@ -40,7 +40,7 @@
 }
 
 /**
- * Makes the report of one member.
+ * Builds the burn report of one member.
  *
  * @example
  * const report = await reader.getReport('dobrescu', signal);
@@ -48,7 +48,7 @@
 export class BurnReader {
   constructor(private readonly options: IBurnReaderOptions) {}
 
-  /** The burn of each service in force. Throws StoreUnavailable. */
+  /** Returns the burn of each service in force. Throws StoreUnavailable. */
   async getReport(member: string, signal?: AbortSignal): Promise<BurnResponse> {
     const nowMs = this.options.clock.getWallTime();
     const slots = await this.readSlots(member, nowMs, signal);
@@ -97,10 +97,10 @@
   }
 }
 
-/** Raw rows that are gone were merged between the scans, before or after the merged rows were read. */
+/** Whether raw rows were merged between the scans, before or after the merged rows were read. */
 function hasRemovedRows(before: readonly ITableRow[], after: readonly ITableRow[]): boolean {
-  const kept = new Set(after.map((row) => row.key));
-  return before.some((row) => !kept.has(row.key));
+  const remaining = new Set(after.map((row) => row.key));
+  return before.some((row) => !remaining.has(row.key));
 }
 
 function mergeRows(
@@ -109,8 +109,8 @@
   raw: readonly ITableRow[],
 ): ReadonlyMap<string, ServiceCounts> {
   const slots = new Map(merged.map((row) => [row.key, decodeSlotRow(row)]));
-  const own = raw.flatMap(decodeRawRow).filter((counts) => counts.member === member);
-  for (const [key, counts] of mergeBySlot(own)) {
+  const memberCounts = raw.flatMap(decodeRawRow).filter((counts) => counts.member === member);
+  for (const [key, counts] of mergeBySlot(memberCounts)) {
     slots.set(key, mergeServiceCounts(slots.get(key) ?? {}, counts));
   }
   return slots;
@@ -121,17 +121,17 @@
   slots: ReadonlyMap<string, ServiceCounts>,
   nowMs: number,
 ): ServiceBurn {
-  const own: ISlotCounts[] = [...slots].flatMap(([key, services]) => {
+  const serviceSlots: ISlotCounts[] = [...slots].flatMap(([key, services]) => {
     const counts = services[service.name];
     return counts === undefined ? [] : [{ slotMs: parseSlotStart(key), counts }];
   });
-  own.sort((left, right) => left.slotMs - right.slotMs);
-  const windows = computeWindowBurns(own, service.objective, nowMs);
+  serviceSlots.sort((left, right) => left.slotMs - right.slotMs);
+  const windows = computeWindowBurns(serviceSlots, service.objective, nowMs);
   return create(ServiceBurnSchema, {
     service: service.name,
     ...(service.objective === undefined ? {} : { objective: service.objective }),
     windows: [...windows],
-    points: own.map(({ slotMs, counts }) =>
+    points: serviceSlots.map(({ slotMs, counts }) =>
       create(BurnPointSchema, {
         startMs: BigInt(slotMs),
         durationS: SLOT_MS / MS_PER_SECOND,
--- a/packages/operators/src/burn/common/burnRecorder.ts
+++ b/packages/operators/src/burn/common/burnRecorder.ts
@@ -1,4 +1,4 @@
-/** Counts requests on one node and hands the counts to the platform's table. */
+/** Counts requests on one node and writes the counts to the platform's table. */
 import { randomUUID } from 'node:crypto';
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
@@ -12,11 +12,15 @@
 import { MIN_MERGE_AGE_MS } from './burnMerger.js';
 
 const DEFAULT_FLUSH_MS = 60_000;
-/** Counts kept while the store is out: two hours of 200 services. Beyond it the oldest go. */
+/**
+ * Maximum number of counts buffered while the store is unavailable: two hours of 200 services. Beyond
+ * it the oldest are dropped.
+ */
 const MAX_PENDING_COUNTS = 5000;
 const DEFAULT_LATENCY_MS = 1000;
-/** Requests refused for what they are, and callers that left, say nothing of the service. */
+/** Lower codes are faults of the request or disconnects of its caller, and don't count. */
 const MIN_SERVER_CODE = 2000;
+/** Codes of rejections that don't count, though they are not below {@link MIN_SERVER_CODE}. */
 const UNCOUNTED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.IdempotencyKeyMissing,
   ResultCode.IdempotencyKeyConflict,
@@ -38,11 +42,11 @@
   readonly config: ConfigService;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Mean time between two writes of what was counted, in ms. Default 60000. */
+  /** Mean interval between two writes, in ms. Default 60000. */
   readonly flushMs?: number;
 }
 
-/** A write whose outcome is not known yet. It is repeated as it is, under the same key. */
+/** A write whose outcome is not known yet. It is retried unchanged, under the same key. */
 interface IBatch {
   readonly key: string;
   readonly createdAtMs: number;
@@ -50,24 +54,24 @@
 }
 
 /**
- * Counts in memory, and writes the counts of all members in one row from time to time. A node
- * that is killed loses what it counted since the last write.
+ * Counts in memory, and periodically writes the counts of all members in one row. A node that is
+ * killed loses the counts since its last write.
  *
  * @example
  * recorder.record({ member: 'dobrescu', service: 'booking', code: ResultCode.Ok, durationMs: 12 });
  */
 export class BurnRecorder {
-  private readonly writer = randomUUID();
+  private readonly writerId = randomUUID();
   private readonly pending = new Map<string, IRawCounts>();
   private batch: IBatch | undefined;
-  /** Key of the batch that may have been written already. */
+  /** Key of the batch that the store may have written already. */
   private unresolvedKey = '';
   private sequence = 0;
   private lostCount = 0;
 
   constructor(private readonly options: IBurnRecorderOptions) {}
 
-  /** Requests whose counts were given up and may be missing from the report. */
+  /** Number of requests whose counts were dropped and may be missing from the report. */
   getLostCount(): number {
     return this.lostCount;
   }
@@ -81,7 +85,7 @@
     this.addPending({ member, service, slotMs, ...counts });
   }
 
-  /** Writes counts until `signal` aborts, and once more then. */
+  /** Writes counts periodically until `signal` aborts, and a last time after that. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.options;
     const flushMs = this.options.flushMs ?? DEFAULT_FLUSH_MS;
@@ -91,7 +95,7 @@
     }
   }
 
-  /** Writes what was counted since the last write. Failures are kept for the next time. */
+  /** Writes the counts since the last write. Counts whose write failed are retried by the next call. */
   async flush(): Promise<void> {
     this.batch ??= this.takeBatch();
     const { batch } = this;
@@ -99,7 +103,7 @@
     const value = encodeRawCounts(batch.counts);
     const conditions = [{ key: batch.key, version: 0 }];
     try {
-      // Not committed means that an earlier try, whose answer was lost, wrote the row.
+      // If it doesn't commit, an earlier attempt whose response was lost has written the row.
       await this.options.table.transact({
         conditions,
         writes: [{ key: batch.key, value }],
@@ -112,9 +116,9 @@
   }
 
   /**
-   * What surely was not written may be written later under another key. What may have been
-   * written is repeated under its own key, but only until merging may have removed that row:
-   * after that a repetition would count everything twice, and nobody could tell.
+   * Counts that were certainly not written are merged into a later batch under another key. A batch
+   * that may have been written is retried under its own key, but only until that row may have been
+   * merged and removed: a later retry would count all of its requests twice, undetected.
    */
   private handleFailure(batch: IBatch, error: PlatformError): void {
     if (error.failure !== PlatformFailure.Unknown && batch.key !== this.unresolvedKey) {
@@ -135,15 +139,15 @@
     this.pending.clear();
     const createdAtMs = this.options.clock.getWallTime();
     this.sequence += 1;
-    return { key: formatRawKey(createdAtMs, this.writer, this.sequence), createdAtMs, counts };
+    return { key: formatRawKey(createdAtMs, this.writerId, this.sequence), createdAtMs, counts };
   }
 
   private addPending(counts: IRawCounts): void {
     const key = `${counts.slotMs}/${counts.member}/${counts.service}`;
-    const known = this.pending.get(key);
+    const existing = this.pending.get(key);
     this.pending.set(
       key,
-      known === undefined ? counts : { ...counts, ...addCounts(known, counts) },
+      existing === undefined ? counts : { ...counts, ...addCounts(existing, counts) },
     );
     if (this.pending.size <= MAX_PENDING_COUNTS) return;
     const oldest = this.pending.entries().next();
@@ -152,7 +156,7 @@
     this.lostCount += oldest.value[1].requests;
   }
 
-  /** Undefined when the request says nothing of how the service is served. */
+  /** Returns undefined if the request doesn't count towards the service's objectives. */
   private toCounts(request: IFinishedRequest): IBurnCounts | undefined {
     const { code } = request;
     if (code === ResultCode.Ok) {
--- a/packages/operators/src/burn/common/burnRows.ts
+++ b/packages/operators/src/burn/common/burnRows.ts
@@ -1,20 +1,20 @@
 /**
- * Rows of the counts. Each node inserts what it counted under `burn/raw/`; whoever comes first
- * merges those rows into one for each member and slot under `burn/slot/`, in one transaction that
- * removes what it merged, so that nothing is counted twice and the number of rows is bounded.
+ * Keys and values of the rows with counts. Each node inserts its counts under `burn/raw/`. Any node
+ * merges those rows into one row per member and slot under `burn/slot/`, and removes the merged rows
+ * in the same transaction, so that no request is counted twice and the number of rows is bounded.
  */
 import type { ITableRow } from '@parsleymux/store';
 import type { IBurnCounts, ServiceCounts } from './burnCounts.js';
 import { addCounts, NO_COUNTS } from './burnCounts.js';
 
-/** Prefix of the rows that nodes insert, until they are merged. */
+/** Key prefix of the rows that nodes insert and that are not merged yet. */
 export const RAW_PREFIX = 'burn/raw/';
-/** Slots kept of each member: the longest window, three days, and the slot that is running. */
+/** Slots retained for each member: the longest window, three days, and the current slot. */
 export const RETAINED_SLOTS = 865;
 
 const INSTANT_DIGITS = 14;
 
-/** What one node counted of one service in one slot. */
+/** Counts of one node for one service in one slot. */
 export interface IRawCounts extends IBurnCounts {
   readonly member: string;
   readonly service: string;
@@ -22,8 +22,8 @@
 }
 
 /**
- * Key of what a node wrote at an instant. The instant is that of the writing, not of the counts:
- * merging waits by it until no try of the same write can still arrive.
+ * Formats the key of a raw row. The instant is that of the write, not of the counts: a row is merged
+ * only after no retry of the same write can arrive any more.
  *
  * @example
  * formatRawKey(1700000000000, 'node-a', 7);
@@ -33,7 +33,7 @@
 }
 
 /**
- * The instant in a raw row's key, in ms since the Unix epoch.
+ * Parses the instant of the write in a raw row's key, in ms since the Unix epoch.
  *
  * @example
  * parseRawInstant(row.key);
@@ -43,7 +43,7 @@
 }
 
 /**
- * Prefix of the merged rows of a member.
+ * Formats the key prefix of a member's merged rows.
  *
  * @example
  * formatSlotPrefix('dobrescu'); // 'burn/slot/dobrescu/'
@@ -53,7 +53,7 @@
 }
 
 /**
- * Key of the merged row of a member and slot; keys sort by time.
+ * Formats the key of the merged row of a member and slot; keys sort by time.
  *
  * @example
  * formatSlotKey('dobrescu', getSlotStart(nowMs));
@@ -63,7 +63,7 @@
 }
 
 /**
- * The slot's start in a merged row's key.
+ * Parses the start of the slot in a merged row's key, in ms since the Unix epoch.
  *
  * @example
  * parseSlotStart(row.key);
@@ -72,12 +72,13 @@
   return Number(key.slice(-INSTANT_DIGITS));
 }
 
-/** Requests, failed and slow ones of each service, by member and slot. */
+/** Counts of requests, failed and slow ones, by member, slot and service. */
 type PackedCounts = Record<string, Record<string, Record<string, [number, number, number]>>>;
 
 /**
- * The value of a raw row. An entry of a large fleet serves every service, and hands in a row a
- * minute: with every name repeated, 980 services would take all that a node may send for control.
+ * Encodes the value of a raw row. An entry of a large fleet serves every service and writes one row
+ * a minute. If every name were repeated, 980 services would use up all that a node may send as
+ * control traffic.
  *
  * @example
  * const value = encodeRawCounts(counts);
@@ -93,7 +94,7 @@
 }
 
 /**
- * The counts in a raw row.
+ * Decodes the counts in a raw row.
  *
  * @example
  * decodeRawRow(row).length;
@@ -110,7 +111,7 @@
 }
 
 /**
- * The counts in a merged row; none when there is no row.
+ * Decodes the counts in a merged row; none if there is no row.
  *
  * @example
  * decodeSlotRow(rows.get(key));
@@ -120,7 +121,7 @@
 }
 
 /**
- * Raw counts added up by member and slot; the keys are those of the merged rows.
+ * Adds up raw counts by member and slot; the keys are those of the merged rows.
  *
  * @example
  * const bySlot = mergeBySlot(rawCounts);
--- a/packages/operators/src/claims/common/claimSettler.ts
+++ b/packages/operators/src/claims/common/claimSettler.ts
@@ -1,7 +1,7 @@
-/** Where the administration API looks at and settles claims of non-idempotent requests. */
+/** Interface through which the administration API reads and settles claims of non-idempotent requests. */
 import type { ClaimInfo, ClaimOutcome } from '@parsleymux/schema';
 
-/** An operator's word on the outcome of a request. */
+/** An operator's decision on the unknown outcome of a request. */
 export interface ISettleRequest {
   readonly member: string;
   /** The caller's idempotency key, or its SHA-256 in hexadecimal. */
@@ -11,9 +11,9 @@
   readonly note: string;
 }
 
-/** Access to claims of one member at a time. */
+/** Reads and settles claims of one member at a time. */
 export abstract class ClaimSettler {
-  /** The claim, or undefined when there is none. Throws StoreUnavailable. */
+  /** Returns the claim, or undefined if there is none. Throws StoreUnavailable. */
   abstract getClaim(
     member: string,
     claimKey: string,
--- a/packages/operators/src/index.ts
+++ b/packages/operators/src/index.ts
@@ -1,4 +1,4 @@
-/** The administration API: operators, their keys, plans, status, claims and audit. */
+/** The administration API: operator keys, intents, plans, status, claims, burn reports and audit. */
 export * from './access/common/accessControl.js';
 export * from './access/common/memberLimiter.js';
 export * from './access/common/rateLimiter.js';
--- a/packages/operators/src/intents/common/intentReader.ts
+++ b/packages/operators/src/intents/common/intentReader.ts
@@ -1,8 +1,8 @@
-/** Turns the text of an intent into the message, checked against the schema. */
+/** Parses the text of an intent into a message, and validates it against the schema. */
 import type { Intent } from '@parsleymux/schema';
 
-/** Reads texts that members send. */
+/** Parses intents that members submit. */
 export abstract class IntentReader {
-  /** The intent. Throws MalformedIntent, LimitExceeded. */
+  /** Parses and validates an intent. Throws MalformedIntent, LimitExceeded. */
   abstract read(text: string, signal: AbortSignal): Promise<Intent>;
 }
--- a/packages/operators/src/intents/node/intentText.ts
+++ b/packages/operators/src/intents/node/intentText.ts
@@ -1,14 +1,14 @@
-/** The text of an intent, checked against the schema. */
+/** Parses the text of an intent, and validates it against the schema. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { Intent } from '@parsleymux/schema';
 import { IntentSchema } from '@parsleymux/schema';
 import { parseBody } from '../../api/common/adminRoute.js';
 
-/** An answer that lists every fault of a huge intent helps nobody. */
+/** Maximum length of a listing of faults, in characters: all faults of a large intent are unreadable. */
 const MAX_PROBLEM_LENGTH = 4000;
 
 /**
- * The intent in a text. Throws MalformedIntent.
+ * Parses an intent. Throws MalformedIntent.
  *
  * @example
  * const intent = parseIntentText('{ "member": "dobrescu" }');
@@ -23,7 +23,7 @@
 }
 
 /**
- * The refusal of an intent, with its faults cut to a readable length.
+ * Creates the rejection of an intent, with its listing of faults truncated to a readable length.
  *
  * @example
  * throw createIntentError(problem);
--- a/packages/operators/src/intents/node/intentWorker.ts
+++ b/packages/operators/src/intents/node/intentWorker.ts
@@ -1,10 +1,10 @@
-/** The thread that reads one intent and ends. */
+/** Entry point of a worker thread that parses one intent and exits. */
 import { parentPort, workerData } from 'node:worker_threads';
 import { toBinary } from '@bufbuild/protobuf';
 import { IntentSchema } from '@parsleymux/schema';
 import { parseIntentText } from './intentText.js';
 
-/** What the thread answers. */
+/** The message that the thread sends: the encoded intent, or the reason for its rejection. */
 export type IntentWorkerResponse =
   | { readonly bytes: Uint8Array; readonly problem?: undefined }
   | { readonly bytes?: undefined; readonly problem: string };
--- a/packages/operators/src/intents/node/workerIntentReader.test.ts
+++ b/packages/operators/src/intents/node/workerIntentReader.test.ts
@@ -15,11 +15,10 @@
 }
 
 /*
- * Symptom: every few seconds all callers of a node wait, whichever member is theirs.
- * Sequence: one member submits large intents again and again.
- * Cause: reading them on the thread that serves callers.
+ * Guards against pauses for all callers of a node while one member submits large intents repeatedly,
+ * because they are parsed on the thread that serves callers.
  */
-test('while a large intent is read, the thread that serves callers goes on', async () => {
+test('parsing a large intent does not block the thread that serves callers', async () => {
   const reader = new WorkerIntentReader({ clock: new SystemClock() });
   const progress = { isDone: false };
   const reading = reader.read(formatIntent(ROUTES), signal).finally(() => {
@@ -31,11 +30,11 @@
     turns += 1;
   }
   assert.equal((await reading).routes.length, ROUTES);
-  // Read in place, the intent would be there within a turn or two.
+  // If it were parsed in place, the intent would be available within one or two turns.
   assert.ok(turns > 20, `${turns} turns of the event loop`);
 });
 
-test('a large broken intent is refused with its first faults, not with all of them', async () => {
+test('a large malformed intent is rejected with its first faults only', async () => {
   const reader = new WorkerIntentReader({ clock: new SystemClock() });
   const broken = formatIntent(ROUTES).replaceAll('"idempotent":true', '"idempotent":7');
   for (const text of [broken, formatIntent(ROUTES, ']'), '['.repeat(400_000)]) {
@@ -48,7 +47,7 @@
   }
 });
 
-test('reading ends at its limit, and a flood is refused instead of queued without end', async () => {
+test('parsing stops at its time limit, and reads beyond the queue limit are rejected', async () => {
   const clock = new ManualClock();
   const reader = new WorkerIntentReader({ clock, limitMs: 1 });
   const slow = reader.read(formatIntent(ROUTES), signal);
--- a/packages/operators/src/intents/node/workerIntentReader.ts
+++ b/packages/operators/src/intents/node/workerIntentReader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads large intents in a thread of their own. Reading half a megabyte takes the processor for
- * tens of milliseconds, and a text made to that end for longer; on the thread that serves
- * callers, one member's intent would show as a pause in every member's requests.
+ * Parses large intents in worker threads. Parsing half a megabyte takes tens of milliseconds of
+ * processor time, and a text crafted for it takes longer. On the thread that serves callers, one
+ * member's intent would delay the requests of every member.
  */
 import { Worker } from 'node:worker_threads';
 import { fromBinary } from '@bufbuild/protobuf';
@@ -13,7 +13,7 @@
 import type { IntentWorkerResponse } from './intentWorker.js';
 import { createIntentError, parseIntentText } from './intentText.js';
 
-/** Below this a thread costs more than it spares. */
+/** Up to this length, in characters, starting a thread costs more than parsing in place. */
 const MAX_INLINE_LENGTH = 8192;
 const DEFAULT_TIMEOUT_MS = 5000;
 const MAX_THREADS = 2;
@@ -24,18 +24,18 @@
 /** Options of a {@link WorkerIntentReader}. */
 export interface IWorkerIntentReaderOptions {
   readonly clock: Clock;
-  /** Longest that reading one intent may take, in ms. Default 5000. */
+  /** Maximum time for parsing one intent, in ms. Default 5000. */
   readonly limitMs?: number;
 }
 
 /**
- * Reads small intents at once, and large ones in at most two threads.
+ * Parses small intents in place, and large ones in at most two worker threads.
  *
  * @example
  * const intent = await reader.read(text, signal);
  */
 export class WorkerIntentReader extends IntentReader {
-  private readonly waiting: (() => void)[] = [];
+  private readonly queue: (() => void)[] = [];
   private running = 0;
 
   constructor(private readonly options: IWorkerIntentReaderOptions) {
@@ -59,16 +59,16 @@
       resourceLimits: { maxOldGenerationSizeMb: MAX_HEAP_MB },
     });
     const limitMs = this.options.limitMs ?? DEFAULT_TIMEOUT_MS;
-    const end = () => void worker.terminate();
-    const timer = this.options.clock.startTimer(limitMs, end);
-    signal.addEventListener('abort', end, { once: true });
+    const terminate = () => void worker.terminate();
+    const timer = this.options.clock.startTimer(limitMs, terminate);
+    signal.addEventListener('abort', terminate, { once: true });
     try {
-      const answer = await waitForResponse(worker);
-      if (answer.bytes === undefined) throw createIntentError(answer.problem);
-      return fromBinary(IntentSchema, answer.bytes);
+      const response = await waitForResponse(worker);
+      if (response.bytes === undefined) throw createIntentError(response.problem);
+      return fromBinary(IntentSchema, response.bytes);
     } finally {
       void timer.dispose();
-      signal.removeEventListener('abort', end);
+      signal.removeEventListener('abort', terminate);
       await worker.terminate();
     }
   }
@@ -78,15 +78,15 @@
       this.running += 1;
       return;
     }
-    if (this.waiting.length >= MAX_QUEUED_READS) {
+    if (this.queue.length >= MAX_QUEUED_READS) {
       throw createLimitError('too many large intents are being read', BUSY_RETRY_MS);
     }
-    await new Promise<void>((resolve) => this.waiting.push(resolve));
+    await new Promise<void>((resolve) => this.queue.push(resolve));
   }
 
-  /** Hands the thread's place to whoever waits longest. */
+  /** Passes the reservation to the read that has waited longest. */
   private releaseThread(): void {
-    const next = this.waiting.shift();
+    const next = this.queue.shift();
     if (next === undefined) this.running -= 1;
     else next();
   }
--- a/packages/operators/src/keys/common/keyCache.ts
+++ b/packages/operators/src/keys/common/keyCache.ts
@@ -1,13 +1,13 @@
-/** Rows of keys as read lately, so that requests need not read the store each time. */
+/** Caches rows of operator keys, so that not every request reads the store. */
 import type { Clock } from '@parsleymux/base';
 import { createStoreError } from '@parsleymux/config';
 import type { TableService } from '@parsleymux/store';
 import { PlatformError } from '@parsleymux/store';
 import type { IKeyRow } from './keyRow.js';
 
-/** A revoked key is refused by every node after this time. */
+/** Maximum age of a cached row. Every node rejects a revoked key after this time. */
 const MAX_AGE_MS = 5000;
-/** With the store out, operators who were known shortly before can still look at the status. */
+/** Maximum age while the store is unavailable, so that recent operators can still read the status. */
 const MAX_OUTAGE_AGE_MS = 300_000;
 const MAX_ENTRIES = 1000;
 
@@ -23,8 +23,8 @@
 }
 
 /**
- * Reads rows of keys through a bounded cache. Only rows that exist are kept: whoever makes up
- * keys can't push those of others out.
+ * Reads rows of keys through a bounded cache. Only rows that exist are cached, so that invented keys
+ * can't evict valid ones.
  *
  * @example
  * const row = await cache.read('keys/dobrescu/0011223344aa');
@@ -34,11 +34,11 @@
 
   constructor(private readonly options: IKeyCacheOptions) {}
 
-  /** The row, or undefined when there is none. Throws StoreUnavailable. */
+  /** Returns the row, or undefined if there is none. Throws StoreUnavailable. */
   async read(rowKey: string, signal?: AbortSignal): Promise<IKeyRow | undefined> {
-    const known = this.entries.get(rowKey);
-    const ageMs = this.getNow() - (known?.readAtMs ?? -Infinity);
-    if (known !== undefined && ageMs <= MAX_AGE_MS) return known.row;
+    const cached = this.entries.get(rowKey);
+    const ageMs = this.getNow() - (cached?.readAtMs ?? -Infinity);
+    if (cached !== undefined && ageMs <= MAX_AGE_MS) return cached.row;
     try {
       const [row] = await this.options.table.read([rowKey], signal);
       if (row === undefined) {
@@ -48,12 +48,12 @@
       return this.putEntry(rowKey, JSON.parse(row.value) as IKeyRow);
     } catch (error) {
       if (!(error instanceof PlatformError)) throw error;
-      if (known !== undefined && ageMs <= MAX_OUTAGE_AGE_MS) return known.row;
+      if (cached !== undefined && ageMs <= MAX_OUTAGE_AGE_MS) return cached.row;
       throw createStoreError(false, error);
     }
   }
 
-  /** Reads the row anew the next time. */
+  /** Removes a row, so that the next read goes to the store. */
   clear(rowKey: string): void {
     this.entries.delete(rowKey);
   }
--- a/packages/operators/src/keys/common/keyRow.ts
+++ b/packages/operators/src/keys/common/keyRow.ts
@@ -1,21 +1,21 @@
-/** Rows of operators' keys. */
+/** Rows of operator keys in the platform's table. */
 
-/** What is stored of a key. */
+/** Stored data of a key. */
 export interface IKeyRow {
   readonly id: string;
   readonly member: string;
   /** SHA-256 of the secret, in hexadecimal. */
   readonly hash: string;
   readonly note: string;
-  /** Identifier of the key that made this one. */
+  /** Identifier of the key whose operator created this one. */
   readonly createdBy: string;
   readonly createdAtMs: number;
-  /** Instant from which the key is refused; 0 for none. */
+  /** Wall time from which the key is rejected, in ms since the Unix epoch; 0 for none. */
   readonly endsAtMs: number;
 }
 
 /**
- * Prefix of the rows of a member's keys.
+ * Formats the prefix of the row keys of a member's operator keys.
  *
  * @example
  * formatKeyPrefix('dobrescu'); // 'keys/dobrescu/'
@@ -25,7 +25,7 @@
 }
 
 /**
- * Key of the row of one operator's key.
+ * Formats the row key of an operator key.
  *
  * @example
  * formatKeyRowKey('dobrescu', '0011223344aa');
@@ -35,7 +35,7 @@
 }
 
 /**
- * Whether the key is accepted at an instant.
+ * Returns whether the key is accepted at a time, in ms since the Unix epoch.
  *
  * @example
  * isKeyInForce(row, clock.getWallTime());
--- a/packages/operators/src/keys/common/keyStore.ts
+++ b/packages/operators/src/keys/common/keyStore.ts
@@ -1,4 +1,4 @@
-/** Operators' keys in the platform's table: created, rotated, revoked, verified. */
+/** Creates, rotates, revokes and verifies operator keys in the platform's table. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { MS_PER_DAY, MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IAuditEntry } from '@parsleymux/config';
@@ -18,9 +18,9 @@
 } from './operatorKey.js';
 
 const MAX_KEYS_PER_MEMBER = 50;
-/** As long as the audit log that names the key. */
+/** Same as the retention of the audit log, whose entries refer to the key. */
 const ENDED_KEY_RETENTION_MS = 90 * MS_PER_DAY;
-/** This row stands for "the fleet has had its first key"; only the platform's owner removes it. */
+/** Row that marks that the fleet's first key was created; only the platform's owner removes it. */
 const BOOTSTRAP_ROW_KEY = 'keys/@fleet-bootstrapped';
 
 /** Options of a {@link KeyStore}. */
@@ -30,17 +30,17 @@
   readonly random: RandomSource;
 }
 
-/** A key just made. This is the only time that its secret can be seen. */
+/** A key that was just created. Its secret is not available again later. */
 export interface ICreatedKey {
   readonly row: IKeyRow;
   readonly key: string;
 }
 
-/** What a key is made with. */
+/** Parameters of a new key. */
 export interface ICreateKeyRequest {
   readonly member: string;
   readonly note: string;
-  /** Identifier of the asking operator's key. */
+  /** Identifier of the requesting operator's key. */
   readonly operator: string;
 }
 
@@ -52,7 +52,7 @@
 }
 
 /**
- * Keeps keys. Every change is one transaction together with its line in the audit log.
+ * Stores keys. Every change is written in one transaction with its entry in the audit log.
  *
  * @example
  * const { key } = await keys.create({ member: 'dobrescu', note: 'depot', operator: 'k1' });
@@ -67,8 +67,8 @@
   }
 
   /**
-   * The row of the key in `text`, or undefined when it is not in force.
-   * Throws StoreUnavailable when that can't be told.
+   * Returns the row of the key in `text`, or undefined if the key is not in force.
+   * Throws StoreUnavailable if the row can't be read.
    */
   async verify(text: string, signal?: AbortSignal): Promise<IKeyRow | undefined> {
     const key = parseOperatorKey(text);
@@ -78,7 +78,7 @@
     return isKeyInForce(row, this.options.clock.getWallTime()) ? row : undefined;
   }
 
-  /** Makes a key. Throws LimitExceeded, StoreUnavailable. */
+  /** Creates a key. Throws LimitExceeded, StoreUnavailable. */
   async create(request: ICreateKeyRequest, signal?: AbortSignal): Promise<ICreatedKey> {
     const keys = await this.list(request.member, signal);
     const inForce = keys.filter((row) => isKeyInForce(row, this.options.clock.getWallTime()));
@@ -92,7 +92,7 @@
     return this.storeKeyRow(key, row, [audit, ...this.makeRemovals(keys)], signal);
   }
 
-  /** The member's keys, revoked ones included. Throws StoreUnavailable. */
+  /** Lists the member's keys, including revoked ones. Throws StoreUnavailable. */
   async list(member: string, signal?: AbortSignal): Promise<readonly IKeyRow[]> {
     return this.retry.run(signal, async () => {
       const rows = await this.options.table.scan({ prefix: formatKeyPrefix(member) }, signal);
@@ -100,12 +100,12 @@
     });
   }
 
-  /** Refuses the key from now on; nodes take note within seconds. Throws NotFound. */
+  /** Revokes the key; every node rejects it within seconds. Throws NotFound. */
   async revoke(request: IKeyRequest, signal?: AbortSignal): Promise<IKeyRow> {
     return this.endKey(request, 'key.revoke', 0, signal);
   }
 
-  /** Makes a successor, and ends the key after `overlapMs`. Throws NotFound. */
+  /** Creates a successor, and ends the key after `overlapMs`. Throws NotFound. */
   async rotate(
     request: IKeyRequest,
     overlapMs: number,
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Makes the fleet's first operator key, once in the life of the fleet.
-   * Throws Forbidden when that was done before.
+   * Creates the fleet's first operator key, which is possible only once.
+   * Throws Forbidden if it was created before.
    */
   async createBootstrapKey(note: string, signal?: AbortSignal): Promise<ICreatedKey> {
     const key = createOperatorKey(FLEET_MEMBER);
@@ -134,7 +134,7 @@
     return this.storeKeyRow(key, row, writes, signal, BOOTSTRAP_ROW_KEY);
   }
 
-  /** Inserts the row with `writes`; of two that need the same absent `guard` row, one fails. */
+  /** Inserts the row with `writes`. Of two concurrent calls with the same `guard` row, one fails. */
   private async storeKeyRow(
     key: IOperatorKey,
     row: IKeyRow,
@@ -149,14 +149,14 @@
     return this.retry.run(signal, async (attempt) => {
       attempt.markSent();
       const result = await this.options.table.transact({ conditions, writes: allWrites }, signal);
-      // Its identifier is random: a row of that name is ours, from a try whose answer was lost.
-      const isOurs = result.conflicts.some((conflict) => conflict.key === rowKey);
-      if (!result.committed && !isOurs) throw createAlreadyBootstrappedError();
+      // The identifier is random, so an existing row is from an earlier attempt whose response was lost.
+      const hasWrittenRow = result.conflicts.some((conflict) => conflict.key === rowKey);
+      if (!result.committed && !hasWrittenRow) throw createAlreadyBootstrappedError();
       return { row, key: formatOperatorKey(key) };
     });
   }
 
-  /** Ends the key `delayMs` from now, or leaves it as it is when it has ended. Throws NotFound. */
+  /** Ends the key `delayMs` from now; doesn't change a key that has ended. Throws NotFound. */
   private async endKey(
     request: IKeyRequest,
     action: string,
@@ -169,7 +169,7 @@
       const [stored] = await this.options.table.read([rowKey], signal);
       if (stored === undefined) throw createKeyNotFoundError(request.id);
       const row = decodeKeyRow(stored);
-      // A revoked key stays revoked: rotating it must not give it time again.
+      // A revoked key stays revoked: rotating it must not extend its validity.
       if (!isKeyInForce(row, nowMs)) return row;
       const next = withEnd(row, nowMs + delayMs);
       const audit = this.makeAuditWrite(request, action, request.id);
@@ -183,7 +183,7 @@
     return ended;
   }
 
-  /** Keys that ended long ago; without this each rotation would leave a row for ever. */
+  /** Removes keys that ended long ago. Without this, each rotation would leave a row permanently. */
   private makeRemovals(keys: readonly IKeyRow[]): readonly ITableWrite[] {
     const limitMs = this.getNowMs() - ENDED_KEY_RETENTION_MS;
     return keys
@@ -224,9 +224,9 @@
   return JSON.parse(row.value) as IKeyRow;
 }
 
-/** The row with the earlier of both ends: rotating a key twice must not give it time again. */
-function withEnd(row: IKeyRow, wantedMs: number): IKeyRow {
-  const endsAtMs = row.endsAtMs === 0 ? wantedMs : Math.min(wantedMs, row.endsAtMs);
+/** Sets the earlier of both ends: rotating a key twice must not extend its validity. */
+function withEnd(row: IKeyRow, requestedMs: number): IKeyRow {
+  const endsAtMs = row.endsAtMs === 0 ? requestedMs : Math.min(requestedMs, row.endsAtMs);
   return { ...row, endsAtMs };
 }
 
--- a/packages/operators/src/keys/common/operatorKey.ts
+++ b/packages/operators/src/keys/common/operatorKey.ts
@@ -1,12 +1,12 @@
 /**
- * Operators' keys. A key reads `pmx_MEMBER_ID_SECRET`, the secret being 32 random bytes in
- * base64url. Rows hold only the secret's SHA-256: a deliberately slow hash protects secrets that
- * people choose and others can guess; 256 random bits can't be guessed at any speed, and a slow
- * hash on each request would let anyone with a made-up key spend the node's processor.
+ * Format of operator keys: `pmx_MEMBER_ID_SECRET`, where the secret is 32 random bytes in base64url.
+ * Rows contain only the SHA-256 of the secret. A deliberately slow hash protects guessable secrets
+ * that people choose; 256 random bits can't be guessed at any speed, and a slow hash on each request
+ * would let anyone with an invented key use up the node's processor time.
  */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto';
 
-/** The member part of keys of the fleet's operators; no member can have this name. */
+/** Member in the keys of the fleet's operators; no member can have this name. */
 export const FLEET_MEMBER = '@fleet';
 
 const KEY_PREFIX = 'pmx';
@@ -23,7 +23,7 @@
 }
 
 /**
- * A new key.
+ * Creates a key with a random identifier and secret.
  *
  * @example
  * const key = createOperatorKey('dobrescu');
@@ -37,7 +37,7 @@
 }
 
 /**
- * The key as operators hold it.
+ * Formats the key as operators use it.
  *
  * @example
  * formatOperatorKey(createOperatorKey('dobrescu'));
@@ -47,7 +47,7 @@
 }
 
 /**
- * The parts of a key, or undefined when `text` is none.
+ * Parses a key; returns undefined if `text` is not one.
  *
  * @example
  * parseOperatorKey(text)?.member;
@@ -60,7 +60,7 @@
 }
 
 /**
- * SHA-256 of a secret, in hexadecimal.
+ * Returns the SHA-256 of a secret, in hexadecimal.
  *
  * @example
  * hashSecret(key.secret);
@@ -70,7 +70,7 @@
 }
 
 /**
- * Whether two secrets are equal, in a time that does not tell where they differ.
+ * Returns whether two secrets are equal. The time does not depend on where they differ.
  *
  * @example
  * compareSecrets(hashSecret(secret), row.hash);
--- a/packages/operators/src/metrics/node/operatorMetrics.ts
+++ b/packages/operators/src/metrics/node/operatorMetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of administration; docs/OPERATIONS.md says how to act on them. */
+/** Metrics of the administration API; docs/OPERATIONS.md describes how to act on them. */
 import { getResultInfo } from '@parsleymux/base';
 import type { Registry } from 'prom-client';
 import { Gauge } from 'prom-client';
@@ -6,26 +6,27 @@
 import type { BurnRecorder } from '../../burn/common/burnRecorder.js';
 
 /**
- * Adds the API's metrics to a registry. They name no member: who asks how often is the member's.
+ * Adds the API's metrics to a registry. No label names a member, so that the metrics don't disclose
+ * how often each member uses the API.
  *
  * @example
  * registerAdminMetrics(registry, api);
  */
 export function registerAdminMetrics(registry: Registry, api: AdminApi): void {
-  const answers: Gauge = new Gauge({
+  const responses: Gauge = new Gauge({
     name: 'parsleymux_admin_answers_total',
-    help: 'Answers to operators by result code.',
+    help: 'Responses to operators by result code.',
     labelNames: ['code', 'name'],
     registers: [registry],
     collect: () => {
       for (const [code, count] of api.getCounts()) {
-        answers.set({ code: String(code), name: getResultInfo(code).name }, count);
+        responses.set({ code: String(code), name: getResultInfo(code).name }, count);
       }
     },
   });
   const unaudited: Gauge = new Gauge({
     name: 'parsleymux_audit_entries_lost_total',
-    help: 'Refusals that are not in the audit log: too many at once, or the store was out.',
+    help: 'Rejections missing from the audit log: over the rate limit, or the store was unavailable.',
     registers: [registry],
     collect: () => {
       unaudited.set(api.getLostAuditCount());
@@ -34,7 +35,7 @@
 }
 
 /**
- * Adds the recorder's metrics to a registry.
+ * Adds the burn recorder's metrics to a registry.
  *
  * @example
  * registerBurnMetrics(registry, recorder);
@@ -42,7 +43,7 @@
 export function registerBurnMetrics(registry: Registry, recorder: BurnRecorder): void {
   const lost: Gauge = new Gauge({
     name: 'parsleymux_burn_requests_lost_total',
-    help: 'Requests that may be missing from the report on burn.',
+    help: 'Requests that may be missing from the burn report.',
     registers: [registry],
     collect: () => {
       lost.set(recorder.getLostCount());
--- a/packages/operators/src/status/common/statusProvider.ts
+++ b/packages/operators/src/status/common/statusProvider.ts
@@ -1,18 +1,18 @@
-/** Where the administration API learns what the nodes of the fleet know. */
+/** Interface through which the administration API reads the status of the fleet's nodes. */
 import type { GetNodeStatusResponse } from '@parsleymux/schema';
 
-/** What the nodes answered. */
+/** Status of the fleet's nodes. */
 export interface IFleetStatus {
   readonly nodes: readonly GetNodeStatusResponse[];
-  /** Addresses of nodes that did not answer in time. */
+  /** Addresses of nodes that did not respond in time. */
   readonly silentNodes: readonly string[];
 }
 
-/** Asks this node and its peers. */
+/** Requests the status of this node and its peers. */
 export abstract class StatusProvider {
   /**
-   * The status of every node, with the shards of `member` only; of none when it is "@fleet".
-   * Resolves in bounded time whatever the peers do.
+   * Returns the status of every node, with the shards of `member` only; without shards if `member` is
+   * "@fleet". Resolves in bounded time even if peers do not respond.
    */
   abstract getStatus(member: string, signal: AbortSignal): Promise<IFleetStatus>;
 }
--- a/packages/operators/src/targets/common/floorRace.test.ts
+++ b/packages/operators/src/targets/common/floorRace.test.ts
@@ -24,7 +24,7 @@
 const FLOOR = 12;
 const TARGETS = [1, 2, 3, 4, 5, 6].map((index) => `127.0.0.${index}:9001`);
 const RUNS = 300;
-/** Turns of the event loop for which a home goes on with what it read; a plan takes about 200. */
+/** Event loop turns for which a home uses the configuration it read; a plan takes about 200. */
 const MAX_STALE_TURNS = 600;
 
 const actions = fc.record({
@@ -37,11 +37,11 @@
 
 interface IOptions {
   readonly seed: number;
-  /** The homes tell the ledger a revision that no plan can be ahead of. */
+  /** Homes send the ledger a revision that no plan can exceed, which disables the check of it. */
   readonly omitsRevision?: boolean;
 }
 
-/** Two homes that eject on the configuration they read last, and operators who change it. */
+/** Two homes that eject by the configuration they read last, and operators who change it. */
 class FloorFixture {
   readonly platform;
   readonly invariants = new InvariantRegistry();
@@ -73,7 +73,7 @@
     };
   }
 
-  /** An ejection holds until its home returns the target or the target leaves the service. */
+  /** An ejection lasts until its home returns the target or the target is removed from the service. */
   private observe(rows: ReadonlyMap<string, ITableRow>): void {
     const pointer = decodePointer(rows.get(formatMemberKey(MEMBER)));
     const service = this.intents.get(pointer?.planId ?? '')?.services[0];
@@ -115,7 +115,7 @@
     const { memberRevision, intent } = await this.plans.getIntent(MEMBER);
     const service = intent!.services[0]!;
     if (!service.targets.some((target) => target.address === action.target)) return;
-    // The home goes on with this configuration for a while, whatever is confirmed meanwhile.
+    // The home keeps using this configuration for a while, although plans may be confirmed.
     const turns = this.random.getInteger(2) * this.random.getInteger(MAX_STALE_TURNS);
     for (let turn = 0; turn < turns; turn += 1) await Promise.resolve();
     const decision = await this.ledgers[action.home]!.requestEjection(
@@ -133,8 +133,8 @@
 
   private async changeTargets(action: Action): Promise<void> {
     const { intent } = await this.plans.getIntent(MEMBER);
-    const kept = intent!.services[0]!.targets.map((target) => target.address);
-    const without = kept.filter((address) => address !== action.target);
+    const addresses = intent!.services[0]!.targets.map((target) => target.address);
+    const without = addresses.filter((address) => address !== action.target);
     const targets = action.kind === 'remove' ? without : [...without, action.target];
     const next = createTestIntent(MEMBER, { targets, floorSlots: FLOOR });
     if (action.kind === 'drain') next.services[0]!.targets.at(-1)!.state = TargetState.DRAINING;
@@ -151,45 +151,44 @@
 }
 
 async function runRace(list: readonly Action[], options: IOptions): Promise<FloorFixture> {
-  const world = new FloorFixture(options);
-  await world.confirmIntent(createTestIntent(MEMBER, { targets: TARGETS, floorSlots: FLOOR }));
+  const fixture = new FloorFixture(options);
+  await fixture.confirmIntent(createTestIntent(MEMBER, { targets: TARGETS, floorSlots: FLOOR }));
   for (let index = 0; index < list.length; index += 4) {
-    await Promise.all(list.slice(index, index + 4).map((action) => world.runAction(action)));
+    await Promise.all(list.slice(index, index + 4).map((action) => fixture.runAction(action)));
   }
-  return world;
+  return fixture;
 }
 
 /*
- * Symptom: a service has fewer healthy slots than its floor, though every decision was checked.
- * Sequence: two homes eject, one of them on a configuration that a plan has just replaced, while
- * operators remove and drain targets.
- * Cause: ejections and plans spend the same capacity, and each reckons without the other.
+ * Guards against fewer healthy slots than the floor although every decision was checked: two homes
+ * eject, one by a configuration that a plan has just replaced, while operators remove and drain
+ * targets. Ejections and plans use the same capacity, so each check must include the other.
  */
-test('plans and ejections of two homes together never undercut the floor', async () => {
+test('plans and ejections of two homes together never reduce capacity below the floor', async () => {
   let ejected = 0;
   let confirmed = 0;
   await fc.assert(
     fc.asyncProperty(fc.nat(), fc.array(actions, { maxLength: 32 }), async (seed, list) => {
-      const world = await runRace(list, { seed });
-      assert.ok(world.lowestSlots >= FLOOR, `${world.lowestSlots} slots`);
-      assert.equal(world.invariants.getViolations(InvariantName.CapacityFloor), 0);
-      ejected += world.ejected;
-      confirmed += world.confirmed;
+      const fixture = await runRace(list, { seed });
+      assert.ok(fixture.lowestSlots >= FLOOR, `${fixture.lowestSlots} slots`);
+      assert.equal(fixture.invariants.getViolations(InvariantName.CapacityFloor), 0);
+      ejected += fixture.ejected;
+      confirmed += fixture.confirmed;
     }),
     { seed: 31, numRuns: RUNS },
   );
   assert.ok(ejected > RUNS / 2 && confirmed > 2 * RUNS, `${ejected} ejections, ${confirmed} plans`);
 });
 
-test('a home that does not tell its revision breaks the floor', async () => {
+test('a home that does not send its revision can violate the floor', async () => {
   const samples = fc.sample(fc.array(actions, { minLength: 32, maxLength: 32 }), {
     seed: 32,
     numRuns: 100,
   });
-  let broken = 0;
+  let violations = 0;
   for (const [seed, list] of samples.entries()) {
-    const world = await runRace(list, { seed, omitsRevision: true });
-    if (world.lowestSlots < FLOOR) broken += 1;
+    const fixture = await runRace(list, { seed, omitsRevision: true });
+    if (fixture.lowestSlots < FLOOR) violations += 1;
   }
-  assert.ok(broken > 0);
+  assert.ok(violations > 0);
 });
--- a/packages/operators/src/targets/common/targetAction.ts
+++ b/packages/operators/src/targets/common/targetAction.ts
@@ -1,11 +1,11 @@
-/** Draining a target, and returning it to service, as changes of the intent in force. */
+/** Applies draining of a target, and its return to service, to the intent in force. */
 import { clone, create } from '@bufbuild/protobuf';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { Intent, TargetRequest } from '@parsleymux/schema';
 import { IntentSchema, TargetAction, TargetState } from '@parsleymux/schema';
 
 /**
- * The intent with one target drained or returned. Throws NotFound, MalformedRequest.
+ * Returns the intent with one target drained or returned. Throws NotFound, MalformedRequest.
  *
  * @example
  * const intent = applyTargetAction(inForce.intent, request);
--- a/packages/operators/src/testing/apiFixture.ts
+++ b/packages/operators/src/testing/apiFixture.ts
@@ -1,4 +1,4 @@
-/** An administration API on a port of its own, over stores in memory, for tests. */
+/** Test fixture: an administration API on a local port, over in-memory stores. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { create } from '@bufbuild/protobuf';
@@ -60,14 +60,14 @@
   }
 }
 
-/** What a call came to. */
+/** Response to a call. */
 export interface ICallResult {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
   readonly text: string;
 }
 
-/** A running API and what is behind it. */
+/** A running API and its dependencies. */
 export interface IApiFixture extends IDisposable {
   readonly url: string;
   readonly platform: IMemoryPlatform;
@@ -78,13 +78,13 @@
   readonly claims: FakeClaimSettler;
   readonly invariants: InvariantRegistry;
   readonly operations: readonly string[];
-  /** Answers so far, by result code. */
+  /** Number of responses so far, by result code. */
   getCounts(): ReadonlyMap<ResultCode, number>;
   call(method: string, path: string, key?: string, body?: unknown): Promise<ICallResult>;
 }
 
 /**
- * Starts the API over a platform in memory.
+ * Starts the API over an in-memory platform.
  *
  * @example
  * const api = await startApiFixture();
@@ -111,8 +111,19 @@
   const audit = new AuditLog(shared);
   const logger = createSilentLogger();
   const burn = new BurnReader({ ...shared, config });
-  const parts = { plans, keys, audit, config, status, claims, burn, clock, invariants, logger };
-  const api = new AdminApi({ ...parts, ...options });
+  const dependencies = {
+    plans,
+    keys,
+    audit,
+    config,
+    status,
+    claims,
+    burn,
+    clock,
+    invariants,
+    logger,
+  };
+  const api = new AdminApi({ ...dependencies, ...options });
   const server = createServer((request, response) => void api.handle(request, response));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
--- a/packages/operators/src/testing/burnFixture.ts
+++ b/packages/operators/src/testing/burnFixture.ts
@@ -1,4 +1,4 @@
-/** Recorders, mergers and a reader over one table in memory, for tests. */
+/** Test fixture: burn recorders, mergers and a reader over one in-memory table. */
 import { create } from '@bufbuild/protobuf';
 import type { Event } from '@parsleymux/base';
 import { Emitter, ManualClock, ResultCode, SeededRandom } from '@parsleymux/base';
@@ -27,7 +27,7 @@
   }
 }
 
-/** The parts, sharing one clock and table. */
+/** Components that share one clock and table. */
 export interface IBurnFixture {
   readonly platform: IMemoryPlatform;
   readonly clock: ManualClock;
@@ -39,7 +39,7 @@
 }
 
 /**
- * Creates recorder, merger and reader over one table in memory.
+ * Creates a reader, and factories of recorders and mergers, over one in-memory table.
  *
  * @example
  * const fixture = createBurnFixture(7);
--- a/packages/operators/src/testing/index.ts
+++ b/packages/operators/src/testing/index.ts
@@ -1,2 +1,2 @@
-/** Fakes for the tests of this package and of the command line's. Not part of the public interface. */
+/** Test fixtures of this package and of the command line. Not part of the public interface. */
 export * from './apiFixture.js';
