--- a/packages/ctl/src/cli/common/exitStatus.ts
+++ b/packages/ctl/src/cli/common/exitStatus.ts
@@ -1,22 +1,22 @@
-/** Maps results to exit statuses, for scripts that call the command line. */
+/** Maps result codes to exit statuses, for scripts that call the command line. */
 import { ResultCode } from '@parsleymux/base';
 
-/** Exit statuses. A number is never given a new meaning: scripts rely on it. */
+/** Exit statuses. Scripts rely on the numbers, so none ever changes its meaning. */
 export const ExitStatus = {
   Ok: 0,
-  /** Something unforeseen. */
+  /** An unexpected error. */
   Failed: 1,
   /** Unknown command, wrong option, or unreadable file. */
   Usage: 2,
-  /** The node refused the request for what it is. */
+  /** The node rejected the request because of its content. */
   Refused: 3,
-  /** Somebody else was first: stale plan, decided plan, taken name. */
+  /** A concurrent or earlier change conflicts: stale plan, decided plan, taken name. */
   Conflict: 4,
-  /** The floor would break. */
+  /** The change would reduce capacity below the floor. */
   Floor: 5,
-  /** The key is not accepted, or not for this. */
+  /** The key is not accepted, or not for this operation. */
   Denied: 6,
-  /** No node could be reached, or the store is out; ask again later. */
+  /** No node could be reached, or the store is unavailable; retry later. */
   Unavailable: 7,
 } as const;
 
@@ -40,7 +40,7 @@
 ]);
 
 /**
- * The exit status that goes with a result.
+ * Returns the exit status of a result code.
  *
  * @example
  * chooseExitStatus(ResultCode.PlanStale); // 4
--- a/packages/ctl/src/cli/common/suggestion.ts
+++ b/packages/ctl/src/cli/common/suggestion.ts
@@ -1,11 +1,11 @@
-/** What the operator probably meant. */
+/** Suggests a command for an unknown one. */
 import { distance } from 'fastest-levenshtein';
 
-/** Suggested only when at most this share of the letters differs. */
+/** Maximum edit distance of a suggestion, as a fraction of the command's length. */
 const MAX_CHANGED_FRACTION = 0.5;
 
 /**
- * The known command nearest to the words given, or undefined when none is near.
+ * Finds the known command that is most similar to the words, or undefined if none is similar enough.
  *
  * @example
  * findNearestCommand(['plan', 'confrim', 'p1'], [['plan', 'confirm']]); // 'plan confirm'
@@ -14,9 +14,9 @@
   words: readonly string[],
   paths: readonly (readonly string[])[],
 ): string | undefined {
-  const plain = words.filter((word) => !word.startsWith('-'));
+  const withoutOptions = words.filter((word) => !word.startsWith('-'));
   const ranked = paths
-    .map((path) => ({ path, changes: countChanges(plain, path) }))
+    .map((path) => ({ path, changes: countChanges(withoutOptions, path) }))
     .filter(({ path, changes }) => changes <= path.join(' ').length * MAX_CHANGED_FRACTION)
     .sort((left, right) => left.changes - right.changes);
   return ranked[0]?.path.join(' ');
--- a/packages/ctl/src/cli/node/cli.test.ts
+++ b/packages/ctl/src/cli/node/cli.test.ts
@@ -44,7 +44,7 @@
   }
 }
 
-test('an operator submits an intent, confirms the plan, drains a target and reads the log', async () => {
+test('an operator submits an intent, confirms the plan, drains a target and reads the audit', async () => {
   await withApi(async (_, env, folder) => {
     const file = join(folder, 'booking.jsonc');
     writeFileSync(file, `// ours\n${toJsonString(IntentSchema, createTestIntent('dobrescu'))}`);
@@ -62,17 +62,21 @@
   });
 });
 
-test('exit statuses tell what kind of refusal it was', async () => {
+test('exit statuses distinguish the kinds of errors', async () => {
   await withApi(async (api, env, folder) => {
     const file = join(folder, 'none.jsonc');
     assert.equal((await run(['intent', 'submit', file], env)).status, ExitStatus.Usage);
     assert.equal((await run(['plan', 'show', 'none'], env)).status, ExitStatus.Refused);
     const wrongKey = { ...env, PARSLEYCTL_KEY: 'wrong' };
     assert.equal((await run(['status'], wrongKey)).status, ExitStatus.Denied);
-    const nobody = { ...env, PARSLEYCTL_ADMIN: 'http://127.0.0.1:1' };
-    assert.equal((await run(['status'], nobody)).status, ExitStatus.Unavailable);
-    const next = { ...env, PARSLEYCTL_ADMIN: `http://127.0.0.1:1, ${api.url}` };
-    assert.equal((await run(['status'], next)).status, ExitStatus.Ok, 'the next node is tried');
+    const unreachable = { ...env, PARSLEYCTL_ADMIN: 'http://127.0.0.1:1' };
+    assert.equal((await run(['status'], unreachable)).status, ExitStatus.Unavailable);
+    const withFallback = { ...env, PARSLEYCTL_ADMIN: `http://127.0.0.1:1, ${api.url}` };
+    assert.equal(
+      (await run(['status'], withFallback)).status,
+      ExitStatus.Ok,
+      'the next node is tried',
+    );
     api.platform.table.faults.isOut = true;
     const out = await run(['audit', '--json'], env);
     assert.equal(out.status, ExitStatus.Unavailable);
@@ -80,7 +84,7 @@
   });
 });
 
-test('a misspelled command is answered with the one that was probably meant', async () => {
+test('a misspelled command prints a suggestion, and an incomplete one its usage', async () => {
   const misspelled = await run(['plan', 'confrim', 'p1']);
   assert.equal(misspelled.status, ExitStatus.Usage);
   assert.match(misspelled.error, /did you mean "parsleyctl plan confirm"\?/);
@@ -91,10 +95,10 @@
   assert.match((await run(['plan', 'confirm', '--help'])).out, /Examples/);
 });
 
-test('keys are made, listed without secrets, rotated and revoked', async () => {
+test('keys are created, listed without secrets, rotated and revoked', async () => {
   await withApi(async (_, env) => {
-    const made = await run(['key', 'create', '--note', 'night'], env);
-    const key = /^pmx_.*$/m.exec(made.out)?.[0] ?? '';
+    const created = await run(['key', 'create', '--note', 'night'], env);
+    const key = /^pmx_.*$/m.exec(created.out)?.[0] ?? '';
     const id = key.split('_')[2] ?? '';
     const listed = await run(['key', 'list'], env);
     assert.match(listed.out, new RegExp(`${id} .*night`));
@@ -107,7 +111,7 @@
   });
 });
 
-test('a request is explained from log files, and an unknown one is said to be', async () => {
+test('a request is explained from log files, and an unknown request or file is an error', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'parsleyctl-'));
   const file = join(folder, 'node.log');
   const line = { time: '2026-01-01T00:00:00.000Z', node: 'n1', message: 'request', request: 'q1' };
--- a/packages/ctl/src/cli/node/cli.ts
+++ b/packages/ctl/src/cli/node/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: its commands, its help, and what happens on a wrong word. */
+/** The command line: its commands, help and usage errors. */
 import type { BaseContext, CommandClass } from 'clipanion';
 import { Cli } from 'clipanion';
 import { ClaimSettleCommand, ClaimShowCommand } from '../../commands/node/claimCommands.js';
@@ -87,7 +87,7 @@
   return words.length === 0 || words.includes('--help') || words.includes('-h');
 }
 
-/** The library writes "#0" where an option takes a value. */
+/** Replaces the "#0" that the library prints as the placeholder of an option's value. */
 function formatHelp(text: string): string {
   return text.replaceAll(' #0', ' VALUE');
 }
@@ -96,7 +96,7 @@
   return 'isTTY' in stream && stream.isTTY === true;
 }
 
-/** For a known command its usage; for an unknown one the nearest that is known. */
+/** Formats the usage of a known command, or the most similar command for an unknown one. */
 function formatUsageError(error: unknown, words: readonly string[], cli: Cli): string {
   const known = COMMANDS.find((command) => hasPath(command, words));
   const lines =
@@ -112,7 +112,7 @@
 function describeUnknownCommand(words: readonly string[]): readonly string[] {
   const paths = COMMANDS.flatMap((command) => command.paths ?? []);
   const nearest = findNearestCommand(words, paths);
-  const lines = [`there is no command "${words.join(' ')}"`];
+  const lines = [`unknown command "${words.join(' ')}"`];
   if (nearest !== undefined) lines.push(`did you mean "${BINARY_NAME} ${nearest}"?`);
   return lines;
 }
@@ -120,5 +120,5 @@
 function describeUsageError(error: unknown, command: CommandClass, cli: Cli): string {
   const name = `${BINARY_NAME} ${command.paths?.[0]?.join(' ') ?? ''}`;
   const reason = error instanceof Error && error.name === 'UsageError' ? `: ${error.message}` : '';
-  return `"${name}" is called wrongly${reason}; it takes\n  ${formatHelp(cli.usage(command).trim())}`;
+  return `invalid use of "${name}"${reason}; usage:\n  ${formatHelp(cli.usage(command).trim())}`;
 }
--- a/packages/ctl/src/client/node/adminClient.ts
+++ b/packages/ctl/src/client/node/adminClient.ts
@@ -12,14 +12,14 @@
 
 /** Options of an {@link AdminClient}. */
 export interface IAdminClientOptions {
-  /** Base URLs of nodes; the next one is tried when one can't be reached. */
+  /** Base URLs of nodes; the next one is tried if one can't be reached. */
   readonly urls: readonly string[];
   readonly key: string | undefined;
-  /** File with the authorities that the nodes' certificates descend from. Default: the system's. */
+  /** File with the certificate authorities of the nodes' certificates. Default: the system's. */
   readonly authorityFile?: string | undefined;
 }
 
-/** One call. */
+/** One call of the API. */
 export interface IAdminCall {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -27,10 +27,10 @@
 }
 
 /**
- * Sends calls with the operator's key. One whose connection broke is sent to the next node, also
- * when the first may have carried it out: a plan is confirmed or discarded once however often it is
- * asked for. What makes something may make it twice: a second open plan, which is dropped after a
- * day, or a second key, which `parsleyctl key list` shows and nobody has the secret of.
+ * Sends calls with the operator's key. A call whose connection fails is sent to the next node, even if
+ * the first may have executed it: confirming and discarding a plan are idempotent. Calls that create
+ * something may create it twice: a second open plan, which expires after a day, or a second key, which
+ * `parsleyctl key list` shows and whose secret nobody has.
  *
  * @example
  * const plan = await client.send(PlanSchema, { method: 'GET', path: '/v1/plans/p1' });
@@ -44,7 +44,7 @@
     this.agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS, ...authority } });
   }
 
-  /** The message answered. Throws a MuxError with the node's result, or ConnectionFailed. */
+  /** Returns the message in the response. Throws a MuxError with the node's result, or ConnectionFailed. */
   async send<Desc extends DescMessage>(
     schema: Desc,
     call: IAdminCall,
@@ -76,20 +76,20 @@
     call: IAdminCall,
   ): Promise<MessageShape<Desc>> {
     const { key } = this.options;
-    const answer = await request(new URL(call.path, url), {
+    const response = await request(new URL(call.path, url), {
       dispatcher: this.agent,
       method: call.method,
       headers: key === undefined ? {} : { authorization: `Bearer ${key}` },
       body: call.body ?? null,
       signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
-    const text = await answer.body.text();
-    if (answer.statusCode >= MIN_ERROR_STATUS) throw decodeError(text);
+    const text = await response.body.text();
+    if (response.statusCode >= MIN_ERROR_STATUS) throw decodeError(text);
     return fromJsonString(schema, text, { ignoreUnknownFields: true });
   }
 }
 
-/** Throws a plain error when it is not one of ours: something else answers at that address. */
+/** Decodes a node's error. Throws if the body is not one, as from another service at that address. */
 function decodeError(text: string): MuxError {
   const body = fromJsonString(ErrorBodySchema, text, { ignoreUnknownFields: true });
   const codes: readonly number[] = Object.values(ResultCode);
--- a/packages/ctl/src/commands/node/adminCommand.ts
+++ b/packages/ctl/src/commands/node/adminCommand.ts
@@ -1,4 +1,4 @@
-/** What every command that calls a node has in common. */
+/** Base class of the commands that call a node. */
 import { readFileSync } from 'node:fs';
 import type { DescMessage, MessageShape } from '@bufbuild/protobuf';
 import { toJsonString } from '@bufbuild/protobuf';
@@ -10,28 +10,29 @@
 
 const DEFAULT_ADMIN_URL = 'http://127.0.0.1:7003';
 
-/** A command with the options that name the node and the key. */
+/** A command with options for the node, the key and the output format. */
 export abstract class AdminCommand extends Command {
   readonly admin = Option.String('--admin', {
     env: 'PARSLEYCTL_ADMIN',
-    description: 'URLs of nodes, separated by commas; the next is tried when one is silent',
+    description:
+      'URLs of nodes, separated by commas; the next one is tried if one does not respond',
   });
 
   readonly key = Option.String('--key', {
     env: 'PARSLEYCTL_KEY',
-    description: "the operator's key; other users of this computer can see it here",
+    description: "the operator's key; visible to other users of this computer in the process list",
   });
 
   readonly keyFile = Option.String('--key-file', { description: "file with the operator's key" });
 
   readonly authority = Option.String('--ca', {
     env: 'PARSLEYCTL_CA',
-    description: 'file with the authorities of the nodes’ certificates',
+    description: 'file with the certificate authorities of the nodes’ certificates',
   });
 
-  readonly json = Option.Boolean('--json', false, { description: 'write the answer as JSON' });
+  readonly json = Option.Boolean('--json', false, { description: 'write the response as JSON' });
 
-  /** Runs the command, and turns refusals into a line on stderr and an exit status. */
+  /** Runs the command. Prints a MuxError, and maps its result code to the exit status. */
   override async execute(): Promise<number> {
     try {
       await this.run();
@@ -43,15 +44,15 @@
     }
   }
 
-  /** Does the command's work; a MuxError that it throws becomes the exit status. */
+  /** Performs the command. A MuxError that it throws determines the exit status. */
   protected abstract run(): Promise<void>;
 
-  /** The operator's key, from the file when one is named. */
+  /** Returns the operator's key, from the key file if one is given. */
   protected readKey(): string | undefined {
     return this.keyFile === undefined ? this.key : readText(this.keyFile).trim();
   }
 
-  /** Calls a node and prints the answer. */
+  /** Calls a node and prints the response. */
   protected async request<Desc extends DescMessage>(
     schema: Desc,
     call: IAdminCall,
@@ -65,7 +66,7 @@
     return message;
   }
 
-  /** Calls a node. */
+  /** Calls a node and returns the response. */
   protected async send<Desc extends DescMessage>(
     schema: Desc,
     call: IAdminCall,
@@ -99,7 +100,7 @@
 }
 
 /**
- * Reads a file that the operator named. Throws UsageError.
+ * Reads a file that a command's arguments name. Throws UsageError.
  *
  * @example
  * const intent = readText(this.file);
--- a/packages/ctl/src/commands/node/claimCommands.ts
+++ b/packages/ctl/src/commands/node/claimCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl claim`. */
+/** The `parsleyctl claim` commands. */
 import { create, toJsonString } from '@bufbuild/protobuf';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { ClaimInfo } from '@parsleymux/schema';
@@ -13,13 +13,13 @@
   ['not-run', ClaimOutcome.NOT_RUN],
 ]);
 
-/** Shows a claim. */
+/** Shows a claim, by the idempotency key of its request. */
 export class ClaimShowCommand extends AdminCommand {
   static override readonly paths = [['claim', 'show']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'show what is known of a request that is not idempotent',
+    description: 'show the state of the claim of a non-idempotent request',
     examples: [['Look a request up by its idempotency key', 'parsleyctl claim show order-17']],
   });
 
@@ -31,16 +31,16 @@
   }
 }
 
-/** Settles a claim. */
+/** Settles a claim whose outcome is unknown. */
 export class ClaimSettleCommand extends AdminCommand {
   static override readonly paths = [['claim', 'settle']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'settle the unknown outcome of a request that is not idempotent',
+    description: 'settle the unknown outcome of a non-idempotent request',
     details:
-      'Ask the target’s own records first. "not-run" lets the caller run the request anew: ' +
-      'if it did run, it will have run twice.',
+      'Check the target’s own records first. "not-run" lets the caller run the request again: ' +
+      'if it had run, it runs twice.',
     examples: [
       ['It ran', 'parsleyctl claim settle order-17 --outcome ran --note "in the order book"'],
       ['It did not', 'parsleyctl claim settle order-17 --outcome not-run --note "not in the book"'],
@@ -53,7 +53,7 @@
 
   readonly note = Option.String('--note', {
     required: true,
-    description: 'how the outcome was found out, for the audit log',
+    description: 'how the outcome was determined, for the audit log',
   });
 
   protected override async run(): Promise<void> {
--- a/packages/ctl/src/commands/node/explainCommands.ts
+++ b/packages/ctl/src/commands/node/explainCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl explain`: from the logs of the nodes to the cause of a complaint. */
+/** The `parsleyctl explain` commands, which find causes in the logs of the nodes. */
 import type { Readable } from 'node:stream';
 import { Command, Option } from 'clipanion';
 import { ExitStatus } from '../../cli/common/exitStatus.js';
@@ -9,11 +9,11 @@
 import { formatLosses } from '../../output/common/lossText.js';
 import { formatTimeline } from '../../output/common/timelineText.js';
 
-/** What the commands have in common: they read logs and need no node. */
+/** Base class of the commands, which read logs and call no node. */
 abstract class LogCommand extends Command {
   readonly json = Option.Boolean('--json', false, { description: 'write JSON' });
 
-  /** Declared by each command: the order of declarations is that of the words. */
+  /** Declared by each command, because the order of declarations is that of the arguments. */
   abstract readonly files: string[];
 
   override async execute(): Promise<number> {
@@ -21,7 +21,7 @@
     return lines === undefined ? ExitStatus.Usage : this.printLines(lines);
   }
 
-  /** Writes what the lines say; returns the exit status. */
+  /** Writes the result for the lines; returns the exit status. */
   protected abstract printLines(lines: readonly ILogLine[]): number;
 
   private async readLines(stdin: Readable): Promise<readonly ILogLine[] | undefined> {
@@ -29,13 +29,13 @@
       return await readLogs(this.files, stdin);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      this.context.stderr.write(`logs can't be read: ${reason}\n`);
+      this.context.stderr.write(`can't read logs: ${reason}\n`);
       return undefined;
     }
   }
 }
 
-/** Tells the story of one thing. */
+/** Shows the timeline of one request or target. */
 abstract class TimelineCommand extends LogCommand {
   readonly id = Option.String({ name: 'ID' });
 
@@ -45,7 +45,7 @@
     const { stderr, stdout } = this.context;
     const timeline = this.findTimeline(lines);
     if (timeline.length === 0) {
-      stderr.write(`none of ${lines.length} lines tells of ${this.id}\n`);
+      stderr.write(`none of ${lines.length} lines refers to ${this.id}\n`);
       return ExitStatus.Refused;
     }
     const text = this.json
@@ -58,13 +58,14 @@
   protected abstract findTimeline(lines: readonly ILogLine[]): readonly ILogLine[];
 }
 
-/** Tells one request's story across nodes. */
+/** Shows the timeline of one request across nodes. */
 export class ExplainRequestCommand extends TimelineCommand {
   static override readonly paths = [['explain', 'request']];
 
   static override readonly usage = Command.Usage({
     category: 'State',
-    description: 'tell from logs what became of one request, and what was believed before',
+    description:
+      'show from logs how one request was handled, and earlier events of its targets and nodes',
     details: 'Reads the files named, or standard input. Needs no node and no key.',
     examples: [['From collected logs', 'parsleyctl explain request 9c41d07be2a35f68 logs/*.log']],
   });
@@ -74,13 +75,13 @@
   }
 }
 
-/** Tells what was believed of one target, and why. */
+/** Shows the timeline of one target: changes of its health and failed attempts. */
 export class ExplainTargetCommand extends TimelineCommand {
   static override readonly paths = [['explain', 'target']];
 
   static override readonly usage = Command.Usage({
     category: 'State',
-    description: 'tell from logs who believed what of one target, when and why',
+    description: 'show from logs how nodes estimated the health of one target, when and why',
     details: 'Reads the files named, or standard input. Needs no node and no key.',
     examples: [['From collected logs', 'parsleyctl explain target i-7f3a91c2 logs/*.log']],
   });
@@ -90,7 +91,7 @@
   }
 }
 
-/** Accounts for all requests that were not answered in time. */
+/** Counts the requests that were refused, failed or late, by reason. */
 export class ExplainLossesCommand extends LogCommand {
   static override readonly paths = [['explain', 'losses']];
 
@@ -104,9 +105,9 @@
   override readonly files = Option.Rest({ name: 'FILES' });
 
   protected override printLines(lines: readonly ILogLine[]): number {
-    const account = countLosses(lines);
-    const text = this.json ? JSON.stringify(account) : formatLosses(account);
+    const report = countLosses(lines);
+    const text = this.json ? JSON.stringify(report) : formatLosses(report);
     this.context.stdout.write(`${text}\n`);
-    return account.requests > 0 ? ExitStatus.Ok : ExitStatus.Refused;
+    return report.requests > 0 ? ExitStatus.Ok : ExitStatus.Refused;
   }
 }
--- a/packages/ctl/src/commands/node/intentCommands.ts
+++ b/packages/ctl/src/commands/node/intentCommands.ts
@@ -1,17 +1,17 @@
-/** `parsleyctl intent`. */
+/** The `parsleyctl intent` commands. */
 import { toJsonString } from '@bufbuild/protobuf';
 import { IntentResponseSchema, IntentSchema, PlanSchema } from '@parsleymux/schema';
 import { Command, Option } from 'clipanion';
 import { formatPlan } from '../../output/common/planText.js';
 import { AdminCommand, readText } from './adminCommand.js';
 
-/** Submits an intent and shows the plan. */
+/** Submits an intent and shows the resulting plan. */
 export class IntentSubmitCommand extends AdminCommand {
   static override readonly paths = [['intent', 'submit']];
 
   static override readonly usage = Command.Usage({
     category: 'Intents and plans',
-    description: 'submit an intent and see the plan that it makes',
+    description: 'submit an intent and show the resulting plan',
     details: 'Nothing changes until the plan is confirmed. The file is JSON with comments.',
     examples: [
       ['Submit an intent', 'parsleyctl intent submit booking.jsonc'],
@@ -38,10 +38,10 @@
   });
 
   protected override async run(): Promise<void> {
-    await this.request(IntentResponseSchema, { method: 'GET', path: '/v1/intent' }, (answer) => {
-      if (answer.intent === undefined) return '// the member has no intent in force';
-      const text = toJsonString(IntentSchema, answer.intent, { prettySpaces: 2 });
-      return `// revision ${answer.memberRevision} of the member\n${text}`;
+    await this.request(IntentResponseSchema, { method: 'GET', path: '/v1/intent' }, (response) => {
+      if (response.intent === undefined) return '// the member has no intent in force';
+      const text = toJsonString(IntentSchema, response.intent, { prettySpaces: 2 });
+      return `// revision ${response.memberRevision} of the member\n${text}`;
     });
   }
 }
--- a/packages/ctl/src/commands/node/keyCommands.ts
+++ b/packages/ctl/src/commands/node/keyCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl key` and `parsleyctl audit`. */
+/** The `parsleyctl key` commands and `parsleyctl audit`. */
 import { create, toJsonString } from '@bufbuild/protobuf';
 import type { CreateKeyResponse, KeyInfo, ListAuditResponse } from '@parsleymux/schema';
 import {
@@ -17,6 +17,7 @@
 const CATEGORY = 'Keys and audit';
 const KEY_HEADER = ['id', 'member', 'made', 'ends', 'made by', 'note'];
 
+/** Base class of the commands that manage the keys of one member. */
 abstract class KeyCommand extends AdminCommand {
   readonly member = Option.String('--member', {
     description: 'another member; only for operators of the fleet',
@@ -27,17 +28,17 @@
   }
 }
 
-/** Makes the fleet's first key. */
+/** Creates the fleet's first key. */
 export class KeyBootstrapCommand extends AdminCommand {
   static override readonly paths = [['key', 'bootstrap']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'make the first key of the fleet’s operators, once in the life of the fleet',
+    description: 'create the first key of the fleet’s operators; possible only once',
     details:
       'Needs the secret that the nodes share. Without one in the nodes’ settings it works only ' +
       'on a node’s own VM.',
-    examples: [['Make the first key', 'parsleyctl key bootstrap --secret-file fleet.key']],
+    examples: [['Create the first key', 'parsleyctl key bootstrap --secret-file fleet.key']],
   });
 
   readonly secretFile = Option.String('--secret-file', {
@@ -54,20 +55,20 @@
   }
 }
 
-/** Makes a key. */
+/** Creates a key. */
 export class KeyCreateCommand extends KeyCommand {
   static override readonly paths = [['key', 'create']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'make a key; it is shown once and never again',
+    description: 'create a key; it is shown only once',
     examples: [
       ['A key for a colleague', 'parsleyctl key create --note "night shift"'],
       ['A member’s first key', 'parsleyctl key create --member dobrescu'],
     ],
   });
 
-  readonly note = Option.String('--note', '', { description: 'whose it is' });
+  readonly note = Option.String('--note', '', { description: 'owner or purpose of the key' });
 
   protected override async run(): Promise<void> {
     const message = create(CreateKeyRequestSchema, { member: this.member ?? '', note: this.note });
@@ -77,13 +78,13 @@
   }
 }
 
-/** Replaces a key. */
+/** Replaces a key by a new one. */
 export class KeyRotateCommand extends KeyCommand {
   static override readonly paths = [['key', 'rotate']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'make a key’s successor and end the key',
+    description: 'create a successor of a key and end the key',
     examples: [['Both work for an hour', 'parsleyctl key rotate 0011223344aa --overlap 3600']],
   });
 
@@ -103,13 +104,13 @@
   }
 }
 
-/** Ends a key. */
+/** Revokes a key. */
 export class KeyRevokeCommand extends KeyCommand {
   static override readonly paths = [['key', 'revoke']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'end a key; every node refuses it within seconds',
+    description: 'revoke a key; every node rejects it within seconds',
     examples: [['Revoke a key', 'parsleyctl key revoke 0011223344aa']],
   });
 
@@ -147,13 +148,13 @@
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'show who did what, newest first, refusals included',
+    description: 'show the audit log, newest entries first, including rejected operations',
     examples: [['The last 20 entries', 'parsleyctl audit --limit 20']],
   });
 
   readonly limit = Option.String('--limit', '100', {
     validator: isNumber(),
-    description: 'entries shown, at most 1000',
+    description: 'number of entries, at most 1000',
   });
 
   protected override async run(): Promise<void> {
@@ -162,9 +163,9 @@
   }
 }
 
-function formatCreatedKey(answer: CreateKeyResponse): string {
-  const { info } = answer;
-  return `key ${info?.id ?? ''} of ${info?.member ?? ''}, shown only now:\n${answer.key}`;
+function formatCreatedKey(response: CreateKeyResponse): string {
+  const { info } = response;
+  return `key ${info?.id ?? ''} of ${info?.member ?? ''}, shown only now:\n${response.key}`;
 }
 
 function listCells(info: KeyInfo): readonly string[] {
--- a/packages/ctl/src/commands/node/planCommands.ts
+++ b/packages/ctl/src/commands/node/planCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl plan`. */
+/** The `parsleyctl plan` commands. */
 import { PlanSchema } from '@parsleymux/schema';
 import { Command, Option } from 'clipanion';
 import type { IAdminCall } from '../../client/node/adminClient.js';
@@ -7,6 +7,7 @@
 
 const CATEGORY = 'Intents and plans';
 
+/** Base class of the commands that act on one plan. */
 abstract class PlanCommand extends AdminCommand {
   readonly id = Option.String({ name: 'ID' });
 
@@ -22,7 +23,7 @@
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'show what confirming a plan will do, or did',
+    description: 'show what confirming a plan changes, or has changed',
     examples: [['Show a plan', 'parsleyctl plan show 5f0c...']],
   });
 
@@ -31,14 +32,14 @@
   }
 }
 
-/** Confirms a plan. */
+/** Confirms a plan, which puts it in force. */
 export class PlanConfirmCommand extends PlanCommand {
   static override readonly paths = [['plan', 'confirm']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
     description: 'put a plan in force',
-    details: 'Repeating it is harmless: after a lost answer, run it again to learn the outcome.',
+    details: 'Idempotent: if the response is lost, run it again to get the outcome.',
     examples: [['Confirm a plan', 'parsleyctl plan confirm 5f0c...']],
   });
 
@@ -53,7 +54,7 @@
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'give a plan up',
+    description: 'discard a plan',
     examples: [['Discard a plan', 'parsleyctl plan discard 5f0c...']],
   });
 
--- a/packages/ctl/src/commands/node/reportCommands.ts
+++ b/packages/ctl/src/commands/node/reportCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl report`. */
+/** The `parsleyctl report` command. */
 import { writeFileSync } from 'node:fs';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { renderBurnPage } from '@parsleymux/operators';
@@ -7,13 +7,13 @@
 import { formatBurnReport } from '../../output/common/burnText.js';
 import { AdminCommand } from './adminCommand.js';
 
-/** Reports service-level burn. */
+/** Reports the burn rates of service-level objectives. */
 export class ReportBurnCommand extends AdminCommand {
   static override readonly paths = [['report', 'burn']];
 
   static override readonly usage = Command.Usage({
     category: 'State',
-    description: 'report how fast each service spends what its objectives allow',
+    description: 'report how fast each service spends its error budget',
     examples: [
       ['As a table', 'parsleyctl report burn'],
       ['As a page with plots', 'parsleyctl report burn --html burn.html'],
--- a/packages/ctl/src/commands/node/targetCommands.ts
+++ b/packages/ctl/src/commands/node/targetCommands.ts
@@ -1,4 +1,4 @@
-/** `parsleyctl target`. */
+/** The `parsleyctl target` commands. */
 import { create, toJsonString } from '@bufbuild/protobuf';
 import { PlanSchema, TargetAction, TargetRequestSchema } from '@parsleymux/schema';
 import { Command, Option } from 'clipanion';
@@ -7,6 +7,7 @@
 
 const CATEGORY = 'Targets';
 
+/** Base class of the commands that create a plan for one target. */
 abstract class TargetCommand extends AdminCommand {
   readonly target = Option.String({ name: 'ADDRESS' });
 
@@ -22,26 +23,26 @@
   }
 }
 
-/** Makes a plan that drains a target. */
+/** Creates a plan that drains a target. */
 export class TargetDrainCommand extends TargetCommand {
   static override readonly paths = [['target', 'drain']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'make a plan that gives a target no new work',
+    description: 'create a plan that drains a target, so that it receives no new requests',
     examples: [['Drain a target', 'parsleyctl target drain 127.0.0.1:9001 --note "new disk"']],
   });
 
   protected override readonly action = TargetAction.DRAIN;
 }
 
-/** Makes a plan that returns a target to service. */
+/** Creates a plan that returns a target to service. */
 export class TargetReturnCommand extends TargetCommand {
   static override readonly paths = [['target', 'return']];
 
   static override readonly usage = Command.Usage({
     category: CATEGORY,
-    description: 'make a plan that returns a drained target to service',
+    description: 'create a plan that returns a drained target to service',
     examples: [['Return a target', 'parsleyctl target return 127.0.0.1:9001']],
   });
 
--- a/packages/ctl/src/explain/common/logLine.ts
+++ b/packages/ctl/src/explain/common/logLine.ts
@@ -1,17 +1,18 @@
-/** Lines of the nodes' logs, as far as their stories need them. */
+/** Parses lines of the nodes' logs. */
 
-/** One line: a JSON object with these fields and others beside them. */
+/** One log line: a JSON object with these and other fields. */
 export interface ILogLine {
-  /** Instant in ISO 8601, by the clock of the node that wrote it. */
+  /** Time in ISO 8601, by the clock of the node that wrote the line. */
   readonly time: string;
   readonly node: string;
   readonly message: string;
+  /** All fields of the object, including `time`, `node` and `message`. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Reads one line; undefined when it is none of a node's. Collectors often put words of their own in
- * front, so the object may begin anywhere in the line.
+ * Parses one line; returns undefined if it is not a node's. Log collectors often add a prefix, so the
+ * object may begin anywhere in the line.
  *
  * @example
  * const line = parseLogLine('{"time":"…","node":"n1","message":"request","request":"q1"}');
@@ -32,12 +33,12 @@
     const value: unknown = JSON.parse(text);
     return typeof value === 'object' && value !== null ? { ...value } : undefined;
   } catch {
-    // Lines that were cut off on their way are common in collected logs; they tell no story.
+    // Truncated lines are common in collected logs and are skipped.
     return undefined;
   }
 }
 
-/** Sorts lines by time. Clocks of nodes differ a little, so neighbours may be swapped. */
+/** Sorts lines by time. Clocks of nodes differ slightly, so adjacent lines may be swapped. */
 export function sortLines(lines: readonly ILogLine[]): readonly ILogLine[] {
   return [...lines].sort((left, right) => Date.parse(left.time) - Date.parse(right.time));
 }
--- a/packages/ctl/src/explain/common/lossReport.test.ts
+++ b/packages/ctl/src/explain/common/lossReport.test.ts
@@ -47,11 +47,11 @@
   makeLine('caller left', { ms: 700 }),
 ];
 
-test('every request is in time or lost for one reason, and the account adds up', () => {
-  const account = countLosses(LINES);
-  assert.equal(account.requests, 10);
-  assert.equal(account.inTime, 1);
-  const reasons = account.rows.map(({ kind, reason }) => `${kind}: ${reason}`).sort();
+test('every request is either in time or lost for one reason, and the counts add up', () => {
+  const report = countLosses(LINES);
+  assert.equal(report.requests, 10);
+  assert.equal(report.inTime, 1);
+  const reasons = report.rows.map(({ kind, reason }) => `${kind}: ${reason}`).sort();
   assert.deepEqual(reasons, [
     'failed: broken at a target believed sound, no retry left',
     'failed: failed at a target believed failing',
@@ -63,7 +63,7 @@
     'refused: NoTarget, node just started',
     'refused: QueueFull',
   ]);
-  const lost = account.rows.reduce((sum, { requests }) => sum + requests, 0);
-  assert.equal(lost + account.inTime, account.requests);
-  assert.match(formatLosses(account), /all +all +10 +100\.00%/);
+  const lost = report.rows.reduce((sum, { requests }) => sum + requests, 0);
+  assert.equal(lost + report.inTime, report.requests);
+  assert.match(formatLosses(report), /all +all +10 +100\.00%/);
 });
--- a/packages/ctl/src/explain/common/lossReport.ts
+++ b/packages/ctl/src/explain/common/lossReport.ts
@@ -1,25 +1,28 @@
-/** Why requests were not answered in time: each lost one has one reason, so the account adds up. */
+/**
+ * Counts requests without a timely, successful response by reason. Each lost request has exactly one
+ * reason, so the counts add up to the total.
+ */
 import type { ILogLine } from './logLine.js';
 
-/** From this probability on, a target counted as failing when it was granted. */
+/** From this failure probability on, a target was considered failing when it was granted. */
 const MIN_FAILING_SUSPICION = 0.5;
-/** Nodes that started so recently take part in a recovery, in ms. */
+/** Time after a node's restart in which lost requests are attributed to its recovery, in ms. */
 const RECENT_START_MS = 5000;
 const MIN_FAILURE_STATUS = 400;
 
-/** What became of a request that was not answered in time. */
+/** How a request was lost. */
 export const LossKind = {
-  /** The caller was told that it had not run. */
+  /** The response stated that the request did not run. */
   Refused: 'refused',
   Failed: 'failed',
   Late: 'late',
-  /** The caller went away before the answer. */
+  /** The caller disconnected before the response. */
   CallerDisconnected: 'left',
 } as const;
 
 export type LossKind = (typeof LossKind)[keyof typeof LossKind];
 
-/** Requests of one service that were lost in one way for one reason. */
+/** Number of requests of one service that were lost with one kind and reason. */
 export interface ILossRow {
   readonly service: string;
   readonly kind: LossKind;
@@ -27,11 +30,11 @@
   readonly requests: number;
 }
 
-/** All requests, and those lost. */
+/** Counts of all requests, of those in time and of those lost. */
 export interface ILossReport {
   readonly requests: number;
   readonly inTime: number;
-  /** Most first. Together with those in time they make all requests. */
+  /** Sorted by count, highest first. Together with those in time they add up to all requests. */
   readonly rows: readonly ILossRow[];
 }
 
@@ -47,26 +50,26 @@
 }
 
 /**
- * Accounts for every request of the logs.
+ * Counts the lost requests in logs by service, kind and reason.
  *
  * @example
  * const { rows } = countLosses(lines);
  */
 export function countLosses(lines: readonly ILogLine[]): ILossReport {
-  const starts = findStartTimes(lines);
-  const noRetry = findRequestsWithoutRetry(lines);
+  const startTimes = findStartTimes(lines);
+  const withoutRetry = findRequestsWithoutRetry(lines);
   const counts = new Map<string, ILossRow>();
   let requests = 0;
   let inTime = 0;
   for (const line of lines) {
     if (line.message !== 'request' && line.message !== 'caller left') continue;
     requests += 1;
-    const loss = findLoss(line, noRetry);
+    const loss = findLoss(line, withoutRetry);
     if (loss === undefined) {
       inTime += 1;
       continue;
     }
-    const reason = `${loss.reason}${isSoonAfterRestart(line, starts) ? ', node just started' : ''}`;
+    const reason = `${loss.reason}${isSoonAfterRestart(line, startTimes) ? ', node just started' : ''}`;
     const service = String(line.fields.service);
     const key = [service, loss.kind, reason].join('\n');
     const row = counts.get(key) ?? { service, kind: loss.kind, reason, requests: 0 };
@@ -76,7 +79,7 @@
   return { requests, inTime, rows };
 }
 
-function findLoss(line: ILogLine, noRetry: ReadonlySet<string>): ILoss | undefined {
+function findLoss(line: ILogLine, withoutRetry: ReadonlySet<string>): ILoss | undefined {
   const { fields, message } = line;
   if (message === 'caller left')
     return { kind: LossKind.CallerDisconnected, reason: 'caller left' };
@@ -86,9 +89,9 @@
   if (fields.runState === 'not-run') return { kind: LossKind.Refused, reason: result };
   const last = attempts[attempts.length - 1];
   if (last === undefined) return { kind: LossKind.Failed, reason: result };
-  const belief = last.suspicion >= MIN_FAILING_SUSPICION ? 'believed failing' : 'believed sound';
-  const isEnded = noRetry.has(String(fields.request));
-  const reason = `${last.outcome} at a target ${belief}${isEnded ? ', no retry left' : ''}`;
+  const health = last.suspicion >= MIN_FAILING_SUSPICION ? 'believed failing' : 'believed sound';
+  const isWithoutRetry = withoutRetry.has(String(fields.request));
+  const reason = `${last.outcome} at a target ${health}${isWithoutRetry ? ', no retry left' : ''}`;
   return { kind: LossKind.Failed, reason };
 }
 
@@ -96,17 +99,17 @@
   fields: Readonly<Record<string, unknown>>,
   attempts: readonly IAttempt[],
 ): ILoss | undefined {
-  const tookMs = Number(fields.ms);
+  const totalMs = Number(fields.ms);
   const objectiveMs = Number(fields.objectiveMs ?? Infinity);
-  if (tookMs <= objectiveMs) return undefined;
-  const workedMs = attempts.reduce((sum, { latencyMs }) => sum + latencyMs, 0);
-  const waitedMs = tookMs - workedMs;
-  if (waitedMs > tookMs / 2) return { kind: LossKind.Late, reason: 'waited for a slot' };
+  if (totalMs <= objectiveMs) return undefined;
+  const attemptsMs = attempts.reduce((sum, { latencyMs }) => sum + latencyMs, 0);
+  const waitedMs = totalMs - attemptsMs;
+  if (waitedMs > totalMs / 2) return { kind: LossKind.Late, reason: 'waited for a slot' };
   if (attempts.length > 1) return { kind: LossKind.Late, reason: 'second attempt' };
   return { kind: LossKind.Late, reason: 'slow answer' };
 }
 
-/** Requests whose next attempt was refused because the retries of the service were used up. */
+/** Finds requests whose next attempt was rejected because the service's retry budget was spent. */
 function findRequestsWithoutRetry(lines: readonly ILogLine[]): ReadonlySet<string> {
   const refused = lines.filter(({ fields, message }) => {
     return message === 'grant refused' && fields.result === 'RetryBudgetSpent';
@@ -118,10 +121,10 @@
   const starts = new Map<string, number[]>();
   for (const { message, node, time } of lines) {
     if (message !== 'started') continue;
-    const known = starts.get(node) ?? [];
+    const nodeStarts = starts.get(node) ?? [];
     starts.set(
       node,
-      [...known, Date.parse(time)].sort((left, right) => left - right),
+      [...nodeStarts, Date.parse(time)].sort((left, right) => left - right),
     );
   }
   return starts;
@@ -132,9 +135,9 @@
   starts: ReadonlyMap<string, readonly number[]>,
 ): boolean {
   const atMs = Date.parse(time);
-  const own = starts.get(node) ?? [];
-  // The first start is that of the whole fleet, before there are callers.
-  return own.slice(1).some((startMs) => atMs >= startMs && atMs - startMs < RECENT_START_MS);
+  const nodeStarts = starts.get(node) ?? [];
+  // The first start is excluded: the whole fleet starts then, before there are callers.
+  return nodeStarts.slice(1).some((startMs) => atMs >= startMs && atMs - startMs < RECENT_START_MS);
 }
 
 function listAttempts(fields: Readonly<Record<string, unknown>>): readonly IAttempt[] {
--- a/packages/ctl/src/explain/common/timeline.test.ts
+++ b/packages/ctl/src/explain/common/timeline.test.ts
@@ -26,9 +26,11 @@
   return line === undefined ? [] : [line];
 });
 
-test('a request is told with what was believed of its targets and had happened to its nodes', () => {
-  const story = findRequestTimeline(LINES, 'q1').map(({ message, node }) => `${node} ${message}`);
-  assert.deepEqual(story, [
+test('the timeline of a request includes health changes of its targets and events of its nodes', () => {
+  const timeline = findRequestTimeline(LINES, 'q1').map(
+    ({ message, node }) => `${node} ${message}`,
+  );
+  assert.deepEqual(timeline, [
     'n3 target trusted',
     'n1 store lost',
     'n1 targets changed',
@@ -39,7 +41,7 @@
   assert.deepEqual(findRequestTimeline(LINES, 'nobody'), []);
 });
 
-test('a target is told with every change of belief and each failure there', () => {
-  const story = findTargetTimeline(LINES, 't1').map(({ message }) => message);
-  assert.deepEqual(story, ['target trusted', 'targets changed', 'request', 'target doubted']);
+test('the timeline of a target includes every health change and each failed attempt', () => {
+  const timeline = findTargetTimeline(LINES, 't1').map(({ message }) => message);
+  assert.deepEqual(timeline, ['target trusted', 'targets changed', 'request', 'target doubted']);
 });
--- a/packages/ctl/src/explain/common/timeline.ts
+++ b/packages/ctl/src/explain/common/timeline.ts
@@ -1,10 +1,12 @@
-/** The lines that explain what became of one request, or what was believed of one target. */
+/** Selects the log lines that explain the result of one request, or the health status of one target. */
 import type { ILogLine } from './logLine.js';
 import { sortLines } from './logLine.js';
 
-/** How far back news about a request's targets and nodes may explain it, in ms. */
+/** How far before the end of a request changes of its targets and nodes are included, in ms. */
 const LOOKBACK_MS = 20_000;
+/** Messages of changes of a target's estimated health. */
 const HEALTH_MESSAGES: ReadonlySet<string> = new Set(['target doubted', 'target trusted']);
+/** Messages of changes of a node and its dependencies. */
 const NODE_MESSAGES: ReadonlySet<string> = new Set([
   'started',
   'stopping',
@@ -16,8 +18,8 @@
 ]);
 
 /**
- * Lines that name the request, and before them what was believed of the targets that it was sent
- * to, and what had happened to the nodes that dealt with it.
+ * Finds the lines of a request, and preceding lines about the health of the targets that it was sent
+ * to and about the nodes that handled it.
  *
  * @example
  * const timeline = findRequestTimeline(lines, '9c41d07be2a35f68');
@@ -26,22 +28,22 @@
   lines: readonly ILogLine[],
   request: string,
 ): readonly ILogLine[] {
-  const own = lines.filter(({ fields }) => fields.request === request);
-  const first = own[0];
+  const requestLines = lines.filter(({ fields }) => fields.request === request);
+  const first = requestLines[0];
   if (first === undefined) return [];
-  const endMs = Math.max(...own.map(({ time }) => Date.parse(time)));
-  const targets = new Set(own.flatMap((line) => listTargets(line)));
-  const nodes = new Set(own.map(({ node }) => node));
+  const endMs = Math.max(...requestLines.map(({ time }) => Date.parse(time)));
+  const targets = new Set(requestLines.flatMap((line) => listTargets(line)));
+  const nodes = new Set(requestLines.map(({ node }) => node));
   const before = lines.filter((line) => {
     const ageMs = endMs - Date.parse(line.time);
-    if (own.includes(line) || ageMs < 0 || ageMs > LOOKBACK_MS) return false;
+    if (requestLines.includes(line) || ageMs < 0 || ageMs > LOOKBACK_MS) return false;
     return isAboutTargets(line, targets) || isAboutNode(line, nodes);
   });
-  return sortLines([...pickNewestOfEach(before), ...own]);
+  return sortLines([...pickNewestOfEach(before), ...requestLines]);
 }
 
 /**
- * Who believed what of a target, when and why.
+ * Finds the changes of a target's health, as each node recorded them, and the failed attempts on it.
  *
  * @example
  * const timeline = findTargetTimeline(lines, 'i-7f3a91c2');
@@ -56,7 +58,7 @@
   );
 }
 
-/** Targets that a line of a request names. */
+/** Lists the targets that a line of a request names. */
 function listTargets({ fields }: ILogLine): readonly string[] {
   const attempts = Array.isArray(fields.attempts) ? (fields.attempts as unknown[]) : [];
   const tried = attempts.map((attempt) => String((attempt as Record<string, unknown>).target));
@@ -82,12 +84,15 @@
   });
 }
 
-/** Of lines that say the same of the same thing, every node writes one; the newest explains most. */
+/**
+ * Picks the newest of the lines with the same message and subject: several nodes write one each, and
+ * the newest is the most relevant.
+ */
 function pickNewestOfEach(lines: readonly ILogLine[]): readonly ILogLine[] {
   const newest = new Map<string, ILogLine>();
   for (const line of sortLines(lines)) {
-    const about = line.fields.target ?? line.fields.targets ?? line.node;
-    newest.set(`${line.message} ${JSON.stringify(about)}`, line);
+    const subject = line.fields.target ?? line.fields.targets ?? line.node;
+    newest.set(`${line.message} ${JSON.stringify(subject)}`, line);
   }
   return [...newest.values()];
 }
--- a/packages/ctl/src/explain/node/logReader.ts
+++ b/packages/ctl/src/explain/node/logReader.ts
@@ -1,4 +1,4 @@
-/** Reads log files, or standard input when none is named. */
+/** Reads log files, or standard input if no file is named. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
@@ -6,7 +6,7 @@
 import { parseLogLine } from '../common/logLine.js';
 
 /**
- * All lines of nodes in the files. Rejects when a file can't be read.
+ * Reads all lines of nodes in the files. Rejects if a file can't be read.
  *
  * @example
  * const lines = await readLogs(['node-1.log', 'node-2.log'], process.stdin);
--- a/packages/ctl/src/index.ts
+++ b/packages/ctl/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command line. */
+/** The command line for operators. */
 export * from './cli/common/exitStatus.js';
 export * from './main.js';
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -1,8 +1,8 @@
-/** Entry point of parsleyctl. */
+/** Entry point of the `parsleyctl` command line. */
 import { execute } from './cli/node/cli.js';
 
 /**
- * Runs one command with the process's streams and environment. Returns the exit status.
+ * Runs one command with the streams and the environment of the process. Returns the exit status.
  *
  * @example
  * process.exitCode = await runParsleyctl(['status', '--json']);
--- a/packages/ctl/src/output/common/burnText.ts
+++ b/packages/ctl/src/output/common/burnText.ts
@@ -1,4 +1,4 @@
-/** The report on burn as a table. */
+/** Formats the burn report as a table. */
 import { formatBurn, formatWindow } from '@parsleymux/operators';
 import type { BurnResponse } from '@parsleymux/schema';
 import { formatInstant, formatTable } from './table.js';
@@ -14,7 +14,7 @@
 ];
 
 /**
- * A row for each service and window, and the alerts that fire.
+ * Formats a row for each service and window, and the alerts that fire.
  *
  * @example
  * console.log(formatBurnReport(report));
--- a/packages/ctl/src/output/common/lossText.ts
+++ b/packages/ctl/src/output/common/lossText.ts
@@ -1,11 +1,11 @@
-/** The account of lost requests for people. */
+/** Formats the report of lost requests as a table. */
 import type { ILossReport } from '../../explain/common/lossReport.js';
 import { formatTable } from './table.js';
 
 const PERCENT = 100;
 
 /**
- * A table with a row for each service, kind and reason; its counts add up to all requests.
+ * Formats a table with a row for each service, kind and reason; its counts add up to all requests.
  *
  * @example
  * process.stdout.write(formatLosses(countLosses(lines)));
--- a/packages/ctl/src/output/common/planText.ts
+++ b/packages/ctl/src/output/common/planText.ts
@@ -1,4 +1,4 @@
-/** A plan for people. */
+/** Formats a plan as text. */
 import type { Change, Plan } from '@parsleymux/schema';
 import { ChangeKind, PlanState } from '@parsleymux/schema';
 import { formatInstant, formatTable } from './table.js';
@@ -8,11 +8,11 @@
   [ChangeKind.CHANGED, '~'],
   [ChangeKind.REMOVED, '-'],
 ]);
-/** Beyond this many changes the rest is counted; `--json` shows all. */
+/** Further changes are only counted; `--json` shows all. */
 const MAX_CHANGES_SHOWN = 200;
 
 /**
- * The plan's changes, capacity, steps and warnings, and what to do next.
+ * Formats the plan's changes, capacity, steps and warnings, and how to confirm it.
  *
  * @example
  * console.log(formatPlan(plan));
@@ -61,7 +61,7 @@
   return [head, ...formatFields(change).map((line) => `    ${line}`)];
 }
 
-/** The fields that differ, each on a line. */
+/** Formats the fields that differ, each on one line. */
 function formatFields(change: Change): readonly string[] {
   const before = JSON.parse(change.before) as Record<string, unknown>;
   const after = JSON.parse(change.after) as Record<string, unknown>;
--- a/packages/ctl/src/output/common/statusText.ts
+++ b/packages/ctl/src/output/common/statusText.ts
@@ -1,9 +1,10 @@
-/** The fleet's status for people. */
+/** Formats the fleet's status as text. */
 import type { NodeStatus, StatusResponse } from '@parsleymux/schema';
 import { formatInstant, formatTable } from './table.js';
 
 /**
- * Nodes with the revision in force, and the verdict on each target with its evidence.
+ * Formats which nodes have the newest revision in force, and the health status of each target with
+ * its evidence.
  *
  * @example
  * console.log(formatStatus(status));
--- a/packages/ctl/src/output/common/table.ts
+++ b/packages/ctl/src/output/common/table.ts
@@ -1,9 +1,9 @@
-/** Tables of text. */
+/** Formats tables and times as text. */
 
 const GAP = '  ';
 
 /**
- * Rows under a header, columns as wide as their widest cell.
+ * Formats rows under a header, with columns as wide as their widest cell.
  *
  * @example
  * formatTable(['id', 'state'], [['p1', 'proposed']]);
@@ -27,7 +27,7 @@
 }
 
 /**
- * An instant for people; "-" for none.
+ * Formats a time, in ms since the Unix epoch, in ISO 8601 to the second; "-" for 0, which is no time.
  *
  * @example
  * formatInstant(1700000000000n); // '2023-11-14T22:13:20Z'
--- a/packages/ctl/src/output/common/timelineText.ts
+++ b/packages/ctl/src/output/common/timelineText.ts
@@ -1,8 +1,8 @@
-/** Stories for people: one line of text for each line of a log. */
+/** Formats log lines as readable text. */
 import type { ILogLine } from '../../explain/common/logLine.js';
 
-/** Fields that stand elsewhere in the text. */
-const COLUMN_FIELDS: ReadonlySet<string> = new Set([
+/** Fields that are shown elsewhere in the text, or omitted. */
+const EXCLUDED_FIELDS: ReadonlySet<string> = new Set([
   'time',
   'node',
   'message',
@@ -11,7 +11,8 @@
 ]);
 
 /**
- * Time, node and message in columns, then the fields, then a line for each attempt.
+ * Formats each log line: time, node and message in columns, then the other fields, then one line for
+ * each attempt.
  *
  * @example
  * process.stdout.write(formatTimeline(timeline));
@@ -21,8 +22,8 @@
   const messageWidth = Math.max(0, ...lines.map(({ message }) => message.length));
   return lines
     .flatMap((line) => {
-      const clock = line.time.slice(11, 23);
-      const head = `${clock}  ${line.node.padEnd(nodeWidth)}  ${line.message.padEnd(messageWidth)}`;
+      const timeOfDay = line.time.slice(11, 23);
+      const head = `${timeOfDay}  ${line.node.padEnd(nodeWidth)}  ${line.message.padEnd(messageWidth)}`;
       return [`${head}  ${formatFields(line)}`.trimEnd(), ...formatAttempts(line)];
     })
     .join('\n');
@@ -30,7 +31,7 @@
 
 function formatFields({ fields }: ILogLine): string {
   return Object.entries(fields)
-    .filter(([name]) => !COLUMN_FIELDS.has(name))
+    .filter(([name]) => !EXCLUDED_FIELDS.has(name))
     .map(([name, value]) => `${name}=${formatValue(value)}`)
     .join(' ');
 }
--- a/packages/operators/src/burn/common/burn.test.ts
+++ b/packages/operators/src/burn/common/burn.test.ts
@@ -51,7 +51,7 @@
  * nodes merge the same rows concurrently, and the store is unavailable for a while. Causes are a retry
  * of a write that took effect, and merging and removing rows in two steps.
  */
-test('with lost responses and concurrent mergers no request is counted twice and over 99% are counted', async () => {
+test('with lost responses and concurrent mergers no request counts twice and over 99% count', async () => {
   let total = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const fixture = createBurnFixture(seed);
@@ -131,7 +131,7 @@
   assert.deepEqual((await readWindow(fixture, 300)).service.alerts, []);
 });
 
-test('slow responses count against the latency objective; rejections of malformed requests do not', async () => {
+test('slow responses burn the latency objective; rejections of malformed requests burn none', async () => {
   const fixture = createBurnFixture();
   const recorder = fixture.createRecorder();
   const request = { member: 'dobrescu', service: 'booking', code: ResultCode.Ok, durationMs: 20 };
