--- a/packages/dispatch/src/app/node/datagramRouter.ts
+++ b/packages/dispatch/src/app/node/datagramRouter.ts
@@ -6,7 +6,7 @@
 import type { HomeSelector } from '../../grants/common/homeSelector.js';
 import type { RetrySharing } from '../../grants/common/retrySharing.js';
 import type { QuotaSharing } from '../../quotas/common/quotaSharing.js';
-import type { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
+import type { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 
 /** Components of a node that handle datagrams. */
 export interface IDatagramHandlers {
--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -26,7 +26,7 @@
 import { handleHeldRequests } from '../../quarantine/node/heldRequestsPage.js';
 import { QuarantinePersister } from '../../quarantine/common/quarantinePersister.js';
 import type { QuarantineStore } from '../../quarantine/common/quarantineStore.js';
-import { QuarantineGossip } from '../../quarantine/common/quarantineGossip.js';
+import { QuarantineSharing } from '../../quarantine/common/quarantineSharing.js';
 import { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 import { HomeService } from '../../home/common/homeService.js';
 import type { IServiceBounds } from '../../home/common/serviceScheduler.js';
@@ -69,7 +69,7 @@
 export interface IDirectNodeOptions {
   readonly settings: IDirectNodeSettings;
   readonly authority: Authority;
-  readonly quarantineStore: CaseStore;
+  readonly quarantineStore: QuarantineStore;
   readonly protocol: IDeploymentProtocol;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -154,7 +154,7 @@
     );
     this.retrySharing = retries;
     const quarantine = this.store.add(
-      new QuarantineGossip({
+      new QuarantineSharing({
         channel,
         clock,
         random,
@@ -177,7 +177,7 @@
       isFirstStart: settings.isFirstStart,
       seeds: settings.seeds,
       keyLeaseMs: settings.tenants.keyLeaseMs,
-      isAsked: () =>
+      hasReceivedRequests: () =>
         this.front?.connections.hasAcceptedConnection === true || homes.listSchedulers().length > 0,
     });
     this.directoryService = this.store.add(service);
@@ -247,12 +247,12 @@
   private createQuarantinePersister(
     sharing: QuarantineSharing,
     service: DirectoryService,
-  ): CaseKeeper {
+  ): QuarantinePersister {
     const { quarantineStore, clock, log, settings } = this.options;
-    return new CaseKeeper({
+    return new QuarantinePersister({
       clock,
       log,
-      gossip: sharing,
+      sharing: sharing,
       quarantine: this.quarantine,
       store: quarantineStore,
       isReader: () => service.isFollower,
