--- a/packages/lab/src/prove/breaks/node/floorRule.ts
+++ b/packages/lab/src/prove/breaks/node/floorRule.ts
@@ -7,7 +7,7 @@
   return function (request, row) {
     const decision = original.call(this, request, row);
     if (decision !== 'refused-by-floor') return decision;
-    executeLoose(this, 'checkFloor', request, executeLoose(this, 'buildQuestion', request, row));
+    executeLoose(this, 'checkFloor', request, executeLoose(this, 'buildFloorCheck', request, row));
     return 'granted';
   };
 });
--- a/packages/routing/src/budget/common/retryBudget.ts
+++ b/packages/routing/src/budget/common/retryBudget.ts
@@ -10,7 +10,7 @@
   /** Most tokens that are saved up. Default 20. */
   readonly capacity?: number;
   /** Tokens at the start, so that a service with few requests can retry at all. Default 2. */
-  readonly reserve?: number;
+  readonly initialTokens?: number;
 }
 
 /**
@@ -29,7 +29,7 @@
   constructor(options: IRetryBudgetOptions = {}) {
     this.share = options.share ?? 0.1;
     this.capacity = options.capacity ?? 20;
-    this.tokens = options.reserve ?? 2;
+    this.tokens = options.initialTokens ?? 2;
   }
 
   /** A request succeeded. */
--- a/packages/routing/src/detection/common/plainDetector.ts
+++ b/packages/routing/src/detection/common/baselineDetector.ts
@@ -5,19 +5,19 @@
 const EJECTION_MS = 30_000;
 
 /** No second opinion, no trials, no watch on what is overdue, no notion of slowness. */
-export const PLAIN_TRAITS: IDetectorTraits = {
+export const BASELINE_TRAITS: IDetectorTraits = {
   probeIntervalMs: undefined,
-  asksObserver: false,
-  returnsByTrial: false,
-  watchesStalls: false,
+  usesObserver: false,
+  requiresTrial: false,
+  detectsStalls: false,
   ejectionMs: EJECTION_MS,
   confirmMs: 0,
   confirmCopies: 0,
 };
 
 /** A detector without the finer points. */
-export abstract class PlainDetector extends FailureDetector {
-  override readonly traits: IDetectorTraits = PLAIN_TRAITS;
+export abstract class BaselineDetector extends FailureDetector {
+  override readonly traits: IDetectorTraits = BASELINE_TRAITS;
 
   override isConfirmed(): boolean {
     return true;
--- a/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
+++ b/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
@@ -1,35 +1,35 @@
 /** Baseline: a target that fails five times in a row is ejected for a fixed time. */
 import type { IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence } from './failureDetector.js';
-import { PlainDetector } from './plainDetector.js';
+import { BaselineDetector } from './baselineDetector.js';
 
 const DEFAULT_ERRORS = 5;
 
 /** Counts failures in a row. */
-export class ConsecutiveErrorsDetector extends PlainDetector {
-  private readonly runs = new Map<string, number>();
+export class ConsecutiveErrorsDetector extends BaselineDetector {
+  private readonly failureCounts = new Map<string, number>();
 
-  constructor(private readonly errors = DEFAULT_ERRORS) {
+  constructor(private readonly maxErrors = DEFAULT_ERRORS) {
     super();
   }
 
   override setTargets(targets: readonly string[]): void {
-    for (const target of this.runs.keys()) {
-      if (!targets.includes(target)) this.runs.delete(target);
+    for (const target of this.failureCounts.keys()) {
+      if (!targets.includes(target)) this.failureCounts.delete(target);
     }
   }
 
   override recordEvidence(evidence: IEvidence): ISuspicion | undefined {
     const isFailure = evidence.kind !== Evidence.Success;
-    const run = isFailure ? (this.runs.get(evidence.target) ?? 0) + 1 : 0;
-    this.runs.set(evidence.target, run);
-    if (run < this.errors) return undefined;
+    const run = isFailure ? (this.failureCounts.get(evidence.target) ?? 0) + 1 : 0;
+    this.failureCounts.set(evidence.target, run);
+    if (run < this.maxErrors) return undefined;
     return {
       target: evidence.target,
       reason: `${run} failures in a row`,
       failureShare: 1,
       isSlow: false,
-      isPathPossible: true,
+      isPathFaultPossible: true,
     };
   }
 
@@ -39,6 +39,6 @@
   }
 
   override reset(target: string): void {
-    this.runs.delete(target);
+    this.failureCounts.delete(target);
   }
 }
--- a/packages/routing/src/detection/common/failureDetector.ts
+++ b/packages/routing/src/detection/common/failureDetector.ts
@@ -33,7 +33,7 @@
   /** The evidence is slowness rather than failure. */
   readonly isSlow: boolean;
   /** True unless the target itself answered with failures: the path may be to blame. */
-  readonly isPathPossible: boolean;
+  readonly isPathFaultPossible: boolean;
 }
 
 /** What a detector wants of the home around it. */
@@ -41,11 +41,11 @@
   /** Interval of health probes in ms; undefined for none. */
   readonly probeIntervalMs: number | undefined;
   /** Ask an observer before ejecting on silence or slowness. */
-  readonly asksObserver: boolean;
+  readonly usesObserver: boolean;
   /** Return by trial requests; otherwise the ejection simply ends. */
-  readonly returnsByTrial: boolean;
+  readonly requiresTrial: boolean;
   /** Requests that are overdue by far are evidence before they time out. */
-  readonly watchesStalls: boolean;
+  readonly detectsStalls: boolean;
   /** First ejection time in ms; it doubles while the target flaps. */
   readonly ejectionMs: number;
   /** Time between a suspicion and the look whether it still holds, in ms. */
--- a/packages/routing/src/detection/common/healthCheckDetector.ts
+++ b/packages/routing/src/detection/common/healthCheckDetector.ts
@@ -1,18 +1,18 @@
 /** Baseline: only health probes count. A gray failure answers them and is never seen. */
 import type { ISuspicion } from './failureDetector.js';
-import { PLAIN_TRAITS, PlainDetector } from './plainDetector.js';
+import { BASELINE_TRAITS, BaselineDetector } from './baselineDetector.js';
 
 const PROBE_INTERVAL_MS = 1000;
-const FAILURES = 3;
+const FAILED_PROBES = 3;
 
 /** Counts failed health probes in a row. */
-export class HealthCheckDetector extends PlainDetector {
-  override readonly traits = { ...PLAIN_TRAITS, probeIntervalMs: PROBE_INTERVAL_MS };
-  private readonly runs = new Map<string, number>();
+export class HealthCheckDetector extends BaselineDetector {
+  override readonly traits = { ...BASELINE_TRAITS, probeIntervalMs: PROBE_INTERVAL_MS };
+  private readonly failureCounts = new Map<string, number>();
 
   override setTargets(targets: readonly string[]): void {
-    for (const target of this.runs.keys()) {
-      if (!targets.includes(target)) this.runs.delete(target);
+    for (const target of this.failureCounts.keys()) {
+      if (!targets.includes(target)) this.failureCounts.delete(target);
     }
   }
 
@@ -21,19 +21,19 @@
   }
 
   override recordProbe(target: string, isHealthy: boolean): ISuspicion | undefined {
-    const run = isHealthy ? 0 : (this.runs.get(target) ?? 0) + 1;
-    this.runs.set(target, run);
-    if (run < FAILURES) return undefined;
+    const run = isHealthy ? 0 : (this.failureCounts.get(target) ?? 0) + 1;
+    this.failureCounts.set(target, run);
+    if (run < FAILED_PROBES) return undefined;
     return {
       target,
       reason: `${run} failed probes`,
       failureShare: 1,
       isSlow: false,
-      isPathPossible: true,
+      isPathFaultPossible: true,
     };
   }
 
   override reset(target: string): void {
-    this.runs.delete(target);
+    this.failureCounts.delete(target);
   }
 }
--- a/packages/routing/src/detection/common/quantileTracker.ts
+++ b/packages/routing/src/detection/common/quantileTracker.ts
@@ -5,7 +5,7 @@
 
 const STEP = 0.04;
 /** The first samples are kept and sorted: an estimate that starts from one of them errs for long. */
-const FIRST_SAMPLES = 30;
+const INITIAL_SAMPLES = 30;
 
 /**
  * Tracks the `tau` quantile.
@@ -17,17 +17,17 @@
  */
 export class QuantileTracker {
   private logValue = 0;
-  private samples = 0;
-  private readonly first: number[] = [];
+  private sampleCount = 0;
+  private readonly initialSamples: number[] = [];
 
   constructor(private readonly tau: number) {}
 
   record(latencyMs: number): void {
     const logSample = Math.log(Math.max(latencyMs, 0.01));
-    this.samples += 1;
-    if (this.samples <= FIRST_SAMPLES) {
-      this.first.push(logSample);
-      if (this.samples === FIRST_SAMPLES) this.logValue = this.computeFirst();
+    this.sampleCount += 1;
+    if (this.sampleCount <= INITIAL_SAMPLES) {
+      this.initialSamples.push(logSample);
+      if (this.sampleCount === INITIAL_SAMPLES) this.logValue = this.computeInitialEstimate();
       return;
     }
     this.logValue += logSample > this.logValue ? STEP * this.tau : -STEP * (1 - this.tau);
@@ -35,13 +35,13 @@
 
   /** The estimate in ms; undefined before there are enough samples. */
   getValue(): number | undefined {
-    return this.samples < FIRST_SAMPLES ? undefined : Math.exp(this.logValue);
+    return this.sampleCount < INITIAL_SAMPLES ? undefined : Math.exp(this.logValue);
   }
 
-  private computeFirst(): number {
-    this.first.sort((left, right) => left - right);
-    const value = this.first[Math.floor(this.tau * FIRST_SAMPLES)] ?? 0;
-    this.first.length = 0;
+  private computeInitialEstimate(): number {
+    this.initialSamples.sort((left, right) => left - right);
+    const value = this.initialSamples[Math.floor(this.tau * INITIAL_SAMPLES)] ?? 0;
+    this.initialSamples.length = 0;
     return value;
   }
 }
--- a/packages/routing/src/detection/common/sequentialDetector.test.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.test.ts
@@ -54,7 +54,7 @@
   const failShare = (target: string) => (target === 't0' ? 0.2 : 0.002);
   const suspicion = feed(createDetector(), { failShare, rounds: 500 });
   assert.equal(suspicion?.target, 't0');
-  assert.equal(suspicion.isPathPossible, false);
+  assert.equal(suspicion.isPathFaultPossible, false);
 });
 
 test('when all targets fail alike, none is confirmed', () => {
--- a/packages/routing/src/detection/common/sequentialDetector.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.ts
@@ -7,7 +7,7 @@
 import { DetectionPreference } from '@parsleymux/schema';
 import type { IDetectorTraits, IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence, FailureDetector } from './failureDetector.js';
-import { TargetRecord } from './targetRecord.js';
+import { TargetStatistics } from './targetStatistics.js';
 
 /** Failure probabilities, above the peers', that are tested side by side. */
 const EXCESS_RATES: readonly number[] = [0.05, 0.3, 0.9];
@@ -18,10 +18,10 @@
 /** A target must fail at least this many times as often as its peers do at this moment. */
 const COMMON_CAUSE_FACTOR = 3;
 /** Latencies bring ten times the evidence that failures do, so chance needs a higher bar. */
-const SLOW_EXTRA_NATS = 3;
+const SLOW_EXTRA_THRESHOLD_NATS = 3;
 /** Peers' rates change slowly against one outcome; reckoning them this often is enough, in ms. */
-const REFERENCE_AGE_MS = 100;
-const OBSERVED_ANSWERS_SHARE = 0.5;
+const REFERENCE_MAX_AGE_MS = 100;
+const PATH_FAULT_MAX_ERROR_SHARE = 0.5;
 
 /**
  * What an operator's preference comes to. By Page's bound, targets like their peers are suspected
@@ -81,7 +81,7 @@
   override readonly traits: IDetectorTraits;
   private readonly threshold: number;
   private readonly baselineRate: number;
-  private readonly records = new Map<string, TargetRecord>();
+  private readonly statistics = new Map<string, TargetStatistics>();
   private readonly references = new Map<string, IReference>();
   private readonly slowLimits = new Map<string, { atMs: number; limitMs: number | undefined }>();
   private nowMs = 0;
@@ -92,9 +92,9 @@
     this.baselineRate = options.baselineRate ?? CAREFUL_OPTIONS.baselineRate;
     this.traits = {
       probeIntervalMs: undefined,
-      asksObserver: true,
-      returnsByTrial: true,
-      watchesStalls: true,
+      usesObserver: true,
+      requiresTrial: true,
+      detectsStalls: true,
       ejectionMs: options.ejectionMs ?? CAREFUL_OPTIONS.ejectionMs,
       confirmMs: options.confirmMs ?? CAREFUL_OPTIONS.confirmMs,
       confirmCopies: options.confirmCopies ?? CAREFUL_OPTIONS.confirmCopies,
@@ -103,23 +103,24 @@
 
   override setTargets(targets: readonly string[]): void {
     const configured = new Set(targets);
-    for (const target of this.records.keys()) {
-      if (!configured.has(target)) this.records.delete(target);
+    for (const target of this.statistics.keys()) {
+      if (!configured.has(target)) this.statistics.delete(target);
     }
     for (const target of targets) {
-      if (!this.records.has(target))
-        this.records.set(target, new TargetRecord(EXCESS_RATES.length));
+      if (!this.statistics.has(target))
+        this.statistics.set(target, new TargetStatistics(EXCESS_RATES.length));
     }
   }
 
   override recordEvidence(evidence: IEvidence): ISuspicion | undefined {
-    const record = this.records.get(evidence.target);
-    if (record === undefined) return undefined;
+    const stats = this.statistics.get(evidence.target);
+    if (stats === undefined) return undefined;
     this.nowMs = evidence.atMs;
-    record.isOut = false;
-    this.recordFailureSide(evidence, record);
-    if (evidence.latencyMs !== undefined) this.recordSlowSide(evidence, evidence.latencyMs, record);
-    return this.decide(evidence.target, record);
+    stats.isExcluded = false;
+    this.recordFailureEvidence(evidence, stats);
+    if (evidence.latencyMs !== undefined)
+      this.recordLatencyEvidence(evidence, evidence.latencyMs, stats);
+    return this.checkTarget(evidence.target, stats);
   }
 
   /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
@@ -138,38 +139,39 @@
     const rates = peers.map((peer) => (suspicion.isSlow ? peer.slowRate : peer.shortRate));
     const peerRate = computeMedian(rates) ?? 0;
     if (suspicion.failureShare < COMMON_CAUSE_FACTOR * peerRate) return false;
-    const record = this.records.get(suspicion.target);
-    return record !== undefined && this.isEnough(record);
+    const stats = this.statistics.get(suspicion.target);
+    return stats !== undefined && this.hasEnoughEvidence(stats);
   }
 
   override reset(target: string): void {
-    const record = this.records.get(target);
-    if (record === undefined) return;
-    record.resetEvidence();
-    record.isOut = true;
+    const stats = this.statistics.get(target);
+    if (stats === undefined) return;
+    stats.resetEvidence();
+    stats.isExcluded = true;
   }
 
   override setCold(target: string, isCold: boolean): void {
-    const record = this.records.get(target);
-    if (record !== undefined) record.isCold = isCold;
+    const stats = this.statistics.get(target);
+    if (stats !== undefined) stats.isCold = isCold;
   }
 
   override getSlowLimit(route: string, target: string): number | undefined {
     const key = `${route} ${target}`;
     const cached = this.slowLimits.get(key);
-    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_AGE_MS) return cached.limitMs;
+    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_MAX_AGE_MS)
+      return cached.limitMs;
     const limitMs = this.computeSlowLimit(route, target);
     this.slowLimits.set(key, { atMs: this.nowMs, limitMs });
     return limitMs;
   }
 
-  private recordFailureSide(evidence: IEvidence, record: TargetRecord): void {
+  private recordFailureEvidence(evidence: IEvidence, stats: TargetStatistics): void {
     const isFailure = evidence.kind !== Evidence.Success;
-    if (evidence.kind === Evidence.Failure) record.answeredFailures += 1;
-    if (evidence.kind === Evidence.Silence) record.silences += 1;
-    record.recordOutcome(isFailure);
+    if (evidence.kind === Evidence.Failure) stats.answeredFailures += 1;
+    if (evidence.kind === Evidence.Silence) stats.silences += 1;
+    stats.recordOutcome(isFailure);
     const baseline = this.getReference(evidence.target).failureRate;
-    record.failureSums.forEach((sum, index) => {
+    stats.failureSums.forEach((sum, index) => {
       const excess = EXCESS_RATES[index] ?? 1;
       const worse = Math.max(baseline + (1 - baseline) * excess, COMMON_CAUSE_FACTOR * baseline);
       const alternative = Math.min(MAX_PROBABILITY, worse);
@@ -177,66 +179,74 @@
     });
   }
 
-  private recordSlowSide(evidence: IEvidence, latencyMs: number, record: TargetRecord): void {
+  private recordLatencyEvidence(
+    evidence: IEvidence,
+    latencyMs: number,
+    stats: TargetStatistics,
+  ): void {
     const limitMs = this.getSlowLimit(evidence.route, evidence.target);
-    record.recordLatency(evidence.route, latencyMs);
-    if (limitMs === undefined || record.isCold) return;
+    stats.recordLatency(evidence.route, latencyMs);
+    if (limitMs === undefined || stats.isCold) return;
     const isSlow = latencyMs > limitMs;
-    record.recordSlow(isSlow);
-    record.slowSum.record(isSlow, SLOW_BASELINE, SLOW_ALTERNATIVE);
+    stats.recordSlow(isSlow);
+    stats.slowSum.record(isSlow, SLOW_BASELINE, SLOW_ALTERNATIVE);
   }
 
-  private decide(target: string, record: TargetRecord): ISuspicion | undefined {
-    if (!this.isEnough(record)) return undefined;
-    const failureSum = record.getFailureSum();
-    if (failureSum >= this.threshold) return this.decideFailing(target, record, failureSum);
-    return this.decideSlow(target, record);
+  private checkTarget(target: string, stats: TargetStatistics): ISuspicion | undefined {
+    if (!this.hasEnoughEvidence(stats)) return undefined;
+    const failureSum = stats.getFailureSum();
+    if (failureSum >= this.threshold) return this.checkFailureRate(target, stats, failureSum);
+    return this.checkSlowness(target, stats);
   }
 
-  private isEnough(record: TargetRecord): boolean {
-    if (record.getFailureSum() >= this.threshold) return true;
-    return record.slowSum.value >= this.threshold + SLOW_EXTRA_NATS;
+  private hasEnoughEvidence(stats: TargetStatistics): boolean {
+    if (stats.getFailureSum() >= this.threshold) return true;
+    return stats.slowSum.value >= this.threshold + SLOW_EXTRA_THRESHOLD_NATS;
   }
 
   /** Compares once more with what peers do at this very moment, before a suspicion leaves. */
-  private decideFailing(target: string, record: TargetRecord, sum: number): ISuspicion | undefined {
+  private checkFailureRate(
+    target: string,
+    stats: TargetStatistics,
+    sum: number,
+  ): ISuspicion | undefined {
     const peers = this.listPeers(target);
     const peerRate = computeMedian(peers.map((peer) => peer.shortRate)) ?? 0;
-    const ownRate = Math.max(record.shortRate, record.longRate);
+    const ownRate = Math.max(stats.shortRate, stats.longRate);
     if (peers.length === 0 || ownRate < COMMON_CAUSE_FACTOR * peerRate) {
-      record.resetEvidence();
+      stats.resetEvidence();
       return undefined;
     }
-    const bad = record.answeredFailures + record.silences;
+    const bad = stats.answeredFailures + stats.silences;
     const percent = Math.round(100 * ownRate);
     return {
       target,
       reason: `fails ${percent}% against ${Math.round(100 * peerRate)}% of peers, ${sum.toFixed(1)} nats`,
       failureShare: ownRate,
       isSlow: false,
-      isPathPossible: record.answeredFailures < OBSERVED_ANSWERS_SHARE * bad,
+      isPathFaultPossible: stats.answeredFailures < PATH_FAULT_MAX_ERROR_SHARE * bad,
     };
   }
 
-  private decideSlow(target: string, record: TargetRecord): ISuspicion | undefined {
+  private checkSlowness(target: string, stats: TargetStatistics): ISuspicion | undefined {
     const peers = this.listPeers(target).filter((peer) => !peer.isCold);
     const peerRate = computeMedian(peers.map((peer) => peer.slowRate)) ?? 0;
-    if (record.slowRate < COMMON_CAUSE_FACTOR * peerRate) {
-      record.slowSum.reset();
+    if (stats.slowRate < COMMON_CAUSE_FACTOR * peerRate) {
+      stats.slowSum.reset();
       return undefined;
     }
     return {
       target,
-      reason: `${Math.round(100 * record.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
-      failureShare: record.slowRate,
+      reason: `${Math.round(100 * stats.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
+      failureShare: stats.slowRate,
       isSlow: true,
-      isPathPossible: true,
+      isPathFaultPossible: true,
     };
   }
 
   private getReference(target: string): IReference {
     const cached = this.references.get(target);
-    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_AGE_MS) return cached;
+    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_MAX_AGE_MS) return cached;
     const peers = this.listPeers(target);
     const shortRate = computeMedian(peers.map((peer) => peer.shortRate)) ?? 0;
     const longRate = computeMedian(peers.map((peer) => peer.longRate)) ?? 0;
@@ -255,10 +265,10 @@
     return latencies.length < MIN_PEERS ? undefined : computeMedian(latencies);
   }
 
-  private listPeers(target: string): readonly TargetRecord[] {
-    const peers: TargetRecord[] = [];
-    for (const [address, record] of this.records) {
-      if (address !== target && !record.isOut && record.outcomes > 0) peers.push(record);
+  private listPeers(target: string): readonly TargetStatistics[] {
+    const peers: TargetStatistics[] = [];
+    for (const [address, stats] of this.statistics) {
+      if (address !== target && !stats.isExcluded && stats.outcomes > 0) peers.push(stats);
     }
     return peers;
   }
--- a/packages/routing/src/detection/common/successRateDetector.ts
+++ b/packages/routing/src/detection/common/successRateDetector.ts
@@ -1,7 +1,7 @@
 /** Baseline: at each interval, targets whose success rate is far below the mean are ejected. */
 import type { IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence } from './failureDetector.js';
-import { PlainDetector } from './plainDetector.js';
+import { BaselineDetector } from './baselineDetector.js';
 
 const INTERVAL_MS = 10_000;
 const MIN_REQUESTS = 100;
@@ -15,7 +15,7 @@
 }
 
 /** Compares success rates over fixed intervals. */
-export class SuccessRateDetector extends PlainDetector {
+export class SuccessRateDetector extends BaselineDetector {
   private counts = new Map<string, ICount>();
   private intervalEndMs: number | undefined;
   private limit: number | undefined;
@@ -61,7 +61,7 @@
     const rate = this.rates.get(target);
     if (rate === undefined || this.limit === undefined || rate >= this.limit) return undefined;
     const reason = `success rate ${rate.toFixed(3)} below ${this.limit.toFixed(3)}`;
-    return { target, reason, failureShare: 1 - rate, isSlow: false, isPathPossible: true };
+    return { target, reason, failureShare: 1 - rate, isSlow: false, isPathFaultPossible: true };
   }
 }
 
--- a/packages/routing/src/detection/common/targetObserver.ts
+++ b/packages/routing/src/detection/common/targetObserver.ts
@@ -27,7 +27,7 @@
 }
 
 /** No other node to ask: every verdict rests on what the home itself saw. */
-export class AbsentObserver extends TargetObserver {
+export class UnavailableObserver extends TargetObserver {
   override observe(): Promise<undefined> {
     return Promise.resolve(undefined);
   }
--- a/packages/routing/src/detection/common/targetRecord.ts
+++ b/packages/routing/src/detection/common/targetStatistics.ts
@@ -8,7 +8,7 @@
 const SLOW_QUANTILE = 0.9;
 
 /** Rates and sums of one target. */
-export class TargetRecord {
+export class TargetStatistics {
   /** Failures among the last handful of outcomes. */
   shortRate = 0;
   /** Failures among the last hundred or so. */
@@ -20,13 +20,13 @@
   silences = 0;
   isCold = false;
   /** Ejected: no reference for others. */
-  isOut = false;
+  isExcluded = false;
   readonly failureSums: readonly CumulativeSum[];
   readonly slowSum = new CumulativeSum();
   private readonly latencies = new Map<string, QuantileTracker>();
 
-  constructor(tests: number) {
-    this.failureSums = Array.from({ length: tests }, () => new CumulativeSum());
+  constructor(testCount: number) {
+    this.failureSums = Array.from({ length: testCount }, () => new CumulativeSum());
   }
 
   recordOutcome(isFailure: boolean): void {
--- a/packages/routing/src/ejection/common/connectionCheck.test.ts
+++ b/packages/routing/src/ejection/common/connectionCheck.test.ts
@@ -8,13 +8,13 @@
   const seen = { retired: 0, charged: 0, tried: 0 };
   const check = new ConnectionCheck({
     clock,
-    tryFresh: async () => {
+    tryFreshConnection: async () => {
       seen.tried += 1;
       await clock.sleep(100);
       return isAnswered;
     },
     retireConnections: () => (seen.retired += 1),
-    chargeTarget: (silences) => (seen.charged += silences),
+    recordSilences: (silences) => (seen.charged += silences),
   });
   return { clock, seen, check };
 }
--- a/packages/routing/src/ejection/common/connectionCheck.ts
+++ b/packages/routing/src/ejection/common/connectionCheck.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '@parsleymux/base';
 
 /** Soon after a retirement, silence can't be the fault of the retired connections any more. */
-const TRUST_AFTER_RETIRE_MS = 3000;
+const RETIREMENT_GRACE_MS = 3000;
 
 /** What a check needs of its surroundings. */
 export interface IConnectionCheckOptions {
@@ -17,15 +17,15 @@
    * Sends a copy on a fresh connection; true when it was answered in time, undefined when the
    * target had no slot to spare for it, which says nothing.
    */
-  tryFresh(): Promise<boolean | undefined>;
+  tryFreshConnection(): Promise<boolean | undefined>;
   retireConnections(): void;
   /** Charges the target with so many silences. */
-  chargeTarget(silences: number): void;
+  recordSilences(silences: number): void;
 }
 
 /** The check of one target. */
 export class ConnectionCheck {
-  private pending = 0;
+  private pendingSilences = 0;
   private isRunning = false;
   private retiredAtMs = -Infinity;
 
@@ -34,27 +34,27 @@
   /** Silence was met, on a connection that had served before unless `isFresh`. */
   async handleSilence(isFresh: boolean): Promise<void> {
     const { clock } = this.options;
-    const isLateForBlame = clock.getMonotonicTime() - this.retiredAtMs < TRUST_AFTER_RETIRE_MS;
+    const isLateForBlame = clock.getMonotonicTime() - this.retiredAtMs < RETIREMENT_GRACE_MS;
     if (isFresh || isLateForBlame) {
-      this.options.chargeTarget(1);
+      this.options.recordSilences(1);
       return;
     }
-    this.pending += 1;
+    this.pendingSilences += 1;
     if (this.isRunning) return;
     await this.run();
   }
 
   private async run(): Promise<void> {
     this.isRunning = true;
-    const isAnswered = await this.options.tryFresh();
+    const isAnswered = await this.options.tryFreshConnection();
     this.isRunning = false;
-    const silences = this.pending;
-    this.pending = 0;
+    const silences = this.pendingSilences;
+    this.pendingSilences = 0;
     if (isAnswered === true) {
       this.retiredAtMs = this.options.clock.getMonotonicTime();
       this.options.retireConnections();
     } else {
-      this.options.chargeTarget(isAnswered === undefined ? silences : silences + 1);
+      this.options.recordSilences(isAnswered === undefined ? silences : silences + 1);
     }
   }
 }
--- a/packages/routing/src/ejection/common/copySender.ts
+++ b/packages/routing/src/ejection/common/copySender.ts
@@ -3,7 +3,7 @@
 import type { SlotPool } from '../../home/common/slotPool.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
-import type { IRequestSample } from './requestSample.js';
+import type { IRequestSample } from './requestSampler.js';
 
 const FIRST_SERVER_ERROR = 500;
 
@@ -41,7 +41,7 @@
 
   /** Undefined when it was not sent: no slot or no connection to spare. */
   async send(copy: ICopy): Promise<ICopyResult | undefined> {
-    const slot = this.pool.takeOf(copy.handle);
+    const slot = this.pool.tryReserveOn(copy.handle);
     if (slot === undefined) return undefined;
     const timeout = new AbortController();
     const startMs = this.context.clock.getMonotonicTime();
--- a/packages/routing/src/ejection/common/ejectionBackoff.ts
+++ b/packages/routing/src/ejection/common/ejectionBackoff.ts
@@ -2,7 +2,7 @@
 
 const MAX_EJECTION_MS = 300_000;
 /** A target that served this long without a relapse starts afresh. */
-const FORGET_AFTER_MS = 300_000;
+const RESET_AFTER_MS = 300_000;
 
 /** The ejection times of one target. */
 export class EjectionBackoff {
@@ -12,8 +12,8 @@
   constructor(private readonly firstMs: number) {}
 
   /** Time that an ejection beginning now is to last, in ms. */
-  takeNext(nowMs: number): number {
-    if (nowMs - this.lastReturnMs > FORGET_AFTER_MS) this.ejections = 0;
+  takeNextDuration(nowMs: number): number {
+    if (nowMs - this.lastReturnMs > RESET_AFTER_MS) this.ejections = 0;
     const durationMs = Math.min(MAX_EJECTION_MS, this.firstMs * 2 ** this.ejections);
     this.ejections += 1;
     return durationMs;
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -8,9 +8,9 @@
 import { EjectionDecision } from '../../ledger/common/ejectionLedger.js';
 import { Standing } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
-import type { IEjectionSurroundings } from './ejectionSurroundings.js';
+import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 import { sendEvidenceCopy } from './evidenceCopy.js';
-import { isPathFault } from './secondOpinion.js';
+import { isPathFault } from './pathFault.js';
 import { RETRY_LEDGER_MS, TargetReturn } from './targetReturn.js';
 
 /** Longer than a burst of losses, so that the second trial is not the tail of the first. */
@@ -19,30 +19,30 @@
 const DRAINING_PROBE_MS = 5000;
 const PROBE_TIMEOUT_MS = 1000;
 /** Trials in a row without one answer after which a path counts as cut. */
-const DEAD_TRIALS = 2;
+const MAX_SILENT_TRIALS = 2;
 
 /** What is assumed of a target that another home ejected. */
-const TAKEN_OVER: Omit<ISuspicion, 'target'> = {
+const LEDGER_SUSPICION: Omit<ISuspicion, 'target'> = {
   reason: 'ejected in the ledger',
   failureShare: 1,
   isSlow: false,
-  isPathPossible: false,
+  isPathFaultPossible: false,
 };
 
 /** Watches over the standing of one service's targets. */
 export class EjectionController implements IDisposable {
   private readonly tasks = new Map<string, Promise<void>>();
   private readonly relapsed = new Map<string, ISuspicion>();
-  private readonly back: TargetReturn;
+  private readonly targetReturn: TargetReturn;
   private readonly detector: FailureDetector;
   private readonly abort = new AbortController();
 
-  constructor(private readonly surroundings: IEjectionSurroundings) {
+  constructor(private readonly environment: IEjectionEnvironment) {
     // Every troubled target waits on this signal; the warning about many listeners is not for us.
     setMaxListeners(0, this.abort.signal);
-    this.detector = surroundings.detector;
+    this.detector = environment.detector;
     const { relapsed } = this;
-    this.back = new TargetReturn({ surroundings, relapsed, signal: this.abort.signal });
+    this.targetReturn = new TargetReturn({ environment, relapsed, signal: this.abort.signal });
   }
 
   /** Acts on a suspicion. */
@@ -57,7 +57,7 @@
   /** The target said that it is draining. */
   handleDraining(handle: TargetHandle): void {
     if (handle.standing === Standing.Draining) return;
-    this.back.setStanding(handle, Standing.Draining, 'says that it is draining');
+    this.targetReturn.setStanding(handle, Standing.Draining, 'says that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
@@ -68,11 +68,11 @@
 
   /** Takes over targets that some other home has ejected, or this one in an earlier life. */
   takeOverEjected(): void {
-    for (const address of this.back.listInLedger()) {
-      const handle = this.surroundings.pool.handles.get(address);
+    for (const address of this.targetReturn.listEjected()) {
+      const handle = this.environment.pool.handles.get(address);
       if (handle === undefined || this.tasks.has(address)) continue;
-      this.back.setStanding(handle, Standing.Ejected, 'ejected in the ledger');
-      const suspicion = { ...TAKEN_OVER, target: address };
+      this.targetReturn.setStanding(handle, Standing.Ejected, 'ejected in the ledger');
+      const suspicion = { ...LEDGER_SUSPICION, target: address };
       this.startTask(handle, () => this.waitAndReturn(handle, suspicion));
     }
   }
@@ -88,14 +88,14 @@
       .catch((error: unknown) => {
         // Without a task the target would keep its standing for ever; serving is the safe end.
         if (this.abort.signal.aborted) return;
-        this.back.setStanding(handle, Standing.Serving, `task failed: ${String(error)}`);
+        this.targetReturn.setStanding(handle, Standing.Serving, `task failed: ${String(error)}`);
       })
       .finally(() => {
         this.tasks.delete(address);
         this.relapsed.delete(address);
-        this.surroundings.pool.serveWaiting();
+        this.environment.pool.serveWaiting();
         // It said so while another task had it in hand.
-        const isOurs = this.back.isConfigured(handle) && !this.abort.signal.aborted;
+        const isOurs = this.targetReturn.isConfigured(handle) && !this.abort.signal.aborted;
         if (handle.standing === Standing.Draining && isOurs) {
           this.startTask(handle, () => this.waitWhileDraining(handle));
         }
@@ -105,19 +105,19 @@
 
   private async runSuspicion(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     const { traits } = this.detector;
-    this.back.setStanding(handle, Standing.Suspect, suspicion.reason);
+    this.targetReturn.setStanding(handle, Standing.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
       // The evidence is kept: should it grow again, less of it is needed.
-      this.back.setStanding(handle, Standing.Serving, '');
+      this.targetReturn.setStanding(handle, Standing.Serving, '');
       return;
     }
     if (
-      traits.asksObserver &&
-      suspicion.isPathPossible &&
-      (await this.checkPath(handle, suspicion))
+      traits.usesObserver &&
+      suspicion.isPathFaultPossible &&
+      (await this.hasPathFault(handle, suspicion))
     ) {
-      this.back.setStanding(handle, Standing.Suspect, `path fault: ${suspicion.reason}`);
+      this.targetReturn.setStanding(handle, Standing.Suspect, `path fault: ${suspicion.reason}`);
       return this.waitForPath(handle, suspicion);
     }
     return this.eject(handle, suspicion);
@@ -128,25 +128,25 @@
     const { confirmMs, confirmCopies } = this.detector.traits;
     const signal = this.abort.signal;
     const copies = Array.from({ length: confirmCopies }, () => {
-      return sendEvidenceCopy({ ...this.surroundings, handle, signal });
+      return sendEvidenceCopy({ ...this.environment, handle, signal });
     });
-    await Promise.all([this.back.sleep(confirmMs), ...copies]);
+    await Promise.all([this.targetReturn.sleep(confirmMs), ...copies]);
   }
 
   private async eject(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     for (;;) {
       const decision = await this.requestEjection(handle);
       if (decision === EjectionDecision.Granted) break;
-      this.back.setStanding(handle, Standing.Suspect, `${decision}: ${suspicion.reason}`);
+      this.targetReturn.setStanding(handle, Standing.Suspect, `${decision}: ${suspicion.reason}`);
       this.detector.reset(handle.address);
-      await this.back.sleep(RETRY_LEDGER_MS);
-      if (!this.back.isConfigured(handle)) return;
-      if (await this.back.isWellAgain(handle, suspicion.failureShare)) {
-        this.back.serve(handle);
+      await this.targetReturn.sleep(RETRY_LEDGER_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      if (await this.targetReturn.hasRecovered(handle, suspicion.failureShare)) {
+        this.targetReturn.serve(handle);
         return;
       }
     }
-    this.back.setStanding(handle, Standing.Ejected, suspicion.reason);
+    this.targetReturn.setStanding(handle, Standing.Ejected, suspicion.reason);
     return this.waitAndReturn(handle, suspicion);
   }
 
@@ -155,25 +155,25 @@
     for (;;) {
       this.detector.reset(handle.address);
       this.relapsed.delete(handle.address);
-      await this.back.waitOutEjection(handle);
-      if (!this.back.isConfigured(handle)) return;
-      const isWell = await this.back.isWellAgain(handle, suspicion.failureShare);
-      if (isWell) await this.back.runRamp(handle);
+      await this.targetReturn.waitForEjectionEnd(handle);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      const isWell = await this.targetReturn.hasRecovered(handle, suspicion.failureShare);
+      if (isWell) await this.targetReturn.runRamp(handle);
       if (isWell && !this.relapsed.has(handle.address)) break;
       const reason = isWell ? 'relapsed after its return' : 'failed its trial';
-      if (!this.back.listInLedger().has(handle.address)) {
+      if (!this.targetReturn.listEjected().has(handle.address)) {
         // Someone else gave it back. The ledger counts its slots as healthy, so it may be left out
         // only when the ledger agrees again; kept ejected here, the floor would break unseen.
-        this.back.setStanding(handle, Standing.Suspect, reason);
+        this.targetReturn.setStanding(handle, Standing.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
-      this.back.setStanding(handle, Standing.Ejected, reason);
+      this.targetReturn.setStanding(handle, Standing.Ejected, reason);
     }
-    await this.back.returnToLedger(handle);
+    await this.targetReturn.returnInLedger(handle);
   }
 
   private async runWarmUp(handle: TargetHandle): Promise<void> {
-    await this.back.runRamp(handle);
+    await this.targetReturn.runRamp(handle);
     const suspicion = this.relapsed.get(handle.address);
     this.relapsed.delete(handle.address);
     if (suspicion !== undefined) await this.runSuspicion(handle, suspicion);
@@ -182,26 +182,27 @@
   private async waitForPath(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     let deadTrials = 0;
     for (;;) {
-      const { isWell, goodCopies } = await this.back.tryOut(handle, suspicion.failureShare);
+      const { hasPassed: isWell, succeededCopies: goodCopies } =
+        await this.targetReturn.runTargetTrial(handle, suspicion.failureShare);
       if (isWell) break;
       // One dead trial may be the tail of a burst of losses; until the second it is last choice.
       deadTrials = goodCopies === 0 ? deadTrials + 1 : 0;
-      if (deadTrials >= DEAD_TRIALS && !handle.isCutOff) {
+      if (deadTrials >= MAX_SILENT_TRIALS && !handle.isCutOff) {
         handle.isCutOff = true;
-        this.back.setStanding(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
+        this.targetReturn.setStanding(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
       }
-      await this.back.sleep(handle.isCutOff ? RETRY_PATH_MS : SECOND_TRIAL_MS);
-      if (!this.back.isConfigured(handle)) return;
+      await this.targetReturn.sleep(handle.isCutOff ? RETRY_PATH_MS : SECOND_TRIAL_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
     }
-    this.back.serve(handle);
+    this.targetReturn.serve(handle);
   }
 
   private async waitWhileDraining(handle: TargetHandle): Promise<void> {
-    const { samples, sender } = this.surroundings;
+    const { sampler, sender } = this.environment;
     for (;;) {
-      await this.back.sleep(DRAINING_PROBE_MS);
-      if (!this.back.isConfigured(handle)) return;
-      const sample = samples.getHealth();
+      await this.targetReturn.sleep(DRAINING_PROBE_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      const sample = sampler.getHealthSample();
       const signal = this.abort.signal;
       const copy = { handle, sample, timeoutMs: PROBE_TIMEOUT_MS, signal };
       const result = await sender.send(copy);
@@ -211,16 +212,16 @@
   }
 
   private requestEjection(handle: TargetHandle): Promise<EjectionDecision> {
-    const others = [...this.surroundings.pool.handles.values()];
+    const others = [...this.environment.pool.handles.values()];
     const unhealthy = others.filter((other) => {
       const isOut = other.standing === Standing.Cold || other.standing === Standing.Draining;
       return other !== handle && (isOut || other.standing === Standing.Trial || other.isCutOff);
     });
     const addresses = unhealthy.map((other) => other.address);
-    return this.surroundings.requestEjection(handle, addresses, this.abort.signal);
+    return this.environment.requestEjection(handle, addresses, this.abort.signal);
   }
 
-  private checkPath(handle: TargetHandle, suspicion: ISuspicion): Promise<boolean> {
-    return isPathFault(this.surroundings, handle, suspicion, this.abort.signal);
+  private hasPathFault(handle: TargetHandle, suspicion: ISuspicion): Promise<boolean> {
+    return isPathFault(this.environment, handle, suspicion, this.abort.signal);
   }
 }
--- a/packages/routing/src/ejection/common/ejectionSurroundings.ts
+++ b/packages/routing/src/ejection/common/ejectionEnvironment.ts
@@ -6,15 +6,15 @@
 import type { SlotPool } from '../../home/common/slotPool.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { CopySender } from './copySender.js';
-import type { IRequestSample, SampleKeeper } from './requestSample.js';
+import type { IRequestSample, RequestSampler } from './requestSampler.js';
 
 /** One service's ledger, observer and targets. */
-export interface IEjectionSurroundings {
+export interface IEjectionEnvironment {
   readonly clock: Clock;
   readonly pool: SlotPool;
   readonly detector: FailureDetector;
   readonly sender: CopySender;
-  readonly samples: SampleKeeper;
+  readonly sampler: RequestSampler;
   requestEjection(
     handle: TargetHandle,
     otherwiseUnhealthy: readonly string[],
--- a/packages/routing/src/ejection/common/evidenceCopy.ts
+++ b/packages/routing/src/ejection/common/evidenceCopy.ts
@@ -4,7 +4,7 @@
 import { Evidence } from '../../detection/common/failureDetector.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { CopySender, ICopyResult } from './copySender.js';
-import type { SampleKeeper } from './requestSample.js';
+import type { RequestSampler } from './requestSampler.js';
 
 const DEFAULT_TIMEOUT_MS = 1000;
 /** A copy that takes this many times as long as nine in ten of the peers' answers is silence. */
@@ -15,7 +15,7 @@
   readonly clock: Clock;
   readonly detector: FailureDetector;
   readonly sender: CopySender;
-  readonly samples: SampleKeeper;
+  readonly sampler: RequestSampler;
   readonly handle: TargetHandle;
   readonly signal: AbortSignal;
 }
@@ -23,8 +23,8 @@
 /** Sends one copy and gives its outcome to the detector. Without real work to copy, does nothing. */
 export async function sendEvidenceCopy(options: IEvidenceCopyOptions): Promise<void> {
   const { detector, handle, signal } = options;
-  const sample = options.samples.get();
-  if (!sample.isRealWork) return;
+  const sample = options.sampler.get();
+  if (!sample.isRealRequest) return;
   const limitMs = detector.getSlowLimit(sample.route, handle.address);
   const timeoutMs = limitMs === undefined ? DEFAULT_TIMEOUT_MS : limitMs * TIMEOUT_FACTOR;
   const result = await options.sender.send({ handle, sample, timeoutMs, signal });
--- a/packages/routing/src/ejection/common/secondOpinion.ts
+++ b/packages/routing/src/ejection/common/pathFault.ts
@@ -6,7 +6,7 @@
 import type { IObservation } from '../../detection/common/targetObserver.js';
 import type { ISuspicion } from '../../detection/common/failureDetector.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
-import type { IEjectionSurroundings } from './ejectionSurroundings.js';
+import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 
 /** One answer may be luck when only some requests fail. */
 const OBSERVATIONS = 3;
@@ -22,26 +22,26 @@
  * since one answer in ten of a healthy target is over the limit.
  */
 export async function isPathFault(
-  surroundings: IEjectionSurroundings,
+  environment: IEjectionEnvironment,
   handle: TargetHandle,
   suspicion: ISuspicion,
   signal: AbortSignal,
 ): Promise<boolean> {
-  const sample = surroundings.samples.get();
+  const sample = environment.sampler.get();
   // The health endpoint answers for targets that fail at their work: it can't clear one.
-  if (!sample.isRealWork) return false;
-  const limitMs = surroundings.detector.getSlowLimit(sample.route, handle.address);
+  if (!sample.isRealRequest) return false;
+  const limitMs = environment.detector.getSlowLimit(sample.route, handle.address);
   const timeoutMs = limitMs === undefined ? DEFAULT_TIMEOUT_MS : limitMs * TIMEOUT_FACTOR;
   const observations = await Promise.all(
     Array.from({ length: OBSERVATIONS }, () => {
-      return surroundings.observe(handle, sample, timeoutMs, signal);
+      return environment.observe(handle, sample, timeoutMs, signal);
     }),
   );
   const succeeded = observations.filter((observation) => observation?.succeeded === true);
   const inTime = succeeded.filter((observation) => isInTime(observation, limitMs));
   const isFault =
     succeeded.length === OBSERVATIONS && (!suspicion.isSlow || inTime.length >= MIN_IN_TIME);
-  if (isFault) surroundings.countPathFault();
+  if (isFault) environment.countPathFault();
   return isFault;
 }
 
--- a/packages/routing/src/ejection/common/requestSample.ts
+++ b/packages/routing/src/ejection/common/requestSampler.ts
@@ -13,13 +13,13 @@
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   /** False for the health endpoint, which stands in until a request was seen. */
-  readonly isRealWork: boolean;
+  readonly isRealRequest: boolean;
 }
 
 const NO_BODY = new Uint8Array();
 
 /** Keeps the sample. */
-export class SampleKeeper {
+export class RequestSampler {
   private sample: IRequestSample;
   private readonly health: IRequestSample;
 
@@ -30,7 +30,7 @@
       path: healthPath,
       headers: [],
       body: NO_BODY,
-      isRealWork: false,
+      isRealRequest: false,
     };
     this.sample = this.health;
   }
@@ -46,7 +46,7 @@
   }
 
   /** The health endpoint, which asks for no work. */
-  getHealth(): IRequestSample {
+  getHealthSample(): IRequestSample {
     return this.health;
   }
 
@@ -58,5 +58,5 @@
 
 function toSample(request: IRoutedRequest): IRequestSample {
   const { method, path, headers, body } = request;
-  return { route: request.route.name, method, path, headers, body, isRealWork: true };
+  return { route: request.route.name, method, path, headers, body, isRealRequest: true };
 }
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -3,7 +3,7 @@
 import { Standing } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { EjectionBackoff } from './ejectionBackoff.js';
-import type { IEjectionSurroundings } from './ejectionSurroundings.js';
+import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 import type { ITrialResult } from './trial.js';
 import { runTrial } from './trial.js';
 
@@ -19,7 +19,7 @@
 
 /** Options of a {@link TargetReturn}. */
 export interface ITargetReturnOptions {
-  readonly surroundings: IEjectionSurroundings;
+  readonly environment: IEjectionEnvironment;
   /** Targets that were suspected again while on their way back. */
   readonly relapsed: ReadonlyMap<string, ISuspicion>;
   /** Aborted when the home is closed. */
@@ -28,56 +28,56 @@
 
 /** The steps of a return. */
 export class TargetReturn {
-  private readonly surroundings: IEjectionSurroundings;
+  private readonly environment: IEjectionEnvironment;
   private readonly detector: FailureDetector;
   private readonly relapsed: ReadonlyMap<string, ISuspicion>;
   private readonly signal: AbortSignal;
   private readonly backoffs = new Map<string, EjectionBackoff>();
 
   constructor(options: ITargetReturnOptions) {
-    this.surroundings = options.surroundings;
-    this.detector = options.surroundings.detector;
+    this.environment = options.environment;
+    this.detector = options.environment.detector;
     this.relapsed = options.relapsed;
     this.signal = options.signal;
   }
 
   /** Waits for as long as the target's ejection is to last. */
-  async waitOutEjection(handle: TargetHandle): Promise<void> {
-    const endMs = this.getNow() + this.getBackoff(handle).takeNext(this.getNow());
+  async waitForEjectionEnd(handle: TargetHandle): Promise<void> {
+    const endMs = this.getNow() + this.getBackoff(handle).takeNextDuration(this.getNow());
     while (this.getNow() < endMs) {
       await this.sleep(Math.min(WAIT_SLICE_MS, endMs - this.getNow()));
       // Someone else gave the target back: its slots count as there, so they should be.
-      if (!this.listInLedger().has(handle.address)) return;
+      if (!this.listEjected().has(handle.address)) return;
     }
   }
 
   /** True when the target passes its trial, or when returns need none. */
-  async isWellAgain(handle: TargetHandle, failureShare: number): Promise<boolean> {
-    if (!this.detector.traits.returnsByTrial) return true;
-    return (await this.tryOut(handle, failureShare)).isWell;
+  async hasRecovered(handle: TargetHandle, failureShare: number): Promise<boolean> {
+    if (!this.detector.traits.requiresTrial) return true;
+    return (await this.runTargetTrial(handle, failureShare)).hasPassed;
   }
 
   /** Tries the target with copies. */
-  async tryOut(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
-    const { clock, sender, samples } = this.surroundings;
+  async runTargetTrial(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
+    const { clock, sender, sampler } = this.environment;
     const before = handle.standing;
     if (before === Standing.Ejected) this.setStanding(handle, Standing.Trial, handle.evidence);
     const result = await runTrial({
       clock,
       sender,
-      samples,
+      sampler,
       detector: this.detector,
       handle,
       failureShare,
       signal: this.signal,
     });
-    this.surroundings.countTrial(result.isWell);
+    this.environment.countTrial(result.hasPassed);
     return result;
   }
 
   /** Gives the target work gradually, and serves it fully unless it relapses on the way. */
   async runRamp(handle: TargetHandle): Promise<void> {
-    if (!this.detector.traits.returnsByTrial) {
+    if (!this.detector.traits.requiresTrial) {
       this.serve(handle);
       return;
     }
@@ -86,7 +86,7 @@
     const endMs = this.getNow() + COLD_MS;
     for (const ramp of RAMP_STEPS) {
       handle.ramp = ramp;
-      this.surroundings.pool.serveWaiting();
+      this.environment.pool.serveWaiting();
       const stepEndMs = this.getNow() + RAMP_STEP_MS;
       await this.sleepUnlessRelapsed(handle, stepEndMs);
     }
@@ -108,10 +108,10 @@
   }
 
   /** Serving an ejected target never breaks the floor, so a ledger that is out delays nothing. */
-  async returnToLedger(handle: TargetHandle): Promise<void> {
+  async returnInLedger(handle: TargetHandle): Promise<void> {
     while (this.isConfigured(handle)) {
       try {
-        await this.surroundings.returnTarget(handle, this.signal);
+        await this.environment.returnTarget(handle, this.signal);
         return;
       } catch {
         await this.sleep(RETRY_LEDGER_MS);
@@ -120,13 +120,13 @@
   }
 
   /** Targets that the ledger has as ejected. */
-  listInLedger(): ReadonlySet<string> {
-    return this.surroundings.listEjected();
+  listEjected(): ReadonlySet<string> {
+    return this.environment.listEjected();
   }
 
   /** False once the configuration has dropped or replaced the target. */
   isConfigured(handle: TargetHandle): boolean {
-    return this.surroundings.pool.handles.get(handle.address) === handle;
+    return this.environment.pool.handles.get(handle.address) === handle;
   }
 
   private getBackoff(handle: TargetHandle): EjectionBackoff {
@@ -141,12 +141,12 @@
   /** Changes how the target stands, and tells whoever wants to know. */
   setStanding(handle: TargetHandle, standing: Standing, reason: string): void {
     handle.setStanding(standing, reason, this.getNow());
-    this.surroundings.notifyStanding(handle);
+    this.environment.notifyStanding(handle);
   }
 
   /** The instant on the monotonic clock. */
   getNow(): number {
-    return this.surroundings.clock.getMonotonicTime();
+    return this.environment.clock.getMonotonicTime();
   }
 
   private async sleepUnlessRelapsed(handle: TargetHandle, endMs: number): Promise<void> {
@@ -157,6 +157,6 @@
 
   /** Rejects when the home is closed. */
   sleep(durationMs: number): Promise<void> {
-    return this.surroundings.clock.sleep(durationMs, this.signal);
+    return this.environment.clock.sleep(durationMs, this.signal);
   }
 }
--- a/packages/routing/src/ejection/common/trial.ts
+++ b/packages/routing/src/ejection/common/trial.ts
@@ -3,7 +3,7 @@
 import type { FailureDetector } from '../../detection/common/failureDetector.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { CopySender } from './copySender.js';
-import type { SampleKeeper } from './requestSample.js';
+import type { RequestSampler } from './requestSampler.js';
 
 const MIN_COPIES = 5;
 const MAX_COPIES = 60;
@@ -19,7 +19,7 @@
 export interface ITrialOptions {
   readonly clock: Clock;
   readonly sender: CopySender;
-  readonly samples: SampleKeeper;
+  readonly sampler: RequestSampler;
   readonly detector: FailureDetector;
   readonly handle: TargetHandle;
   /** Share of requests that were bad when the target was suspected. */
@@ -37,9 +37,9 @@
 /** What a trial showed. */
 export interface ITrialResult {
   /** Every copy was answered well, and not too many of them slowly. */
-  readonly isWell: boolean;
+  readonly hasPassed: boolean;
   /** Copies that were answered well before the trial ended. */
-  readonly goodCopies: number;
+  readonly succeededCopies: number;
 }
 
 /** Sends copies one after another until one is bad, too many are slow, or enough were sent. */
@@ -50,19 +50,19 @@
   while (sent < copies) {
     await options.clock.sleep(COPY_INTERVAL_MS, options.signal);
     const verdict = await runCopy(options);
-    if (verdict === 'bad') return { isWell: false, goodCopies: sent };
+    if (verdict === 'bad') return { hasPassed: false, succeededCopies: sent };
     if (verdict !== 'no-slot') sent += 1;
     if (verdict === 'slow') slow += 1;
-    if (slow > MAX_SLOW_SHARE * copies) return { isWell: false, goodCopies: sent };
+    if (slow > MAX_SLOW_SHARE * copies) return { hasPassed: false, succeededCopies: sent };
   }
-  return { isWell: true, goodCopies: sent };
+  return { hasPassed: true, succeededCopies: sent };
 }
 
-type CopyVerdict = 'good' | 'slow' | 'bad' | 'no-slot';
+type CopyOutcome = 'good' | 'slow' | 'bad' | 'no-slot';
 
-async function runCopy(options: ITrialOptions): Promise<CopyVerdict> {
+async function runCopy(options: ITrialOptions): Promise<CopyOutcome> {
   const { handle, detector, signal } = options;
-  const sample = options.samples.get();
+  const sample = options.sampler.get();
   const limitMs = detector.getSlowLimit(sample.route, handle.address);
   const timeoutMs = limitMs === undefined ? DEFAULT_TIMEOUT_MS : limitMs * SLOW_TIMEOUT_FACTOR;
   const result = await options.sender.send({ handle, sample, timeoutMs, signal });
--- a/packages/routing/src/home/common/ejectionWiring.ts
+++ b/packages/routing/src/home/common/buildEjectionEnvironment.ts
@@ -1,17 +1,17 @@
 /** Connects the ejection controller of one service to the home's ledger, observer and metrics. */
 import type { FailureDetector } from '../../detection/common/failureDetector.js';
 import type { CopySender } from '../../ejection/common/copySender.js';
-import type { IEjectionSurroundings } from '../../ejection/common/ejectionSurroundings.js';
-import type { SampleKeeper } from '../../ejection/common/requestSample.js';
-import type { IEvidenceIntakeOptions } from './evidenceIntake.js';
+import type { IEjectionEnvironment } from '../../ejection/common/ejectionEnvironment.js';
+import type { RequestSampler } from '../../ejection/common/requestSampler.js';
+import type { IEvidenceRecorderOptions } from './evidenceRecorder.js';
 
 /** Builds the surroundings. */
-export function buildSurroundings(
-  options: IEvidenceIntakeOptions,
+export function buildEjectionEnvironment(
+  options: IEvidenceRecorderOptions,
   detector: FailureDetector,
   sender: CopySender,
-  samples: SampleKeeper,
-): IEjectionSurroundings {
+  sampler: RequestSampler,
+): IEjectionEnvironment {
   const { context, member, pool } = options;
   const { ledger, metrics, observer, clock } = context;
   const getLabels = () => ({ member, service: options.getService().name });
@@ -20,7 +20,7 @@
     pool,
     detector,
     sender,
-    samples,
+    sampler,
     requestEjection: async (handle, otherwiseUnhealthy, signal) => {
       const request = {
         member,
@@ -62,7 +62,7 @@
   };
 }
 
-function getMemberRevision(options: IEvidenceIntakeOptions): number {
+function getMemberRevision(options: IEvidenceRecorderOptions): number {
   const config = options.context.configService.getCurrent().members.get(options.member);
   return Number(config?.memberRevision ?? 0);
 }
--- a/packages/routing/src/home/common/evidenceIntake.ts
+++ b/packages/routing/src/home/common/evidenceRecorder.ts
@@ -9,12 +9,12 @@
 import { ConnectionCheck } from '../../ejection/common/connectionCheck.js';
 import { CopySender } from '../../ejection/common/copySender.js';
 import { EjectionController } from '../../ejection/common/ejectionController.js';
-import { SampleKeeper } from '../../ejection/common/requestSample.js';
+import { RequestSampler } from '../../ejection/common/requestSampler.js';
 import type { IRoutedRequest } from '../../request/common/request.js';
 import { Standing } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { TransportFailure } from '../../transport/common/targetTransport.js';
-import { buildSurroundings } from './ejectionWiring.js';
+import { buildEjectionEnvironment } from './buildEjectionEnvironment.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { SlotPool } from './slotPool.js';
 
@@ -30,8 +30,8 @@
 const LEDGER_INTERVAL_MS = 10_000;
 const PROBE_TIMEOUT_MS = 1000;
 
-/** Options of an {@link EvidenceIntake}. */
-export interface IEvidenceIntakeOptions {
+/** Options of an {@link EvidenceRecorder}. */
+export interface IEvidenceRecorderOptions {
   readonly context: IHomeContext;
   readonly member: string;
   readonly service: Service;
@@ -40,27 +40,27 @@
 }
 
 /** The evidence side of one service's home. */
-export class EvidenceIntake implements IDisposable {
+export class EvidenceRecorder implements IDisposable {
   readonly detector: FailureDetector;
   readonly controller: EjectionController;
   private readonly context: IHomeContext;
-  private readonly samples: SampleKeeper;
+  private readonly sampler: RequestSampler;
   private readonly sender: CopySender;
   private readonly checks = new Map<string, ConnectionCheck>();
   private readonly abort = new AbortController();
 
-  constructor(private readonly options: IEvidenceIntakeOptions) {
+  constructor(private readonly options: IEvidenceRecorderOptions) {
     const { context, member, pool } = options;
     this.context = context;
     setMaxListeners(0, this.abort.signal);
     this.detector = context.createDetector(options.service);
     this.detector.setTargets(options.service.targets.map((target) => target.address));
-    this.samples = new SampleKeeper(context.healthPath);
+    this.sampler = new RequestSampler(context.healthPath);
     this.sender = new CopySender(context, member, pool);
     this.controller = new EjectionController(
-      buildSurroundings(options, this.detector, this.sender, this.samples),
+      buildEjectionEnvironment(options, this.detector, this.sender, this.sampler),
     );
-    void this.watchLedger().catch(() => undefined);
+    void this.pollLedger().catch(() => undefined);
     const { probeIntervalMs } = this.detector.traits;
     if (probeIntervalMs !== undefined) void this.probeAll(probeIntervalMs).catch(() => undefined);
   }
@@ -79,8 +79,8 @@
 
   /** An attempt is overdue, and has not ended. True when that was taken as evidence. */
   recordStall(request: IRoutedRequest, handle: TargetHandle, isFresh: boolean): boolean {
-    if (!this.detector.traits.watchesStalls) return false;
-    void this.getCheck(handle, request).handleSilence(isFresh).catch(discardClosed);
+    if (!this.detector.traits.detectsStalls) return false;
+    void this.ensureCheck(handle, request).handleSilence(isFresh).catch(discardError);
     return true;
   }
 
@@ -93,11 +93,11 @@
   ): void {
     if (outcome.kind === 'answered') {
       if (outcome.answer.draining) this.controller.handleDraining(handle);
-      if (isGood(outcome)) this.samples.record(request);
+      if (isGood(outcome)) this.sampler.record(request);
     }
     if (wasStalled) return;
     if (this.isConnectionSuspect(outcome)) {
-      void this.getCheck(handle, request).handleSilence(false).catch(discardClosed);
+      void this.ensureCheck(handle, request).handleSilence(false).catch(discardError);
       return;
     }
     const evidence = this.toEvidence(request, handle, outcome);
@@ -110,7 +110,7 @@
   }
 
   private isConnectionSuspect(outcome: AttemptOutcome): boolean {
-    if (!this.detector.traits.watchesStalls || outcome.kind !== 'failed') return false;
+    if (!this.detector.traits.detectsStalls || outcome.kind !== 'failed') return false;
     const { failure, reusedConnection } = outcome.error;
     const isSilent = failure === TransportFailure.Timeout || failure === TransportFailure.Broken;
     return reusedConnection && isSilent;
@@ -147,7 +147,7 @@
     if (suspicion !== undefined) this.controller.handleSuspicion(handle, suspicion);
   }
 
-  private getCheck(handle: TargetHandle, request: IRoutedRequest): ConnectionCheck {
+  private ensureCheck(handle: TargetHandle, request: IRoutedRequest): ConnectionCheck {
     const existing = this.checks.get(handle.address);
     if (existing !== undefined) return existing;
     const check = this.createCheck(handle, request.route.name);
@@ -159,10 +159,10 @@
     const { context, member } = this.options;
     return new ConnectionCheck({
       clock: context.clock,
-      tryFresh: async () => {
+      tryFreshConnection: async () => {
         // Until it is known who is silent, further requests would only join those that wait.
         handle.isUnderCheck = true;
-        const isAnswered = await this.tryFresh(handle);
+        const isAnswered = await this.tryFreshConnection(handle);
         handle.isUnderCheck = false;
         this.options.pool.serveWaiting();
         return isAnswered;
@@ -171,7 +171,7 @@
         context.metrics.connectionsAccused.inc(this.getLabels());
         context.transport.retireConnections(member, handle.address);
       },
-      chargeTarget: (silences) => {
+      recordSilences: (silences) => {
         const atMs = context.clock.getMonotonicTime();
         for (let index = 0; index < silences; index += 1) {
           const target = handle.address;
@@ -181,8 +181,8 @@
     });
   }
 
-  private async tryFresh(handle: TargetHandle): Promise<boolean | undefined> {
-    const sample = this.samples.get();
+  private async tryFreshConnection(handle: TargetHandle): Promise<boolean | undefined> {
+    const sample = this.sampler.get();
     const limitMs = this.detector.getSlowLimit(sample.route, handle.address);
     const timeoutMs = limitMs === undefined ? DEFAULT_CHECK_TIMEOUT_MS : limitMs * CHECK_FACTOR;
     const signal = this.abort.signal;
@@ -194,7 +194,7 @@
     return undefined;
   }
 
-  private async watchLedger(): Promise<void> {
+  private async pollLedger(): Promise<void> {
     const { context, member } = this.options;
     for (;;) {
       const service = this.options.getService().name;
@@ -218,7 +218,7 @@
 
   private async probe(handle: TargetHandle): Promise<void> {
     const signal = this.abort.signal;
-    const sample = this.samples.getHealth();
+    const sample = this.sampler.getHealthSample();
     const copy = { handle, sample, timeoutMs: PROBE_TIMEOUT_MS, signal };
     const result = await this.sender.send(copy);
     if (result === undefined || handle.standing !== Standing.Serving) return;
@@ -232,6 +232,6 @@
 }
 
 /** What was under way when the home was closed has no one left to tell. */
-function discardClosed(): void {
+function discardError(): void {
   return;
 }
--- a/packages/routing/src/home/common/homeOptions.ts
+++ b/packages/routing/src/home/common/homeOptions.ts
@@ -8,7 +8,7 @@
   SequentialDetector,
 } from '../../detection/common/sequentialDetector.js';
 import type { TargetObserver } from '../../detection/common/targetObserver.js';
-import { AbsentObserver } from '../../detection/common/targetObserver.js';
+import { UnavailableObserver } from '../../detection/common/targetObserver.js';
 import { HomeMetrics } from '../../metrics/common/homeMetrics.js';
 import type { Standing } from '../../target/common/targetHandle.js';
 import type { DispatchGuard } from '../../guard/common/dispatchGuard.js';
@@ -68,7 +68,7 @@
   return {
     ...options,
     maxAnswerBytes: options.maxAnswerBytes ?? DEFAULT_MAX_ANSWER_BYTES,
-    observer: options.observer ?? new AbsentObserver(),
+    observer: options.observer ?? new UnavailableObserver(),
     createDetector: options.createDetector ?? createDefaultDetector,
     metrics: options.metrics ?? new HomeMetrics(),
     onStandingChange: options.onStandingChange ?? (() => undefined),
--- a/packages/routing/src/home/common/serviceHome.ts
+++ b/packages/routing/src/home/common/serviceHome.ts
@@ -16,7 +16,7 @@
 import { AttemptRunner, DispatchCount } from '../../attempt/common/attemptRunner.js';
 import { RetryBudget } from '../../budget/common/retryBudget.js';
 import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
-import { EvidenceIntake } from './evidenceIntake.js';
+import { EvidenceRecorder } from './evidenceRecorder.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { ISlot } from './slotPool.js';
 import { SlotPool } from './slotPool.js';
@@ -32,7 +32,7 @@
 }
 
 /** One request on its way through the home. */
-interface IPassage {
+interface IRequestState {
   readonly request: IRoutedRequest;
   readonly signal: AbortSignal;
   readonly count: DispatchCount;
@@ -40,7 +40,7 @@
 }
 
 /** Set when an attempt was charged as overdue before it ended. */
-interface IStallMark {
+interface IStallFlag {
   isStalled: boolean;
 }
 
@@ -54,7 +54,7 @@
   private service: Service;
   private readonly context: IHomeContext;
   private readonly runner: AttemptRunner;
-  private readonly intake: EvidenceIntake;
+  private readonly evidenceRecorder: EvidenceRecorder;
   private readonly labels: Readonly<Record<'member' | 'service', string>>;
   private readonly budget: RetryBudget;
 
@@ -66,7 +66,7 @@
     this.pool = new SlotPool({ ...options.context, service: options.service });
     this.runner = new AttemptRunner(options.context, options.member);
     this.labels = { member: options.member, service: options.service.name };
-    this.intake = new EvidenceIntake({
+    this.evidenceRecorder = new EvidenceRecorder({
       ...options,
       pool: this.pool,
       getService: () => this.service,
@@ -77,11 +77,11 @@
   /** Takes over a new configuration of the service. */
   update(service: Service): void {
     this.service = service;
-    this.intake.update(service, this.pool.update(service));
+    this.evidenceRecorder.update(service, this.pool.update(service));
   }
 
   dispose(): void {
-    this.intake.dispose();
+    this.evidenceRecorder.dispose();
   }
 
   /** The configuration in force. */
@@ -110,44 +110,44 @@
 
   /** Attempts on one target after another, as far as that is safe and the budget allows. */
   private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
-    const passage: IPassage = { request, signal, count: new DispatchCount(), tried: new Set() };
+    const state: IRequestState = { request, signal, count: new DispatchCount(), tried: new Set() };
     try {
-      return await this.tryTargets(passage);
+      return await this.tryTargets(state);
     } catch (error) {
-      throw this.checkRefusal(passage, error);
+      throw this.checkRefusal(state, error);
     }
   }
 
-  private async tryTargets(passage: IPassage): Promise<IAnswer> {
+  private async tryTargets(state: IRequestState): Promise<IAnswer> {
     let last: AttemptOutcome | undefined;
     for (;;) {
-      const slot = await this.waitForSlot(passage, last);
+      const slot = await this.waitForSlot(state, last);
       if (slot === undefined) break;
-      if (this.hasPassed(passage.request.deadlineMs)) {
+      if (this.isDeadlinePassed(state.request.deadlineMs)) {
         slot.release();
         if (last === undefined) throw makeDeadlinePassed();
         break;
       }
       discardOutcome(last);
-      last = await this.runAttempt(passage, slot);
-      if (!this.isRetryAllowed(passage, last)) break;
+      last = await this.runAttempt(state, slot);
+      if (!this.isRetryAllowed(state, last)) break;
     }
     if (last === undefined) throw new Error('no attempt was made');
     return toAnswer(last, this.pool.computeRetryAfter());
   }
 
-  private hasPassed(deadlineMs: number): boolean {
+  private isDeadlinePassed(deadlineMs: number): boolean {
     return this.context.clock.getMonotonicTime() >= deadlineMs;
   }
 
   /** Undefined when an earlier attempt's outcome is the better answer than the refusal to queue. */
   private async waitForSlot(
-    passage: IPassage,
+    state: IRequestState,
     last: AttemptOutcome | undefined,
   ): Promise<ISlot | undefined> {
-    const wish = { request: passage.request, excluded: passage.tried };
+    const slotRequest = { request: state.request, excluded: state.tried };
     try {
-      return await this.pool.wait(wish, passage.signal);
+      return await this.pool.wait(slotRequest, state.signal);
     } catch (error) {
       if (last === undefined) throw error;
       return undefined;
@@ -155,42 +155,42 @@
   }
 
   /** One attempt, with another beside it when it is overdue and may be run twice. */
-  private async runAttempt(passage: IPassage, slot: ISlot): Promise<AttemptOutcome> {
-    const { request } = passage;
+  private async runAttempt(state: IRequestState, slot: ISlot): Promise<AttemptOutcome> {
+    const { request } = state;
     const isFresh = !request.route.idempotent;
-    const mark: IStallMark = { isStalled: false };
+    const stall: IStallFlag = { isStalled: false };
     const outcome = await runHedged({
       clock: this.context.clock,
-      first: this.startAttempt(passage, slot, mark),
-      stallMs: this.intake.getStallLimit(request, slot.handle),
+      first: this.startAttempt(state, slot, stall),
+      stallMs: this.evidenceRecorder.getStallLimit(request, slot.handle),
       onStall: () => {
-        mark.isStalled = this.intake.recordStall(request, slot.handle, isFresh);
-        return this.startHedge(passage);
+        stall.isStalled = this.evidenceRecorder.recordStall(request, slot.handle, isFresh);
+        return this.startHedge(state);
       },
     });
     return outcome;
   }
 
-  private startHedge(passage: IPassage): IRunningAttempt | undefined {
-    const { request, tried } = passage;
+  private startHedge(state: IRequestState): IRunningAttempt | undefined {
+    const { request, tried } = state;
     if (!request.route.idempotent || !this.context.hedges) return undefined;
-    const slot = this.pool.take({ request, excluded: tried });
+    const slot = this.pool.tryReserve({ request, excluded: tried });
     if (slot === undefined) return undefined;
     if (!this.budget.spend()) {
       slot.release();
       return undefined;
     }
     this.context.metrics.hedges.inc(this.labels);
-    return this.startAttempt(passage, slot, { isStalled: false });
+    return this.startAttempt(state, slot, { isStalled: false });
   }
 
-  private startAttempt(passage: IPassage, slot: ISlot, mark: IStallMark): IRunningAttempt {
-    const { request, count } = passage;
+  private startAttempt(state: IRequestState, slot: ISlot, stall: IStallFlag): IRunningAttempt {
+    const { request, count } = state;
     const abort = new AbortController();
-    passage.tried.add(slot.handle.address);
+    state.tried.add(slot.handle.address);
     this.context.metrics.attempts.inc(this.labels);
     // A caller that hangs up cancels reads; a request that must not run twice is let finish.
-    const signals = request.route.idempotent ? [passage.signal, abort.signal] : [abort.signal];
+    const signals = request.route.idempotent ? [state.signal, abort.signal] : [abort.signal];
     const attempt = {
       slot,
       request,
@@ -202,7 +202,7 @@
     const outcome = this.runner.run(attempt).then((ended) => {
       const durationMs = this.context.clock.getMonotonicTime() - startMs;
       this.recordOutcome(slot, request.route.name, ended, durationMs);
-      this.intake.recordOutcome(request, slot.handle, ended, mark.isStalled);
+      this.evidenceRecorder.recordOutcome(request, slot.handle, ended, stall.isStalled);
       return ended;
     });
     return {
@@ -229,18 +229,18 @@
     }
   }
 
-  private isRetryAllowed(passage: IPassage, outcome: AttemptOutcome): boolean {
-    if (passage.signal.aborted || !isWorthRetrying(outcome)) return false;
-    if (!passage.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
+  private isRetryAllowed(state: IRequestState, outcome: AttemptOutcome): boolean {
+    if (state.signal.aborted || !isWorthRetrying(outcome)) return false;
+    if (!state.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
     if (!this.budget.spend()) return false;
     this.context.metrics.retries.inc(this.labels);
     return true;
   }
 
   /** A refusal is truthful only if it reckons with every attempt of the request. */
-  private checkRefusal(passage: IPassage, error: unknown): unknown {
+  private checkRefusal(state: IRequestState, error: unknown): unknown {
     if (!(error instanceof MuxError)) return error;
-    const mayHaveRun = passage.count.isMaybeRun();
+    const mayHaveRun = state.count.isMaybeRun();
     const truthful = mayHaveRun ? error.toMayHaveRun() : error;
     this.context.invariants.check(
       InvariantName.TruthfulRefusal,
--- a/packages/routing/src/home/common/shardStatus.ts
+++ b/packages/routing/src/home/common/shardStatus.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { ShardStatus, TargetStatus } from '@parsleymux/schema';
 import { ShardStatusSchema, TargetStatusSchema } from '@parsleymux/schema';
-import { isConfiguredServing } from '../../ledger/common/floorArithmetic.js';
+import { isConfiguredServing } from '../../ledger/common/capacityFloor.js';
 import { Standing } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { IHomeContext } from './homeOptions.js';
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -27,7 +27,7 @@
 }
 
 /** What a request waits for. */
-export interface ISlotWish {
+export interface ISlotRequest {
   readonly request: IRoutedRequest;
   /** Targets that are out of the question. */
   readonly excluded: ReadonlySet<string>;
@@ -40,10 +40,10 @@
   readonly random: RandomSource;
 }
 
-interface IWaiter {
+interface ISlotWaiter {
   readonly caller: string;
   readonly deadlineMs: number;
-  readonly wish: ISlotWish;
+  readonly slotRequest: ISlotRequest;
   finish(result: ISlot | MuxError): void;
 }
 
@@ -61,8 +61,8 @@
   private service: Service;
   private readonly clock: Clock;
   private readonly random: RandomSource;
-  private readonly queue = new WaitQueue<IWaiter>();
-  private isPumping = false;
+  private readonly queue = new WaitQueue<ISlotWaiter>();
+  private isServing = false;
 
   constructor(options: ISlotPoolOptions) {
     this.service = options.service;
@@ -92,11 +92,11 @@
   }
 
   /** A free slot at once, or undefined. */
-  take(wish: ISlotWish): ISlot | undefined {
+  tryReserve(slotRequest: ISlotRequest): ISlot | undefined {
     const handle = pickTarget({
       handles: this.handles.values(),
-      excluded: wish.excluded,
-      isIdempotent: wish.request.route.idempotent,
+      excluded: slotRequest.excluded,
+      isIdempotent: slotRequest.request.route.idempotent,
       wallTimeMs: this.clock.getWallTime(),
       random: this.random,
     });
@@ -104,34 +104,34 @@
   }
 
   /** Waits for a slot in the queue. Rejects with a refusal that is not run. */
-  wait(wish: ISlotWish, signal: AbortSignal): Promise<ISlot> {
+  wait(slotRequest: ISlotRequest, signal: AbortSignal): Promise<ISlot> {
     if (signal.aborted) return Promise.reject(makeCallerGone());
-    const refusal = this.estimateRefusal(wish);
+    const refusal = this.estimateRefusal(slotRequest);
     if (refusal !== undefined) return Promise.reject(refusal);
-    const slot = this.queue.size === 0 ? this.take(wish) : undefined;
+    const slot = this.queue.size === 0 ? this.tryReserve(slotRequest) : undefined;
     if (slot !== undefined) return Promise.resolve(slot);
-    return this.addWaiter(wish, signal);
+    return this.addWaiter(slotRequest, signal);
   }
 
   /** A slot of one given target, whatever its standing, if one is free: for trials. */
-  takeOf(handle: TargetHandle): ISlot | undefined {
+  tryReserveOn(handle: TargetHandle): ISlot | undefined {
     return handle.inUse < handle.target.slots ? this.reserveSlot(handle) : undefined;
   }
 
   /** The refusal that a request would meet now; undefined when it would be served. */
-  estimateRefusal(wish: ISlotWish): MuxError | undefined {
-    const leftMs = wish.request.deadlineMs - this.clock.getMonotonicTime();
+  estimateRefusal(slotRequest: ISlotRequest): MuxError | undefined {
+    const leftMs = slotRequest.request.deadlineMs - this.clock.getMonotonicTime();
     if (leftMs <= 0) return makeDeadlinePassed();
-    if (!this.hasUsable(wish.excluded)) {
+    if (!this.hasUsable(slotRequest.excluded)) {
       return makeNoTarget(this.random.getJittered(NO_TARGET_RETRY_AFTER_MS));
     }
-    if (this.queue.size === 0 && this.getFree() > 0) return undefined;
-    const waitMs = this.estimateWait(wish.request.caller);
-    if (waitMs + this.getLikelyLongest(wish.request) > leftMs) {
+    if (this.queue.size === 0 && this.countFree() > 0) return undefined;
+    const waitMs = this.estimateWait(slotRequest.request.caller);
+    if (waitMs + this.getLongestExpected(slotRequest.request) > leftMs) {
       return makeQueueTimeout(this.computeRetryAfter());
     }
     const isFull = this.queue.size >= this.getQueueLimit();
-    if (isFull && !this.queue.hasRoomFor(wish.request.caller)) {
+    if (isFull && !this.queue.hasRoomFor(slotRequest.request.caller)) {
       return makeQueueFull(this.computeRetryAfter());
     }
     return undefined;
@@ -150,13 +150,13 @@
 
   /** When asking again makes sense: once the present queue has drained, spread at random. */
   computeRetryAfter(): number {
-    const drainMs = ((this.queue.size + 1) * this.serviceTime.getMean()) / this.getAllowed();
+    const drainMs = ((this.queue.size + 1) * this.serviceTime.getMean()) / this.countAllowed();
     return Math.max(MIN_RETRY_AFTER_MS, this.random.getJittered(drainMs, 0.3));
   }
 
   /** Slots that are free now, less the requests that wait. */
   getSpare(): number {
-    return this.getFree() - this.queue.size;
+    return this.countFree() - this.queue.size;
   }
 
   /** Requests that wait. */
@@ -167,19 +167,19 @@
   /** Gives free slots to those that wait. To be called whenever a slot may have become free. */
   serveWaiting(): void {
     // Finishing a waiter can release or take slots at once, which would serveWaiting again underneath.
-    if (this.isPumping) return;
-    this.isPumping = true;
+    if (this.isServing) return;
+    this.isServing = true;
     try {
-      while (this.queue.size > 0 && this.getFree() > 0 && this.serveNext());
+      while (this.queue.size > 0 && this.countFree() > 0 && this.serveNext());
     } finally {
-      this.isPumping = false;
+      this.isServing = false;
     }
   }
 
   private serveNext(): boolean {
     let slot: ISlot | undefined;
     const waiter = this.queue.take((candidate) => {
-      slot = this.take(candidate.wish);
+      slot = this.tryReserve(candidate.slotRequest);
       return slot !== undefined;
     });
     if (waiter === undefined || slot === undefined) return false;
@@ -187,17 +187,17 @@
     return true;
   }
 
-  private addWaiter(wish: ISlotWish, signal: AbortSignal): Promise<ISlot> {
+  private addWaiter(slotRequest: ISlotRequest, signal: AbortSignal): Promise<ISlot> {
     if (this.queue.size >= this.getQueueLimit()) {
       this.queue
-        .takeFromLongest(wish.request.caller)
+        .takeFromLongest(slotRequest.request.caller)
         ?.finish(makeQueueFull(this.computeRetryAfter()));
     }
     return new Promise((resolve, reject) => {
-      const { request } = wish;
+      const { request } = slotRequest;
       // Past this instant the answer may well come too late, and the slot be wasted: under overload
       // a queue that starts work at the last moment fills every slot with work that nobody awaits.
-      const latestStartMs = request.deadlineMs - this.getLikelyLongest(request);
+      const latestStartMs = request.deadlineMs - this.getLongestExpected(request);
       const timer = this.clock.startTimer(latestStartMs - this.clock.getMonotonicTime(), () => {
         this.queue.remove(waiter);
         waiter.finish(makeQueueTimeout(this.computeRetryAfter()));
@@ -206,10 +206,10 @@
         this.queue.remove(waiter);
         waiter.finish(makeCallerGone());
       };
-      const waiter: IWaiter = {
+      const waiter: ISlotWaiter = {
         caller: request.caller,
         deadlineMs: request.deadlineMs,
-        wish,
+        slotRequest,
         finish: (result) => {
           void timer.dispose();
           signal.removeEventListener('abort', onAbort);
@@ -238,11 +238,11 @@
   }
 
   private estimateWait(caller: string): number {
-    return ((this.queue.countAhead(caller) + 1) * this.serviceTime.getMean()) / this.getAllowed();
+    return ((this.queue.countAhead(caller) + 1) * this.serviceTime.getMean()) / this.countAllowed();
   }
 
-  private getLikelyLongest(request: IRoutedRequest): number {
-    return this.routeTimes.get(request.route.name)?.getLikelyLongest() ?? 0;
+  private getLongestExpected(request: IRoutedRequest): number {
+    return this.routeTimes.get(request.route.name)?.getLongestExpected() ?? 0;
   }
 
   private getQueueLimit(): number {
@@ -251,14 +251,14 @@
     return Math.max(MIN_QUEUE, Math.round(factor * slots));
   }
 
-  private getAllowed(): number {
+  private countAllowed(): number {
     return Math.max(
       1,
       this.countUsable((handle) => handle.getAllowed()),
     );
   }
 
-  private getFree(): number {
+  private countFree(): number {
     return this.countUsable((handle) => Math.max(0, handle.getAllowed() - handle.inUse));
   }
 
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -11,7 +11,7 @@
 export * from './home/common/homeService.js';
 export * from './home/common/localHomeService.js';
 export * from './ledger/common/ejectionLedger.js';
-export * from './ledger/common/floorArithmetic.js';
+export * from './ledger/common/capacityFloor.js';
 export * from './ledger/common/tableEjectionLedger.js';
 export * from './limits/common/fairShares.js';
 export * from './metrics/common/homeMetrics.js';
--- a/packages/routing/src/ledger/common/floorArithmetic.ts
+++ b/packages/routing/src/ledger/common/capacityFloor.ts
@@ -4,7 +4,7 @@
 import { TargetState } from '@parsleymux/schema';
 
 /** What is known when a target is to be ejected. */
-export interface IFloorQuestion {
+export interface IFloorCheck {
   readonly service: Service;
   /** Targets that the ledger has as ejected. */
   readonly ejected: ReadonlySet<string>;
@@ -26,26 +26,26 @@
  * that is there.
  *
  * @example
- * const spare = computeHealthySlots(question) - question.service.floorSlots;
+ * const spare = computeHealthySlots(floorCheck) - floorCheck.service.floorSlots;
  */
-export function computeHealthySlots(question: IFloorQuestion): number {
-  return question.service.targets
-    .filter((target) => isHealthy(target, question))
+export function computeHealthySlots(floorCheck: IFloorCheck): number {
+  return floorCheck.service.targets
+    .filter((target) => isHealthy(target, floorCheck))
     .reduce((sum, target) => sum + target.slots, 0);
 }
 
 /** True when ejecting `address` leaves at least the floor. A target that is not healthy costs nothing. */
-export function isSpare(address: string, question: IFloorQuestion): boolean {
-  const ejected = new Set(question.ejected).add(address);
-  const before = computeHealthySlots(question);
-  const after = computeHealthySlots({ ...question, ejected });
-  return after === before || after >= question.service.floorSlots;
+export function isEjectable(address: string, floorCheck: IFloorCheck): boolean {
+  const ejected = new Set(floorCheck.ejected).add(address);
+  const before = computeHealthySlots(floorCheck);
+  const after = computeHealthySlots({ ...floorCheck, ejected });
+  return after === before || after >= floorCheck.service.floorSlots;
 }
 
-function isHealthy(target: Target, question: IFloorQuestion): boolean {
+function isHealthy(target: Target, floorCheck: IFloorCheck): boolean {
   return (
     !isLeaving(target) &&
-    !question.ejected.has(target.address) &&
-    !question.otherwiseUnhealthy.has(target.address)
+    !floorCheck.ejected.has(target.address) &&
+    !floorCheck.otherwiseUnhealthy.has(target.address)
   );
 }
--- a/packages/routing/src/ledger/common/tableEjectionLedger.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.ts
@@ -7,8 +7,8 @@
 import { PlatformError } from '@parsleymux/store';
 import type { IEjectionRequest } from './ejectionLedger.js';
 import { EjectionDecision, EjectionLedger } from './ejectionLedger.js';
-import type { IFloorQuestion } from './floorArithmetic.js';
-import { isSpare, computeHealthySlots } from './floorArithmetic.js';
+import type { IFloorCheck } from './capacityFloor.js';
+import { isEjectable, computeHealthySlots } from './capacityFloor.js';
 
 /** Two homes that race for one row each lose at most once per grant of the other. */
 const DEFAULT_ATTEMPTS = 5;
@@ -24,7 +24,7 @@
   readonly attempts?: number;
 }
 
-type Change = (row: IEjectionRow) => IEjectionRow | undefined;
+type RowChange = (row: IEjectionRow) => IEjectionRow | undefined;
 
 /**
  * Keeps ejections in the table.
@@ -35,7 +35,7 @@
  */
 export class TableEjectionLedger extends EjectionLedger {
   private readonly options: ITableEjectionLedgerOptions;
-  private readonly seen = new Map<string, ReadonlySet<string>>();
+  private readonly lastRead = new Map<string, ReadonlySet<string>>();
 
   constructor(options: ITableEjectionLedgerOptions) {
     super();
@@ -53,7 +53,7 @@
     };
     let decision: EjectionDecision = EjectionDecision.Unavailable;
     const key = formatEjectionKey(request.member, request.service.name);
-    const change: Change = (row) => {
+    const change: RowChange = (row) => {
       decision = this.decide(request, row);
       if (decision !== EjectionDecision.Granted || hasTarget(row, request.target)) return undefined;
       return { ...row, ejected: [...listConfigured(row, request), entry] };
@@ -69,7 +69,7 @@
     signal: AbortSignal,
   ): Promise<void> {
     const key = formatEjectionKey(member, service);
-    const change: Change = (row) => {
+    const change: RowChange = (row) => {
       if (!hasTarget(row, target)) return undefined;
       return { ...row, ejected: row.ejected.filter((entry) => entry.target !== target) };
     };
@@ -82,24 +82,24 @@
   }
 
   override getEjected(member: string, service: string): ReadonlySet<string> {
-    return this.seen.get(formatEjectionKey(member, service)) ?? new Set();
+    return this.lastRead.get(formatEjectionKey(member, service)) ?? new Set();
   }
 
   /** Grants only on a row and a configuration that are both current. */
   private decide(request: IEjectionRequest, row: IEjectionRow): EjectionDecision {
     if ((row.memberRevision ?? 0) > request.memberRevision) return EjectionDecision.Unavailable;
     if (hasTarget(row, request.target)) return EjectionDecision.Granted;
-    const question = this.buildQuestion(request, row);
-    if (!isSpare(request.target, question)) return EjectionDecision.RefusedByFloor;
-    this.checkFloor(request, question);
+    const floorCheck = this.buildFloorCheck(request, row);
+    if (!isEjectable(request.target, floorCheck)) return EjectionDecision.RefusedByFloor;
+    this.checkFloor(request, floorCheck);
     return EjectionDecision.Granted;
   }
 
   /** Asserts the promise itself, reckoned apart from the rule that decided. */
-  private checkFloor(request: IEjectionRequest, question: IFloorQuestion): void {
-    const before = computeHealthySlots(question);
-    const ejected = new Set([...question.ejected, request.target]);
-    const after = computeHealthySlots({ ...question, ejected });
+  private checkFloor(request: IEjectionRequest, floorCheck: IFloorCheck): void {
+    const before = computeHealthySlots(floorCheck);
+    const ejected = new Set([...floorCheck.ejected, request.target]);
+    const after = computeHealthySlots({ ...floorCheck, ejected });
     const holds = after >= Math.min(before, request.service.floorSlots);
     this.options.invariants.check(
       InvariantName.CapacityFloor,
@@ -108,7 +108,7 @@
     );
   }
 
-  private buildQuestion(request: IEjectionRequest, row: IEjectionRow): IFloorQuestion {
+  private buildFloorCheck(request: IEjectionRequest, row: IEjectionRow): IFloorCheck {
     return {
       service: request.service,
       ejected: new Set(row.ejected.map((entry) => entry.target)),
@@ -122,7 +122,11 @@
    * change finds its work done; had it not, the same condition lets at most one of the two writes
    * commit, so an answer that is merely late does no harm.
    */
-  private async transactChange(key: string, change: Change, signal: AbortSignal): Promise<boolean> {
+  private async transactChange(
+    key: string,
+    change: RowChange,
+    signal: AbortSignal,
+  ): Promise<boolean> {
     const attempts = this.options.attempts ?? DEFAULT_ATTEMPTS;
     for (let attempt = 0; attempt < attempts; attempt += 1) {
       try {
@@ -135,7 +139,7 @@
     return false;
   }
 
-  private async tryUpdate(key: string, change: Change, signal: AbortSignal): Promise<boolean> {
+  private async tryUpdate(key: string, change: RowChange, signal: AbortSignal): Promise<boolean> {
     const row = await this.readRow(key, signal);
     const changed = change(decodeEjections(row));
     if (changed === undefined) return true;
@@ -146,18 +150,18 @@
       },
       signal,
     );
-    if (result.committed) this.recordSeen(key, changed);
+    if (result.committed) this.recordLastRead(key, changed);
     return result.committed;
   }
 
   private async readRow(key: string, signal: AbortSignal): Promise<ITableRow | undefined> {
     const [row] = await this.options.table.read([key], signal);
-    this.recordSeen(key, decodeEjections(row));
+    this.recordLastRead(key, decodeEjections(row));
     return row;
   }
 
-  private recordSeen(key: string, row: IEjectionRow): void {
-    this.seen.set(key, new Set(row.ejected.map((entry) => entry.target)));
+  private recordLastRead(key: string, row: IEjectionRow): void {
+    this.lastRead.set(key, new Set(row.ejected.map((entry) => entry.target)));
   }
 }
 
--- a/packages/routing/src/limits/common/fairShares.ts
+++ b/packages/routing/src/limits/common/fairShares.ts
@@ -5,10 +5,10 @@
   /** All that there is. */
   readonly capacity: number;
   /** Share of the capacity up to which nobody is limited. Default 0.5. */
-  readonly freeShare?: number;
+  readonly unrestrictedShare?: number;
 }
 
-const DEFAULT_FREE_SHARE = 0.5;
+const DEFAULT_UNRESTRICTED_SHARE = 0.5;
 
 /**
  * Gives to whoever asks while there is plenty. Once more than the free share is taken, each member
@@ -22,13 +22,14 @@
  */
 export class FairShares {
   private readonly capacity: number;
-  private readonly freeAmount: number;
-  private readonly taken = new Map<string, number>();
+  private readonly unrestrictedAmount: number;
+  private readonly reserved = new Map<string, number>();
   private total = 0;
 
   constructor(options: IFairSharesOptions) {
     this.capacity = options.capacity;
-    this.freeAmount = options.capacity * (options.freeShare ?? DEFAULT_FREE_SHARE);
+    this.unrestrictedAmount =
+      options.capacity * (options.unrestrictedShare ?? DEFAULT_UNRESTRICTED_SHARE);
   }
 
   /** Takes `amount` for `member`; undefined when it may not have it. The result gives it back. */
@@ -50,16 +51,16 @@
 
   private isAllowed(member: string, amount: number): boolean {
     if (this.total + amount > this.capacity) return false;
-    if (this.total + amount <= this.freeAmount) return true;
-    const own = this.taken.get(member) ?? 0;
-    const holders = this.taken.size + (this.taken.has(member) ? 0 : 1);
+    if (this.total + amount <= this.unrestrictedAmount) return true;
+    const own = this.reserved.get(member) ?? 0;
+    const holders = this.reserved.size + (this.reserved.has(member) ? 0 : 1);
     return own + amount <= this.capacity / holders;
   }
 
   private add(member: string, amount: number): void {
-    const own = (this.taken.get(member) ?? 0) + amount;
-    if (own > 0) this.taken.set(member, own);
-    else this.taken.delete(member);
+    const own = (this.reserved.get(member) ?? 0) + amount;
+    if (own > 0) this.reserved.set(member, own);
+    else this.reserved.delete(member);
     this.total += amount;
   }
 }
--- a/packages/routing/src/queue/common/serviceTimeEstimate.ts
+++ b/packages/routing/src/queue/common/serviceTimeEstimate.ts
@@ -2,7 +2,7 @@
 
 const WEIGHT = 0.05;
 /** Mean deviations above the mean; about one log-normal time in thirty is longer. */
-const LIKELY_DEVIATIONS = 3;
+const LONGEST_EXPECTED_DEVIATIONS = 3;
 /** Before anything was measured, nothing is refused for want of time. */
 const INITIAL_MS = 0;
 
@@ -38,7 +38,7 @@
   }
 
   /** A duration that all but a few answers stay under; 0 before the first answer. */
-  getLikelyLongest(): number {
-    return this.meanMs + LIKELY_DEVIATIONS * this.deviationMs;
+  getLongestExpected(): number {
+    return this.meanMs + LONGEST_EXPECTED_DEVIATIONS * this.deviationMs;
   }
 }
--- a/packages/routing/src/queue/common/waitQueue.ts
+++ b/packages/routing/src/queue/common/waitQueue.ts
@@ -64,14 +64,14 @@
    * most of them, if that caller holds at least two more than the newcomer's.
    */
   takeFromLongest(newcomer: string): T | undefined {
-    const victim = this.findRoom(newcomer);
+    const victim = this.findReplaceable(newcomer);
     if (victim !== undefined) this.remove(victim);
     return victim;
   }
 
   /** True when {@link takeFromLongest} would make room. */
   hasRoomFor(newcomer: string): boolean {
-    return this.findRoom(newcomer) !== undefined;
+    return this.findReplaceable(newcomer) !== undefined;
   }
 
   /** Waiters that are ahead of a newcomer of this caller if turns are taken. */
@@ -84,7 +84,7 @@
     return ahead;
   }
 
-  private findRoom(newcomer: string): T | undefined {
+  private findReplaceable(newcomer: string): T | undefined {
     let longest: readonly T[] = [];
     for (const waiters of this.byCaller.values()) {
       if (waiters.length > longest.length) longest = waiters;
--- a/packages/routing/src/target/common/targetHandle.ts
+++ b/packages/routing/src/target/common/targetHandle.ts
@@ -1,7 +1,7 @@
 /** What a home holds of one target: slots in use, concurrency limit, and standing. */
 import type { Target } from '@parsleymux/schema';
 import { TargetState } from '@parsleymux/schema';
-import { isConfiguredServing } from '../../ledger/common/floorArithmetic.js';
+import { isConfiguredServing } from '../../ledger/common/capacityFloor.js';
 
 /** How a home treats a target. The names are those of the status report. */
 export const Standing = {
