--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -83,7 +83,7 @@
       }),
       invariants,
       createDetector: () => createPolicy(options.policy, 'fast'),
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         if (change.standing === Standing.Ejected) this.ejected.push(change.target);
       },
     });
--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -197,7 +197,7 @@
         node: `node-${index}`,
       }),
       invariants,
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         this.recorder.recordChange(change);
       },
     });
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -1,6 +1,6 @@
 /** Collects figures while a trace is replayed. */
 import { MuxError } from '@parsleymux/base';
-import type { IAnswer, IStandingChange } from '@parsleymux/routing';
+import type { IAnswer, IHealthStatusChange } from '@parsleymux/routing';
 import { Standing } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
 import type { ITrace, ITraceFault, ITraceRequest } from '../../trace/common/trace.js';
@@ -34,7 +34,7 @@
   private readonly othersLatencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly latencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly dispatches = new Map<string, number[]>();
-  private readonly changes: IStandingChange[] = [];
+  private readonly changes: IHealthStatusChange[] = [];
 
   constructor(private readonly trace: ITrace) {}
 
@@ -62,7 +62,7 @@
     else times.push(atMs);
   }
 
-  recordChange(change: IStandingChange): void {
+  recordChange(change: IHealthStatusChange): void {
     this.changes.push(change);
   }
 
@@ -137,7 +137,7 @@
     return count;
   }
 
-  private isFalse(change: IStandingChange): boolean {
+  private isFalse(change: IHealthStatusChange): boolean {
     const excuse = this.trace.faults.find((fault) => {
       const isNear = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_TAIL_MS;
       return fault.target === change.target && fault.verdict !== 'keep' && isNear;
@@ -182,7 +182,7 @@
 }
 
 /** Out of use: ejected, or known to be beyond this home's reach. */
-function isRemoval(change: IStandingChange): boolean {
+function isRemoval(change: IHealthStatusChange): boolean {
   if (change.standing === Standing.Ejected) return true;
   return change.standing === Standing.Suspect && change.reason.startsWith('cut off');
 }
--- a/packages/lab/src/replay/common/replayTrace.ts
+++ b/packages/lab/src/replay/common/replayTrace.ts
@@ -71,7 +71,7 @@
       observer: new SimulatedObserver(clock, this.observerTransport),
       createDetector: options.createDetector,
       metrics: this.metrics,
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         this.recorder.recordChange(change);
       },
     });
--- a/packages/node/src/app/node/nodeCore.ts
+++ b/packages/node/src/app/node/nodeCore.ts
@@ -175,8 +175,8 @@
       invariants,
       observer: new ConnectTargetObserver({ clients, membership, random, self }),
       metrics: new HomeMetrics(registry),
-      maxAnswerBytes: parts.limits.answerBodyBytes,
-      onStandingChange: ({ member, service, target, standing, reason }) => {
+      maxResponseBytes: parts.limits.answerBodyBytes,
+      onHealthStatusChange: ({ member, service, target, standing, reason }) => {
         log.info('target standing', { member, service, target, standing, reason });
       },
     }),
--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -88,7 +88,7 @@
     return {
       signal: attempt.signal,
       freshConnection: attempt.isFresh,
-      maxAnswerBytes: this.context.maxAnswerBytes,
+      maxAnswerBytes: this.context.maxResponseBytes,
       streamLarge: attempt.request.route.streamLargeAnswers,
       onDispatch,
     };
--- a/packages/routing/src/ejection/common/copySender.ts
+++ b/packages/routing/src/ejection/common/copySender.ts
@@ -80,7 +80,7 @@
         body: sample.body,
         timeoutMs: copy.timeoutMs,
       },
-      { signal, freshConnection: true, maxAnswerBytes: this.context.maxAnswerBytes },
+      { signal, freshConnection: true, maxAnswerBytes: this.context.maxResponseBytes },
     );
     return {
       succeeded: answer.status < FIRST_SERVER_ERROR && !answer.notRun,
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -57,7 +57,7 @@
   /** The target said that it is draining. */
   handleDraining(handle: TargetHandle): void {
     if (handle.standing === Standing.Draining) return;
-    this.targetReturn.setStanding(handle, Standing.Draining, 'says that it is draining');
+    this.targetReturn.setHealthStatus(handle, Standing.Draining, 'says that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
@@ -71,7 +71,7 @@
     for (const address of this.targetReturn.listEjected()) {
       const handle = this.environment.pool.handles.get(address);
       if (handle === undefined || this.tasks.has(address)) continue;
-      this.targetReturn.setStanding(handle, Standing.Ejected, 'ejected in the ledger');
+      this.targetReturn.setHealthStatus(handle, Standing.Ejected, 'ejected in the ledger');
       const suspicion = { ...LEDGER_SUSPICION, target: address };
       this.startTask(handle, () => this.waitAndReturn(handle, suspicion));
     }
@@ -88,7 +88,11 @@
       .catch((error: unknown) => {
         // Without a task the target would keep its standing for ever; serving is the safe end.
         if (this.abort.signal.aborted) return;
-        this.targetReturn.setStanding(handle, Standing.Serving, `task failed: ${String(error)}`);
+        this.targetReturn.setHealthStatus(
+          handle,
+          Standing.Serving,
+          `task failed: ${String(error)}`,
+        );
       })
       .finally(() => {
         this.tasks.delete(address);
@@ -105,11 +109,11 @@
 
   private async runSuspicion(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     const { traits } = this.detector;
-    this.targetReturn.setStanding(handle, Standing.Suspect, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, Standing.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
       // The evidence is kept: should it grow again, less of it is needed.
-      this.targetReturn.setStanding(handle, Standing.Serving, '');
+      this.targetReturn.setHealthStatus(handle, Standing.Serving, '');
       return;
     }
     if (
@@ -117,7 +121,11 @@
       suspicion.isPathFaultPossible &&
       (await this.hasPathFault(handle, suspicion))
     ) {
-      this.targetReturn.setStanding(handle, Standing.Suspect, `path fault: ${suspicion.reason}`);
+      this.targetReturn.setHealthStatus(
+        handle,
+        Standing.Suspect,
+        `path fault: ${suspicion.reason}`,
+      );
       return this.waitForPath(handle, suspicion);
     }
     return this.eject(handle, suspicion);
@@ -137,7 +145,11 @@
     for (;;) {
       const decision = await this.requestEjection(handle);
       if (decision === EjectionDecision.Granted) break;
-      this.targetReturn.setStanding(handle, Standing.Suspect, `${decision}: ${suspicion.reason}`);
+      this.targetReturn.setHealthStatus(
+        handle,
+        Standing.Suspect,
+        `${decision}: ${suspicion.reason}`,
+      );
       this.detector.reset(handle.address);
       await this.targetReturn.sleep(RETRY_LEDGER_MS);
       if (!this.targetReturn.isConfigured(handle)) return;
@@ -146,7 +158,7 @@
         return;
       }
     }
-    this.targetReturn.setStanding(handle, Standing.Ejected, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, Standing.Ejected, suspicion.reason);
     return this.waitAndReturn(handle, suspicion);
   }
 
@@ -158,22 +170,22 @@
       await this.targetReturn.waitForEjectionEnd(handle);
       if (!this.targetReturn.isConfigured(handle)) return;
       const isWell = await this.targetReturn.hasRecovered(handle, suspicion.failureShare);
-      if (isWell) await this.targetReturn.runRamp(handle);
+      if (isWell) await this.targetReturn.runWarmUp(handle);
       if (isWell && !this.relapsed.has(handle.address)) break;
       const reason = isWell ? 'relapsed after its return' : 'failed its trial';
       if (!this.targetReturn.listEjected().has(handle.address)) {
         // Someone else gave it back. The ledger counts its slots as healthy, so it may be left out
         // only when the ledger agrees again; kept ejected here, the floor would break unseen.
-        this.targetReturn.setStanding(handle, Standing.Suspect, reason);
+        this.targetReturn.setHealthStatus(handle, Standing.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
-      this.targetReturn.setStanding(handle, Standing.Ejected, reason);
+      this.targetReturn.setHealthStatus(handle, Standing.Ejected, reason);
     }
     await this.targetReturn.returnInLedger(handle);
   }
 
   private async runWarmUp(handle: TargetHandle): Promise<void> {
-    await this.targetReturn.runRamp(handle);
+    await this.targetReturn.runWarmUp(handle);
     const suspicion = this.relapsed.get(handle.address);
     this.relapsed.delete(handle.address);
     if (suspicion !== undefined) await this.runSuspicion(handle, suspicion);
@@ -189,7 +201,7 @@
       deadTrials = goodCopies === 0 ? deadTrials + 1 : 0;
       if (deadTrials >= MAX_SILENT_TRIALS && !handle.isCutOff) {
         handle.isCutOff = true;
-        this.targetReturn.setStanding(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
+        this.targetReturn.setHealthStatus(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
       }
       await this.targetReturn.sleep(handle.isCutOff ? RETRY_PATH_MS : SECOND_TRIAL_MS);
       if (!this.targetReturn.isConfigured(handle)) return;
--- a/packages/routing/src/ejection/common/ejectionEnvironment.ts
+++ b/packages/routing/src/ejection/common/ejectionEnvironment.ts
@@ -28,7 +28,7 @@
     timeoutMs: number,
     signal: AbortSignal,
   ): Promise<IObservation | undefined>;
-  notifyStanding(handle: TargetHandle): void;
+  notifyHealthStatus(handle: TargetHandle): void;
   countTrial(isWell: boolean): void;
   countPathFault(): void;
 }
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -10,8 +10,8 @@
 /** Time between two tries to change the ledger while it is out or refuses, in ms. */
 export const RETRY_LEDGER_MS = 5000;
 
-const RAMP_STEPS: readonly number[] = [0.25, 0.5, 1];
-const RAMP_STEP_MS = 2000;
+const WARM_UP_FACTORS: readonly number[] = [0.25, 0.5, 1];
+const WARM_UP_STEP_MS = 2000;
 /** Time after a start in which slowness is not held against a target. */
 const COLD_MS = 10_000;
 const WAIT_SLICE_MS = 1000;
@@ -61,7 +61,7 @@
   async runTargetTrial(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
     const { clock, sender, sampler } = this.environment;
     const before = handle.standing;
-    if (before === Standing.Ejected) this.setStanding(handle, Standing.Trial, handle.evidence);
+    if (before === Standing.Ejected) this.setHealthStatus(handle, Standing.Trial, handle.evidence);
     const result = await runTrial({
       clock,
       sender,
@@ -76,18 +76,18 @@
   }
 
   /** Gives the target work gradually, and serves it fully unless it relapses on the way. */
-  async runRamp(handle: TargetHandle): Promise<void> {
+  async runWarmUp(handle: TargetHandle): Promise<void> {
     if (!this.detector.traits.requiresTrial) {
       this.serve(handle);
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setStanding(handle, Standing.Cold, 'has just started or returned');
+    this.setHealthStatus(handle, Standing.Cold, 'has just started or returned');
     const endMs = this.getNow() + COLD_MS;
-    for (const ramp of RAMP_STEPS) {
+    for (const ramp of WARM_UP_FACTORS) {
       handle.ramp = ramp;
       this.environment.pool.serveWaiting();
-      const stepEndMs = this.getNow() + RAMP_STEP_MS;
+      const stepEndMs = this.getNow() + WARM_UP_STEP_MS;
       await this.sleepUnlessRelapsed(handle, stepEndMs);
     }
     await this.sleepUnlessRelapsed(handle, endMs);
@@ -104,7 +104,7 @@
     // What came in while the target was left out must not count against it from here on.
     this.detector.reset(handle.address);
     this.getBackoff(handle).recordReturn(this.getNow());
-    this.setStanding(handle, Standing.Serving, '');
+    this.setHealthStatus(handle, Standing.Serving, '');
   }
 
   /** Serving an ejected target never breaks the floor, so a ledger that is out delays nothing. */
@@ -139,9 +139,9 @@
   }
 
   /** Changes how the target stands, and tells whoever wants to know. */
-  setStanding(handle: TargetHandle, standing: Standing, reason: string): void {
+  setHealthStatus(handle: TargetHandle, standing: Standing, reason: string): void {
     handle.setStanding(standing, reason, this.getNow());
-    this.environment.notifyStanding(handle);
+    this.environment.notifyHealthStatus(handle);
   }
 
   /** The instant on the monotonic clock. */
--- a/packages/routing/src/ejection/common/trial.ts
+++ b/packages/routing/src/ejection/common/trial.ts
@@ -8,7 +8,7 @@
 const MIN_COPIES = 5;
 const MAX_COPIES = 60;
 /** Chance that a fault of the former strength slips through the trial. */
-const MISS_PROBABILITY = 0.05;
+const MAX_MISS_PROBABILITY = 0.05;
 const COPY_INTERVAL_MS = 50;
 /** A healthy target has one answer in ten above its peers' limit. */
 const MAX_SLOW_SHARE = 0.6;
@@ -30,7 +30,7 @@
 /** Copies after which a fault that hits `failureShare` of requests would have shown but for 5%. */
 export function countTrialCopies(failureShare: number): number {
   const share = Math.min(0.99, Math.max(0.01, failureShare));
-  const copies = Math.ceil(Math.log(MISS_PROBABILITY) / Math.log(1 - share));
+  const copies = Math.ceil(Math.log(MAX_MISS_PROBABILITY) / Math.log(1 - share));
   return Math.min(MAX_COPIES, Math.max(MIN_COPIES, copies));
 }
 
--- a/packages/routing/src/home/common/buildEjectionEnvironment.ts
+++ b/packages/routing/src/home/common/buildEjectionEnvironment.ts
@@ -44,8 +44,8 @@
         signal,
       );
     },
-    notifyStanding: (handle) => {
-      context.onStandingChange({
+    notifyHealthStatus: (handle) => {
+      context.onHealthStatusChange({
         ...getLabels(),
         target: handle.address,
         standing: handle.standing,
--- a/packages/routing/src/home/common/homeOptions.ts
+++ b/packages/routing/src/home/common/homeOptions.ts
@@ -15,20 +15,20 @@
 import type { EjectionLedger } from '../../ledger/common/ejectionLedger.js';
 import type { TargetTransport } from '../../transport/common/targetTransport.js';
 
-const DEFAULT_MAX_ANSWER_BYTES = 1_048_576;
+const DEFAULT_MAX_RESPONSE_BYTES = 1_048_576;
 const DEFAULT_MAX_IN_FLIGHT = 4000;
 const DEFAULT_HEALTH_PATH = '/health';
 
 /** Bounds of one home. */
 export interface IHomeLimits {
   /** Largest answer held until whole, in bytes. Default 1 MiB. */
-  readonly maxAnswerBytes?: number;
+  readonly maxResponseBytes?: number;
   /** Requests queued or running on this node, for all members together. Default 4000. */
   readonly maxInFlight?: number;
 }
 
 /** A change of how a target stands. */
-export interface IStandingChange {
+export interface IHealthStatusChange {
   readonly member: string;
   readonly service: string;
   readonly target: string;
@@ -53,7 +53,7 @@
   readonly createDetector?: (service: Service) => FailureDetector;
   readonly metrics?: HomeMetrics;
   /** Told of every change of standing, for logs and replays. */
-  readonly onStandingChange?: (change: IStandingChange) => void;
+  readonly onHealthStatusChange?: (change: IHealthStatusChange) => void;
   /** Health endpoint of targets: probes, and trials until a request was seen. Default '/health'. */
   readonly healthPath?: string;
   /** Send a second attempt beside an overdue idempotent one. Default true. */
@@ -67,11 +67,11 @@
 export function withHomeDefaults(options: IHomeOptions): IHomeContext {
   return {
     ...options,
-    maxAnswerBytes: options.maxAnswerBytes ?? DEFAULT_MAX_ANSWER_BYTES,
+    maxResponseBytes: options.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
     observer: options.observer ?? new UnavailableObserver(),
     createDetector: options.createDetector ?? createDefaultDetector,
     metrics: options.metrics ?? new HomeMetrics(),
-    onStandingChange: options.onStandingChange ?? (() => undefined),
+    onHealthStatusChange: options.onHealthStatusChange ?? (() => undefined),
     healthPath: options.healthPath ?? DEFAULT_HEALTH_PATH,
     hedges: options.hedges ?? true,
     maxInFlight: options.maxInFlight ?? DEFAULT_MAX_IN_FLIGHT,
--- a/packages/routing/src/ledger/common/tableEjectionLedger.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.ts
@@ -58,8 +58,8 @@
       if (decision !== EjectionDecision.Granted || hasTarget(row, request.target)) return undefined;
       return { ...row, ejected: [...listConfigured(row, request), entry] };
     };
-    const isSettled = await this.transactChange(key, change, signal);
-    return isSettled ? decision : EjectionDecision.Unavailable;
+    const isApplied = await this.transactChange(key, change, signal);
+    return isApplied ? decision : EjectionDecision.Unavailable;
   }
 
   override async returnTarget(
@@ -73,8 +73,8 @@
       if (!hasTarget(row, target)) return undefined;
       return { ...row, ejected: row.ejected.filter((entry) => entry.target !== target) };
     };
-    const isSettled = await this.transactChange(key, change, signal);
-    if (!isSettled) throw new Error(`ejection ledger is unavailable; ${target} stays in it`);
+    const isApplied = await this.transactChange(key, change, signal);
+    if (!isApplied) throw new Error(`ejection ledger is unavailable; ${target} stays in it`);
   }
 
   override async readEjected(member: string, service: string, signal: AbortSignal): Promise<void> {
--- a/packages/routing/src/test/common/homeFixture.ts
+++ b/packages/routing/src/test/common/homeFixture.ts
@@ -35,7 +35,7 @@
     guard: new PassThroughGuard(),
     ledger: new TableEjectionLedger({ table, clock, invariants, node: 'a' }),
     invariants,
-    onStandingChange: (change) => standings.push(`${change.target} ${change.standing}`),
+    onHealthStatusChange: (change) => standings.push(`${change.target} ${change.standing}`),
     ...options,
   });
   const answerAfter = (ms: number): Respond => {
