--- a/packages/routing/src/budget/common/retryBudget.ts
+++ b/packages/routing/src/budget/common/retryBudget.ts
@@ -1,20 +1,20 @@
 /**
- * Retries and hedges come from one budget that only successes fill. When everything fails, no
- * success fills it, so retries can't multiply the load that made everything fail.
+ * Budget of retries and hedges, refilled by successes only. When all requests fail it is not refilled,
+ * so retries cannot amplify the load that caused the failures.
  */
 
 /** Options of a {@link RetryBudget}. */
 export interface IRetryBudgetOptions {
-  /** Tokens gained by each success. Default 0.1. */
+  /** Tokens added by each success. Default 0.1. */
   readonly share?: number;
-  /** Most tokens that are saved up. Default 20. */
+  /** Maximum number of tokens. Default 20. */
   readonly capacity?: number;
-  /** Tokens at the start, so that a service with few requests can retry at all. Default 2. */
+  /** Initial tokens, which allow a service with few requests to retry. Default 2. */
   readonly initialTokens?: number;
 }
 
 /**
- * Tokens for retries.
+ * Token bucket for retries and hedges.
  *
  * @example
  * const budget = new RetryBudget({ share: 0.1 });
@@ -32,12 +32,12 @@
     this.tokens = options.initialTokens ?? 2;
   }
 
-  /** A request succeeded. */
+  /** Adds the tokens of one success. */
   recordSuccess(): void {
     this.tokens = Math.min(this.capacity, this.tokens + this.share);
   }
 
-  /** Takes one token. False when none is left. */
+  /** Spends one token. False when none is left. */
   spend(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/packages/routing/src/detection/common/baselineDetector.ts
+++ b/packages/routing/src/detection/common/baselineDetector.ts
@@ -1,10 +1,10 @@
-/** What the usual rules, kept as baselines, have in common. */
+/** Common base of the baseline detectors, which implement widespread simple rules for comparison. */
 import type { IDetectorTraits } from './failureDetector.js';
 import { FailureDetector } from './failureDetector.js';
 
 const EJECTION_MS = 30_000;
 
-/** No second opinion, no trials, no watch on what is overdue, no notion of slowness. */
+/** No observer, no trials, no stall detection. */
 export const BASELINE_TRAITS: IDetectorTraits = {
   probeIntervalMs: undefined,
   usesObserver: false,
@@ -15,7 +15,7 @@
   confirmCopies: 0,
 };
 
-/** A detector without the finer points. */
+/** A detector without confirmation, cold targets or slowness detection. */
 export abstract class BaselineDetector extends FailureDetector {
   override readonly traits: IDetectorTraits = BASELINE_TRAITS;
 
--- a/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
+++ b/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
@@ -1,15 +1,15 @@
-/** Baseline: a target that fails five times in a row is ejected for a fixed time. */
+/** Baseline detector: suspects a target after a fixed number of consecutive failures. */
 import type { IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence } from './failureDetector.js';
 import { BaselineDetector } from './baselineDetector.js';
 
-const DEFAULT_ERRORS = 5;
+const DEFAULT_MAX_ERRORS = 5;
 
-/** Counts failures in a row. */
+/** Counts consecutive failures of each target. */
 export class ConsecutiveErrorsDetector extends BaselineDetector {
   private readonly failureCounts = new Map<string, number>();
 
-  constructor(private readonly maxErrors = DEFAULT_ERRORS) {
+  constructor(private readonly maxErrors = DEFAULT_MAX_ERRORS) {
     super();
   }
 
@@ -21,19 +21,19 @@
 
   override recordEvidence(evidence: IEvidence): ISuspicion | undefined {
     const isFailure = evidence.kind !== Evidence.Success;
-    const run = isFailure ? (this.failureCounts.get(evidence.target) ?? 0) + 1 : 0;
-    this.failureCounts.set(evidence.target, run);
-    if (run < this.maxErrors) return undefined;
+    const failures = isFailure ? (this.failureCounts.get(evidence.target) ?? 0) + 1 : 0;
+    this.failureCounts.set(evidence.target, failures);
+    if (failures < this.maxErrors) return undefined;
     return {
       target: evidence.target,
-      reason: `${run} failures in a row`,
+      reason: `${failures} failures in a row`,
       failureShare: 1,
       isSlow: false,
       isPathFaultPossible: true,
     };
   }
 
-  /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
+  /** Ignored: a target that fails requests may still respond successfully on its health endpoint. */
   override recordProbe(): undefined {
     return undefined;
   }
--- a/packages/routing/src/detection/common/cumulativeSum.ts
+++ b/packages/routing/src/detection/common/cumulativeSum.ts
@@ -1,7 +1,7 @@
-/** Page's cumulative sum test: a sequential likelihood ratio that restarts whenever it favours health. */
+/** Page's cumulative sum test: a log-likelihood ratio that is clamped at zero while it favours the baseline. */
 
 /**
- * Adds up evidence for "bad outcomes come with probability `alternative`" against "with `baseline`".
+ * Accumulates evidence that bad outcomes occur with probability `alternative` rather than `baseline`.
  *
  * @example
  * const test = new CumulativeSum();
@@ -10,7 +10,7 @@
 export class CumulativeSum {
   private sum = 0;
 
-  /** Takes one outcome and returns the sum, in nats. */
+  /** Records one outcome and returns the sum in nats (natural-log units of evidence). */
   record(isBad: boolean, baseline: number, alternative: number): number {
     const ratio = isBad
       ? Math.log(alternative / baseline)
--- a/packages/routing/src/detection/common/failureDetector.ts
+++ b/packages/routing/src/detection/common/failureDetector.ts
@@ -1,11 +1,11 @@
-/** Decides from evidence which targets of one service are failing. */
+/** Failure detection: decides from request outcomes which targets of one service are failing. */
 
-/** What one exchange said about a target. */
+/** Outcome of one exchange with a target. */
 export const Evidence = {
   Success: 'success',
-  /** The target answered that it failed. The path to it works both ways. */
+  /** The target responded with a failure, so the network path works in both directions. */
   Failure: 'failure',
-  /** No answer, or none in any time that its peers would need: target or path. */
+  /** No response, or none within the time that peers need: the target or the path may be at fault. */
   Silence: 'silence',
 } as const;
 
@@ -14,68 +14,68 @@
 /** One piece of evidence. */
 export interface IEvidence {
   readonly target: string;
-  /** Latencies are compared only within one route. */
+  /** Name of the route; latencies are compared only within one route. */
   readonly route: string;
   readonly kind: Evidence;
-  /** From dispatch to answer; of a success only. */
+  /** Time from dispatch to response, in ms; set for successes only. */
   readonly latencyMs?: number;
-  /** Instant on the monotonic clock. */
+  /** Instant on the monotonic clock, in ms. */
   readonly atMs: number;
 }
 
-/** A target that the detector takes for failing. */
+/** A target that the detector considers failing. */
 export interface ISuspicion {
   readonly target: string;
-  /** One line for the status report. */
+  /** One-line explanation for the status report. */
   readonly reason: string;
-  /** Share of requests that fail or are slow by the detector's estimate. */
+  /** Estimated share of requests, from 0 to 1, that fail or are slow. */
   readonly failureShare: number;
-  /** The evidence is slowness rather than failure. */
+  /** True when the target is suspected of slow responses rather than of failures. */
   readonly isSlow: boolean;
-  /** True unless the target itself answered with failures: the path may be to blame. */
+  /** True unless the target itself responded with failures; a network path may then be the cause. */
   readonly isPathFaultPossible: boolean;
 }
 
-/** What a detector wants of the home around it. */
+/** How the home must operate a detector. */
 export interface IDetectorTraits {
-  /** Interval of health probes in ms; undefined for none. */
+  /** Interval between health probes in ms; undefined disables them. */
   readonly probeIntervalMs: number | undefined;
-  /** Ask an observer before ejecting on silence or slowness. */
+  /** Consult an observer on another node before ejecting a silent or slow target. */
   readonly usesObserver: boolean;
-  /** Return by trial requests; otherwise the ejection simply ends. */
+  /** A target returns only after a successful trial; otherwise when the ejection time has elapsed. */
   readonly requiresTrial: boolean;
-  /** Requests that are overdue by far are evidence before they time out. */
+  /** Long overdue requests count as evidence before they time out. */
   readonly detectsStalls: boolean;
-  /** First ejection time in ms; it doubles while the target flaps. */
+  /** Initial ejection time in ms; doubled on every relapse. */
   readonly ejectionMs: number;
-  /** Time between a suspicion and the look whether it still holds, in ms. */
+  /** Time between a suspicion and its confirmation, in ms. */
   readonly confirmMs: number;
-  /** Copies of idempotent requests sent meanwhile, whose outcomes are further evidence. */
+  /** Number of copied idempotent requests sent within that time as additional evidence. */
   readonly confirmCopies: number;
 }
 
-/** Watches the targets of one service. */
+/** Detects failing targets of one service. */
 export abstract class FailureDetector {
   abstract readonly traits: IDetectorTraits;
 
   /** Replaces the set of targets. */
   abstract setTargets(targets: readonly string[]): void;
 
-  /** Takes evidence; gives a suspicion when it is enough. */
+  /** Records evidence and returns a suspicion once the evidence suffices. */
   abstract recordEvidence(evidence: IEvidence): ISuspicion | undefined;
 
-  /** Takes the result of a health probe. */
+  /** Records the result of a health probe and returns a suspicion once the evidence suffices. */
   abstract recordProbe(target: string, isHealthy: boolean): ISuspicion | undefined;
 
-  /** True when, after `confirmMs`, the suspicion still sets the target apart from its peers. */
+  /** True when, after `confirmMs`, the target still differs from its peers. */
   abstract isConfirmed(suspicion: ISuspicion): boolean;
 
-  /** Forgets what the target did, as after an ejection; until then it counts for no reference. */
+  /** Discards evidence against the target; until its next outcome it is not used as a reference for peers. */
   abstract reset(target: string): void;
 
-  /** While cold a target is not judged as slow, and nobody is compared with it. */
+  /** A cold target is never suspected of slowness, and peers are not compared with it. */
   abstract setCold(target: string, isCold: boolean): void;
 
-  /** Latency above which an answer on this route counts as slow; undefined while unknown. */
+  /** Latency in ms above which a response on this route counts as slow; undefined while unknown. */
   abstract getSlowLimit(route: string, target: string): number | undefined;
 }
--- a/packages/routing/src/detection/common/healthCheckDetector.ts
+++ b/packages/routing/src/detection/common/healthCheckDetector.ts
@@ -1,11 +1,14 @@
-/** Baseline: only health probes count. A gray failure answers them and is never seen. */
+/**
+ * Baseline detector: uses health probes only. It misses gray failures, in which a target fails
+ * requests but passes its probes.
+ */
 import type { ISuspicion } from './failureDetector.js';
 import { BASELINE_TRAITS, BaselineDetector } from './baselineDetector.js';
 
 const PROBE_INTERVAL_MS = 1000;
 const FAILED_PROBES = 3;
 
-/** Counts failed health probes in a row. */
+/** Counts consecutive failed health probes of each target. */
 export class HealthCheckDetector extends BaselineDetector {
   override readonly traits = { ...BASELINE_TRAITS, probeIntervalMs: PROBE_INTERVAL_MS };
   private readonly failureCounts = new Map<string, number>();
@@ -21,12 +24,12 @@
   }
 
   override recordProbe(target: string, isHealthy: boolean): ISuspicion | undefined {
-    const run = isHealthy ? 0 : (this.failureCounts.get(target) ?? 0) + 1;
-    this.failureCounts.set(target, run);
-    if (run < FAILED_PROBES) return undefined;
+    const failures = isHealthy ? 0 : (this.failureCounts.get(target) ?? 0) + 1;
+    this.failureCounts.set(target, failures);
+    if (failures < FAILED_PROBES) return undefined;
     return {
       target,
-      reason: `${run} failed probes`,
+      reason: `${failures} failed probes`,
       failureShare: 1,
       isSlow: false,
       isPathFaultPossible: true,
--- a/packages/routing/src/detection/common/quantileTracker.ts
+++ b/packages/routing/src/detection/common/quantileTracker.ts
@@ -1,14 +1,16 @@
 /**
- * A running quantile of latencies, by stochastic approximation on the logarithm: each sample moves
- * the estimate up by tau or down by 1 - tau, in small steps, so that it follows a drift. A histogram would need one window a target and route; this needs one number.
+ * Running latency quantile by stochastic approximation on a logarithmic scale. Each sample moves the
+ * estimate by a small step, up in proportion to tau or down in proportion to 1 - tau, so that it
+ * follows a drift. It keeps one number for each target and route where a histogram needs a window.
  */
 
+/** Step of the estimate in natural-log units. */
 const STEP = 0.04;
-/** The first samples are kept and sorted: an estimate that starts from one of them errs for long. */
+/** The estimate starts from the quantile of this many samples; from a single one it converges too slowly. */
 const INITIAL_SAMPLES = 30;
 
 /**
- * Tracks the `tau` quantile.
+ * Tracks the `tau` quantile of latencies, with `tau` between 0 and 1.
  *
  * @example
  * const tracker = new QuantileTracker(0.9);
@@ -33,7 +35,7 @@
     this.logValue += logSample > this.logValue ? STEP * this.tau : -STEP * (1 - this.tau);
   }
 
-  /** The estimate in ms; undefined before there are enough samples. */
+  /** The estimated quantile in ms; undefined until there are enough samples. */
   getValue(): number | undefined {
     return this.sampleCount < INITIAL_SAMPLES ? undefined : Math.exp(this.logValue);
   }
--- a/packages/routing/src/detection/common/sequentialDetector.test.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.test.ts
@@ -15,8 +15,8 @@
   readonly rounds: number;
 }
 
-/** Feeds outcomes in rounds, one a target, until a suspicion is confirmed as the home does it. */
-function feed(detector: SequentialDetector, traffic: ITraffic): ISuspicion | undefined {
+/** Records outcomes in rounds, one per target, and confirms suspicions as a home does. */
+function recordRounds(detector: SequentialDetector, traffic: ITraffic): ISuspicion | undefined {
   const random = new SeededRandom(3);
   const record = (target: string, round: number) => {
     const isBad = random.getFloat() < (traffic.failShare?.(target) ?? 0);
@@ -29,7 +29,7 @@
     for (const target of TARGETS) {
       const suspicion = record(target, round);
       if (suspicion === undefined) continue;
-      // The suspect is left out, its peers go on, and some copies are sent to it.
+      // The suspect receives copies only, while its peers continue to serve.
       const peers = TARGETS.filter((peer) => peer !== target);
       for (let extra = 0; extra < CONFIRM_ROUNDS; extra += 1) {
         for (const peer of peers) record(peer, round + extra);
@@ -47,45 +47,45 @@
   return detector;
 }
 
-test('a target that fails one request in five is suspected, and no other', () => {
-  // Symptom: callers of one target in six see errors for hours while its health probes are green.
-  // Sequence: it fails a fifth of its work; five errors in a row hardly ever come.
-  // Cause: rules for dead targets don't add up evidence.
+test('a target that fails one request in five is suspected, and no other target is', () => {
+  // A target that fails a fifth of its requests passes its health probes and rarely fails five times
+  // in a row, so rules for dead targets never detect it: the evidence must accumulate.
   const failShare = (target: string) => (target === 't0' ? 0.2 : 0.002);
-  const suspicion = feed(createDetector(), { failShare, rounds: 500 });
+  const suspicion = recordRounds(createDetector(), { failShare, rounds: 500 });
   assert.equal(suspicion?.target, 't0');
   assert.equal(suspicion.isPathFaultPossible, false);
 });
 
-test('when all targets fail alike, none is confirmed', () => {
-  // Symptom: half of the targets are ejected while a database behind all of them is down.
-  // Sequence: every target begins to fail half of its work at the same moment.
-  // Cause: a target was judged without a look at its peers.
-  assert.equal(feed(createDetector(FAST_OPTIONS), { rounds: 200 }), undefined);
+test('no suspicion is confirmed when all targets fail alike', () => {
+  // A shared cause, such as a database outage, makes all targets fail at the same time. Without a
+  // comparison with its peers, each of them would be ejected.
+  assert.equal(recordRounds(createDetector(FAST_OPTIONS), { rounds: 200 }), undefined);
   const detector = createDetector(FAST_OPTIONS);
-  assert.equal(feed(detector, { failShare: () => 0.5, rounds: 300 }), undefined);
+  assert.equal(recordRounds(detector, { failShare: () => 0.5, rounds: 300 }), undefined);
 });
 
-test('a target three times as slow as its peers is suspected; all slow together are not', () => {
+test('a target three times as slow as its peers is suspected, but not when all are slow', () => {
   const slowOne = (target: string) => (target === 't0' ? 150 : 50);
-  assert.equal(feed(createDetector(), { latencyMs: slowOne, rounds: 300 })?.target, 't0');
+  assert.equal(recordRounds(createDetector(), { latencyMs: slowOne, rounds: 300 })?.target, 't0');
   const detector = createDetector();
-  feed(detector, { rounds: 200 });
-  assert.equal(feed(detector, { latencyMs: () => 150, rounds: 300 }), undefined);
+  recordRounds(detector, { rounds: 200 });
+  assert.equal(recordRounds(detector, { latencyMs: () => 150, rounds: 300 }), undefined);
 });
 
-test('a cold target is not judged as slow', () => {
-  // Symptom: a target that has just been restarted is ejected, again and again.
-  // Sequence: caches are empty, answers take thrice as long, the test finds it slow.
-  // Cause: warming up was taken for a fault.
+test('a cold target is not suspected of slowness', () => {
+  // A restarted target responds slowly until its caches are filled. If that counted as a fault, it
+  // would be ejected after every restart.
   const detector = createDetector(FAST_OPTIONS);
   detector.setCold('t0', true);
   const slowOne = (target: string) => (target === 't0' ? 150 : 50);
-  assert.equal(feed(detector, { latencyMs: slowOne, rounds: 300 }), undefined);
+  assert.equal(recordRounds(detector, { latencyMs: slowOne, rounds: 300 }), undefined);
 });
 
-test('healthy targets on lossy paths are left alone for long', () => {
+test('healthy targets on lossy paths are not suspected', () => {
   for (const options of [CAREFUL_OPTIONS, FAST_OPTIONS]) {
-    assert.equal(feed(createDetector(options), { failShare: () => 0.01, rounds: 5000 }), undefined);
+    assert.equal(
+      recordRounds(createDetector(options), { failShare: () => 0.01, rounds: 5000 }),
+      undefined,
+    );
   }
 });
--- a/packages/routing/src/detection/common/sequentialDetector.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.ts
@@ -1,46 +1,49 @@
 /**
- * Detection by sequential tests on real outcomes. For each target, cumulative sums weigh "it fails
- * more than its peers now do, by 5, 30 or 90 points" and "its answers are slower than its peers'"
- * against "it is like its peers". The peers' rate is a median, so a few bad peers don't hide a bad
- * target; when most peers fail alike the cause is common and the sums hardly move.
+ * Failure detection by sequential tests on the outcomes of real requests. For each target, cumulative
+ * sums test the hypotheses that its failure rate exceeds that of its peers by 5, 30 or 90 percentage
+ * points, and that its responses are slower than theirs, against the hypothesis that it behaves like
+ * its peers. The reference is the median of the peers, so a few failing peers don't hide a failing
+ * target. When most peers fail alike the cause is shared, and the sums barely grow.
  */
 import { DetectionPreference } from '@parsleymux/schema';
 import type { IDetectorTraits, IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence, FailureDetector } from './failureDetector.js';
 import { TargetStatistics } from './targetStatistics.js';
 
-/** Failure probabilities, above the peers', that are tested side by side. */
+/** Failure rates in excess of the peers' rate that are tested in parallel. */
 const EXCESS_RATES: readonly number[] = [0.05, 0.3, 0.9];
+/** Shares of slow responses that the latency test compares: of a healthy and of a slow target. */
 const SLOW_BASELINE = 0.1;
 const SLOW_ALTERNATIVE = 0.6;
 const MIN_PEERS = 2;
 const MAX_PROBABILITY = 0.98;
-/** A target must fail at least this many times as often as its peers do at this moment. */
+/** Minimum ratio of the failure rate of a suspect to the current rate of its peers. */
 const COMMON_CAUSE_FACTOR = 3;
-/** Latencies bring ten times the evidence that failures do, so chance needs a higher bar. */
+/** Latencies yield about ten times as much evidence as failures, so chance requires a higher threshold. */
 const SLOW_EXTRA_THRESHOLD_NATS = 3;
-/** Peers' rates change slowly against one outcome; reckoning them this often is enough, in ms. */
+/** Time for which peers' rates and latency limits are cached, in ms; they change slowly between outcomes. */
 const REFERENCE_MAX_AGE_MS = 100;
+/** A path fault is possible while responses make up less than this share of the failures. */
 const PATH_FAULT_MAX_ERROR_SHARE = 0.5;
 
 /**
- * What an operator's preference comes to. By Page's bound, targets like their peers are suspected
- * at most once in about e^threshold outcomes, whatever their peers' rate.
+ * Parameters of the tests. By Page's bound, a target that behaves like its peers is suspected at most
+ * once in about e^threshold outcomes, whatever the failure rate of the peers.
  */
 export interface ISequentialOptions {
-  /** Evidence in nats that is enough to suspect a target. */
+  /** Evidence, in nats, at which a target is suspected. */
   readonly threshold?: number;
-  /** Failure rate below which peers are not thought to be, however few failures were seen. */
+  /** Lower bound of the estimated failure rate of peers, used when few failures were observed. */
   readonly baselineRate?: number;
-  /** First ejection time in ms. */
+  /** Initial ejection time in ms. */
   readonly ejectionMs?: number;
-  /** Time for which a suspect is left out before its peers are looked at once more, in ms. */
+  /** Time in ms for which a suspect is demoted before it is compared with its peers once more. */
   readonly confirmMs?: number;
-  /** Copies by which a suspect is tried in that time. */
+  /** Number of request copies sent to a suspect within that time. */
   readonly confirmCopies?: number;
 }
 
-/** Settings for a member that fears false ejections most. */
+/** Parameters for members that prefer to avoid false ejections. */
 export const CAREFUL_OPTIONS: Required<ISequentialOptions> = {
   threshold: 16,
   baselineRate: 0.002,
@@ -49,7 +52,7 @@
   confirmCopies: 4,
 };
 
-/** Settings for a member that fears slow detection most. */
+/** Parameters for members that prefer fast detection. */
 export const FAST_OPTIONS: Required<ISequentialOptions> = {
   threshold: 13,
   baselineRate: 0.002,
@@ -58,7 +61,7 @@
   confirmCopies: 4,
 };
 
-/** The options that a preference stands for. */
+/** Maps an operator's detection preference to parameters. */
 export function getSequentialOptions(
   preference: DetectionPreference,
 ): Required<ISequentialOptions> {
@@ -71,7 +74,7 @@
 }
 
 /**
- * Tests targets against their peers.
+ * Compares targets with their peers.
  *
  * @example
  * const detector = new SequentialDetector(getSequentialOptions(service.detection));
@@ -123,16 +126,16 @@
     return this.checkTarget(evidence.target, stats);
   }
 
-  /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
+  /** Ignored: a target that fails requests may still respond successfully on its health endpoint. */
   override recordProbe(): undefined {
     return undefined;
   }
 
   /**
-   * A target that fails fast is asked more often than its peers, and shows a common cause before
-   * they do; ejected on that, a healthy one is lost at the worst moment. While it is left out its
-   * peers get its requests, and soon show whether they fail alike. The evidence itself must still
-   * be enough after what the copies showed.
+   * A target that fails quickly receives more requests than its peers and so shows a shared cause
+   * before they do. Ejecting it then would remove a healthy target at the worst time. While it is
+   * demoted its peers receive its requests, and their outcomes soon show whether they fail alike.
+   * The evidence must also still suffice after the outcomes of the copies.
    */
   override isConfirmed(suspicion: ISuspicion): boolean {
     const peers = this.listPeers(suspicion.target);
@@ -204,7 +207,7 @@
     return stats.slowSum.value >= this.threshold + SLOW_EXTRA_THRESHOLD_NATS;
   }
 
-  /** Compares once more with what peers do at this very moment, before a suspicion leaves. */
+  /** Compares the target with the current rates of its peers before it reports a suspicion. */
   private checkFailureRate(
     target: string,
     stats: TargetStatistics,
@@ -217,14 +220,14 @@
       stats.resetEvidence();
       return undefined;
     }
-    const bad = stats.answeredFailures + stats.silences;
+    const failures = stats.answeredFailures + stats.silences;
     const percent = Math.round(100 * ownRate);
     return {
       target,
       reason: `fails ${percent}% against ${Math.round(100 * peerRate)}% of peers, ${sum.toFixed(1)} nats`,
       failureShare: ownRate,
       isSlow: false,
-      isPathFaultPossible: stats.answeredFailures < PATH_FAULT_MAX_ERROR_SHARE * bad,
+      isPathFaultPossible: stats.answeredFailures < PATH_FAULT_MAX_ERROR_SHARE * failures,
     };
   }
 
--- a/packages/routing/src/detection/common/successRateDetector.ts
+++ b/packages/routing/src/detection/common/successRateDetector.ts
@@ -1,4 +1,4 @@
-/** Baseline: at each interval, targets whose success rate is far below the mean are ejected. */
+/** Baseline detector: suspects targets whose success rate in an interval is far below the mean. */
 import type { IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence } from './failureDetector.js';
 import { BaselineDetector } from './baselineDetector.js';
@@ -6,7 +6,7 @@
 const INTERVAL_MS = 10_000;
 const MIN_REQUESTS = 100;
 const MIN_TARGETS = 5;
-/** Standard deviations below the mean. */
+/** Standard deviations below the mean at which a target is an outlier. */
 const DEVIATIONS = 1.9;
 
 interface ICount {
@@ -14,11 +14,11 @@
   total: number;
 }
 
-/** Compares success rates over fixed intervals. */
+/** Compares the success rates of targets over fixed intervals. */
 export class SuccessRateDetector extends BaselineDetector {
   private counts = new Map<string, ICount>();
   private intervalEndMs: number | undefined;
-  private limit: number | undefined;
+  private minRate: number | undefined;
   private rates = new Map<string, number>();
 
   override setTargets(targets: readonly string[]): void {
@@ -37,7 +37,7 @@
     return this.findOutlier(evidence.target);
   }
 
-  /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
+  /** Ignored: a target that fails requests may still respond successfully on its health endpoint. */
   override recordProbe(): undefined {
     return undefined;
   }
@@ -49,23 +49,24 @@
 
   private closeInterval(nowMs: number): void {
     this.intervalEndMs = nowMs + INTERVAL_MS;
-    const enough = [...this.counts].filter(([, count]) => count.total >= MIN_REQUESTS);
+    const measured = [...this.counts].filter(([, count]) => count.total >= MIN_REQUESTS);
     this.rates = new Map(
-      enough.map(([target, { successes, total }]) => [target, successes / total]),
+      measured.map(([target, { successes, total }]) => [target, successes / total]),
     );
     this.counts = new Map();
-    this.limit = enough.length < MIN_TARGETS ? undefined : computeLimit([...this.rates.values()]);
+    this.minRate =
+      measured.length < MIN_TARGETS ? undefined : computeMinRate([...this.rates.values()]);
   }
 
   private findOutlier(target: string): ISuspicion | undefined {
     const rate = this.rates.get(target);
-    if (rate === undefined || this.limit === undefined || rate >= this.limit) return undefined;
-    const reason = `success rate ${rate.toFixed(3)} below ${this.limit.toFixed(3)}`;
+    if (rate === undefined || this.minRate === undefined || rate >= this.minRate) return undefined;
+    const reason = `success rate ${rate.toFixed(3)} below ${this.minRate.toFixed(3)}`;
     return { target, reason, failureShare: 1 - rate, isSlow: false, isPathFaultPossible: true };
   }
 }
 
-function computeLimit(rates: readonly number[]): number {
+function computeMinRate(rates: readonly number[]): number {
   const mean = rates.reduce((sum, rate) => sum + rate, 0) / rates.length;
   const variance = rates.reduce((sum, rate) => sum + (rate - mean) ** 2, 0) / rates.length;
   return mean - DEVIATIONS * Math.sqrt(variance);
--- a/packages/routing/src/detection/common/targetStatistics.ts
+++ b/packages/routing/src/detection/common/targetStatistics.ts
@@ -1,25 +1,27 @@
-/** What the sequential detector keeps of one target. */
+/** Per-target state of the sequential detector. */
 import { CumulativeSum } from './cumulativeSum.js';
 import { QuantileTracker } from './quantileTracker.js';
 
+/** Weight of one outcome in the moving averages over about 5 and 100 outcomes. */
 const SHORT_WEIGHT = 0.2;
 const LONG_WEIGHT = 0.01;
-/** Quantile of a peer's latencies above which an answer counts as slow. */
+/** Quantile of the peers' latencies above which a response counts as slow. */
 const SLOW_QUANTILE = 0.9;
 
-/** Rates and sums of one target. */
+/** Failure rates, cumulative sums and latencies of one target. */
 export class TargetStatistics {
-  /** Failures among the last handful of outcomes. */
+  /** Failure rate over about the last 5 outcomes. */
   shortRate = 0;
-  /** Failures among the last hundred or so. */
+  /** Failure rate over about the last 100 outcomes. */
   longRate = 0;
+  /** Share of slow responses over about the last 5 successes. */
   slowRate = 0;
   outcomes = 0;
-  /** Of the bad outcomes, how many the target answered itself. */
+  /** Failures that the target itself reported in a response. */
   answeredFailures = 0;
   silences = 0;
   isCold = false;
-  /** Ejected: no reference for others. */
+  /** True after a reset, as on ejection; the target is then not used as a reference for peers. */
   isExcluded = false;
   readonly failureSums: readonly CumulativeSum[];
   readonly slowSum = new CumulativeSum();
@@ -49,17 +51,17 @@
     tracker.record(latencyMs);
   }
 
-  /** The latency that nine in ten answers on the route stay under; undefined without enough. */
+  /** The 0.9 quantile of latencies on the route, in ms; undefined until there are enough samples. */
   getLatency(route: string): number | undefined {
     return this.latencies.get(route)?.getValue();
   }
 
-  /** Evidence of failing, by the test that has most of it, in nats. */
+  /** The largest of the failure sums, in nats. */
   getFailureSum(): number {
     return Math.max(...this.failureSums.map((sum) => sum.value));
   }
 
-  /** Forgets evidence against the target, and keeps what its latencies were. */
+  /** Discards evidence against the target; latencies are kept. */
   resetEvidence(): void {
     for (const sum of this.failureSums) sum.reset();
     this.slowSum.reset();
--- a/packages/routing/src/ejection/common/connectionCheck.test.ts
+++ b/packages/routing/src/ejection/common/connectionCheck.test.ts
@@ -3,58 +3,56 @@
 import { ManualClock } from '@parsleymux/base';
 import { ConnectionCheck } from './connectionCheck.js';
 
-function setUp(isAnswered: boolean | undefined) {
+function setUp(hasResponded: boolean | undefined) {
   const clock = new ManualClock();
-  const seen = { retired: 0, charged: 0, tried: 0 };
+  const counts = { retired: 0, silences: 0, tried: 0 };
   const check = new ConnectionCheck({
     clock,
     tryFreshConnection: async () => {
-      seen.tried += 1;
+      counts.tried += 1;
       await clock.sleep(100);
-      return isAnswered;
+      return hasResponded;
     },
-    retireConnections: () => (seen.retired += 1),
-    recordSilences: (silences) => (seen.charged += silences),
+    retireConnections: () => (counts.retired += 1),
+    recordSilences: (count) => (counts.silences += count),
   });
-  return { clock, seen, check };
+  return { clock, counts, check };
 }
 
-test('connections that went silent are retired, and their target is not charged', async () => {
-  // Symptom: a healthy target is ejected after a middlebox restarted.
-  // Sequence: it forgets all open connections; requests on them stay unanswered; new ones work.
-  // Cause: silence on an old connection was taken for a silent target.
-  const { clock, seen, check } = setUp(true);
-  const silences = [check.handleSilence(false), check.handleSilence(false)];
+test('silent connections are retired without evidence against their target', async () => {
+  // A restarted middlebox loses all open connections: requests on them get no response while new
+  // connections work. If that counted against the target, a healthy target would be ejected.
+  const { clock, counts, check } = setUp(true);
+  const handled = [check.handleSilence(false), check.handleSilence(false)];
   await clock.advanceBy(100);
-  await Promise.all(silences);
-  assert.deepEqual(seen, { retired: 1, charged: 0, tried: 1 });
+  await Promise.all(handled);
+  assert.deepEqual(counts, { retired: 1, silences: 0, tried: 1 });
 });
 
-test('a target that is silent on a fresh connection too is charged with all of it', async () => {
-  const { clock, seen, check } = setUp(false);
-  const silences = [check.handleSilence(false), check.handleSilence(false)];
+test('all silences count against a target that is also silent on a fresh connection', async () => {
+  const { clock, counts, check } = setUp(false);
+  const handled = [check.handleSilence(false), check.handleSilence(false)];
   await clock.advanceBy(100);
-  await Promise.all(silences);
-  assert.deepEqual(seen, { retired: 0, charged: 3, tried: 1 });
+  await Promise.all(handled);
+  assert.deepEqual(counts, { retired: 0, silences: 3, tried: 1 });
 });
 
-test('silence soon after the retirement, or on a fresh connection, is the target’s own', async () => {
-  const { clock, seen, check } = setUp(true);
+test('silence soon after a retirement or on a fresh connection counts against the target', async () => {
+  const { clock, counts, check } = setUp(true);
   await check.handleSilence(true);
   const first = check.handleSilence(false);
   await clock.advanceBy(100);
   await first;
   await check.handleSilence(false);
-  assert.deepEqual(seen, { retired: 1, charged: 2, tried: 1 });
+  assert.deepEqual(counts, { retired: 1, silences: 2, tried: 1 });
 });
 
-test('a check that found no free slot adds nothing to what was seen', async () => {
-  // Symptom: a busy healthy target is ejected after one unusually long request.
-  // Sequence: the request is overdue; every other slot is taken, so the check can't be sent.
-  // Cause: a check that was not sent counted as one that was not answered.
-  const { clock, seen, check } = setUp(undefined);
+test('a check without a free slot adds no evidence', async () => {
+  // A request is overdue and all other slots are in use, so the check cannot be sent. If it counted as
+  // a check without a response, a busy healthy target would be ejected after one long request.
+  const { clock, counts, check } = setUp(undefined);
   const silence = check.handleSilence(false);
   await clock.advanceBy(100);
   await silence;
-  assert.deepEqual(seen, { retired: 0, charged: 1, tried: 1 });
+  assert.deepEqual(counts, { retired: 0, silences: 1, tried: 1 });
 });
--- a/packages/routing/src/ejection/common/connectionCheck.ts
+++ b/packages/routing/src/ejection/common/connectionCheck.ts
@@ -1,29 +1,29 @@
 /**
- * Tells a silent connection from a silent target. Something between two ends can lose track of a
- * connection, which then stays silent for good while new ones work; blamed on the target, that
- * ejects a healthy one. So silence on a used connection first calls for a copy on a fresh one: if
- * that is answered in good time, the connections opened until then are retired and the target is
- * not charged; if not, it is charged with all that was pending.
+ * Distinguishes a dead connection from a silent target. A middlebox can lose the state of a
+ * connection, which then stays silent permanently while new connections work; if that counted as
+ * evidence against the target, a healthy target would be ejected. Silence on a reused connection
+ * therefore first triggers a request copy on a fresh one. If the target responds in time, all older
+ * connections are retired and the pending silences discarded; if not, they are recorded as evidence.
  */
 import type { Clock } from '@parsleymux/base';
 
-/** Soon after a retirement, silence can't be the fault of the retired connections any more. */
+/** Within this time after a retirement, silence is not attributed to old connections, in ms. */
 const RETIREMENT_GRACE_MS = 3000;
 
-/** What a check needs of its surroundings. */
+/** Options of a {@link ConnectionCheck}. */
 export interface IConnectionCheckOptions {
   readonly clock: Clock;
   /**
-   * Sends a copy on a fresh connection; true when it was answered in time, undefined when the
-   * target had no slot to spare for it, which says nothing.
+   * Sends a request copy on a fresh connection. True when the target responded in time; undefined
+   * when it had no free slot for the copy, which is no evidence.
    */
   tryFreshConnection(): Promise<boolean | undefined>;
   retireConnections(): void;
-  /** Charges the target with so many silences. */
+  /** Records that many silences as evidence against the target. */
   recordSilences(silences: number): void;
 }
 
-/** The check of one target. */
+/** Checks the connections of one target. */
 export class ConnectionCheck {
   private pendingSilences = 0;
   private isRunning = false;
@@ -31,11 +31,11 @@
 
   constructor(private readonly options: IConnectionCheckOptions) {}
 
-  /** Silence was met, on a connection that had served before unless `isFresh`. */
+  /** Handles a silence on a connection that is reused unless `isFresh`. */
   async handleSilence(isFresh: boolean): Promise<void> {
     const { clock } = this.options;
-    const isLateForBlame = clock.getMonotonicTime() - this.retiredAtMs < RETIREMENT_GRACE_MS;
-    if (isFresh || isLateForBlame) {
+    const isRecentlyRetired = clock.getMonotonicTime() - this.retiredAtMs < RETIREMENT_GRACE_MS;
+    if (isFresh || isRecentlyRetired) {
       this.options.recordSilences(1);
       return;
     }
@@ -46,15 +46,15 @@
 
   private async run(): Promise<void> {
     this.isRunning = true;
-    const isAnswered = await this.options.tryFreshConnection();
+    const hasResponded = await this.options.tryFreshConnection();
     this.isRunning = false;
     const silences = this.pendingSilences;
     this.pendingSilences = 0;
-    if (isAnswered === true) {
+    if (hasResponded === true) {
       this.retiredAtMs = this.options.clock.getMonotonicTime();
       this.options.retireConnections();
     } else {
-      this.options.recordSilences(isAnswered === undefined ? silences : silences + 1);
+      this.options.recordSilences(hasResponded === undefined ? silences : silences + 1);
     }
   }
 }
--- a/packages/routing/src/ejection/common/copySender.test.ts
+++ b/packages/routing/src/ejection/common/copySender.test.ts
@@ -7,11 +7,9 @@
 const signal = new AbortController().signal;
 const ROUNDS = 400;
 
-test('answers too large for a copy do not speak against a target', async () => {
-  // Symptom: targets of a service with large, streamed answers are suspected in turn.
-  // Sequence: a booking is overdue; the check sends a copy of a read; its answer exceeds what is
-  // held whole, so the exchange fails.
-  // Cause: a failed exchange was taken for silence, though the target had answered.
+test('responses too large for a copy are no evidence against a target', async () => {
+  // The check of an overdue booking sends a copy of a read, and its response exceeds the size limit of
+  // a copy. If the failed exchange counted as silence, healthy targets would be suspected.
   const { home, transport, clock, standings, answerAfter } = createHomeFixture(4, () => {
     return Promise.resolve(buildAnswer());
   });
--- a/packages/routing/src/ejection/common/copySender.ts
+++ b/packages/routing/src/ejection/common/copySender.ts
@@ -1,4 +1,4 @@
-/** Sends copies of idempotent requests that no caller waits for, on connections of their own. */
+/** Sends copies of idempotent requests, whose responses no caller awaits, on fresh connections. */
 import type { IHomeContext } from '../../home/common/homeOptions.js';
 import type { SlotPool } from '../../home/common/slotPool.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
@@ -7,31 +7,33 @@
 
 const FIRST_SERVER_ERROR = 500;
 
-/** What a copy showed. */
+/** Result of a copy. */
 export interface ICopyResult {
   readonly succeeded: boolean;
-  /** The target answered, be it with a failure. */
-  readonly answered: boolean;
+  /** The target responded, possibly with a failure. */
+  readonly hasResponded: boolean;
+  /** The target reported that it is draining. */
   readonly draining: boolean;
   readonly latencyMs: number;
 }
 
-const NO_ANSWER: ICopyResult = {
+const NO_RESPONSE: ICopyResult = {
   succeeded: false,
-  answered: false,
+  hasResponded: false,
   draining: false,
   latencyMs: Infinity,
 };
 
-/** One copy. */
+/** A copy to send. */
 export interface ICopy {
   readonly handle: TargetHandle;
   readonly sample: IRequestSample;
+  /** Time limit of the exchange in ms. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Sends copies for one service. */
+/** Sends request copies for one service. */
 export class CopySender {
   constructor(
     private readonly context: IHomeContext,
@@ -39,7 +41,7 @@
     private readonly pool: SlotPool,
   ) {}
 
-  /** Undefined when it was not sent: no slot or no connection to spare. */
+  /** Sends one copy. Returns undefined when it was not sent for lack of a free slot or connection. */
   async send(copy: ICopy): Promise<ICopyResult | undefined> {
     const slot = this.pool.tryReserveOn(copy.handle);
     if (slot === undefined) return undefined;
@@ -61,16 +63,16 @@
   private toResult(error: unknown, startMs: number): ICopyResult | undefined {
     const failure = error instanceof TransportError ? error.failure : undefined;
     if (failure === TransportFailure.NoConnection) return undefined;
-    if (failure !== TransportFailure.TooLarge) return NO_ANSWER;
-    // The target did answer, with more than a copy may hold. Taken for silence, every check and
-    // trial of a service with large answers would accuse healthy targets.
+    if (failure !== TransportFailure.TooLarge) return NO_RESPONSE;
+    // The target responded, but the body exceeds the limit of a copy. If that counted as silence, every
+    // check and trial of a service with large responses would be evidence against healthy targets.
     const latencyMs = this.context.clock.getMonotonicTime() - startMs;
-    return { succeeded: true, answered: true, draining: false, latencyMs };
+    return { succeeded: true, hasResponded: true, draining: false, latencyMs };
   }
 
   private async sendCopy(copy: ICopy, signal: AbortSignal): Promise<ICopyResult> {
     const { sample, handle } = copy;
-    const answer = await this.context.transport.send(
+    const response = await this.context.transport.send(
       {
         target: handle.address,
         member: this.member,
@@ -83,10 +85,10 @@
       { signal, freshConnection: true, maxAnswerBytes: this.context.maxResponseBytes },
     );
     return {
-      succeeded: answer.status < FIRST_SERVER_ERROR && !answer.notRun,
-      answered: true,
-      draining: answer.draining,
-      latencyMs: answer.latencyMs,
+      succeeded: response.status < FIRST_SERVER_ERROR && !response.notRun,
+      hasResponded: true,
+      draining: response.draining,
+      latencyMs: response.latencyMs,
     };
   }
 }
--- a/packages/routing/src/ejection/common/ejectionBackoff.ts
+++ b/packages/routing/src/ejection/common/ejectionBackoff.ts
@@ -1,17 +1,17 @@
-/** Ejection times that double while a target flaps. */
+/** Exponential backoff of the ejection time of a target that fails repeatedly. */
 
 const MAX_EJECTION_MS = 300_000;
-/** A target that served this long without a relapse starts afresh. */
+/** The backoff is reset after the target served this long without a relapse, in ms. */
 const RESET_AFTER_MS = 300_000;
 
-/** The ejection times of one target. */
+/** Ejection times of one target. */
 export class EjectionBackoff {
   private ejections = 0;
   private lastReturnMs = -Infinity;
 
   constructor(private readonly firstMs: number) {}
 
-  /** Time that an ejection beginning now is to last, in ms. */
+  /** Returns the duration of an ejection that begins now, in ms, and doubles the next one. */
   takeNextDuration(nowMs: number): number {
     if (nowMs - this.lastReturnMs > RESET_AFTER_MS) this.ejections = 0;
     const durationMs = Math.min(MAX_EJECTION_MS, this.firstMs * 2 ** this.ejections);
@@ -19,7 +19,7 @@
     return durationMs;
   }
 
-  /** The target serves again. */
+  /** Records that the target serves again. */
   recordReturn(nowMs: number): void {
     this.lastReturnMs = nowMs;
   }
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -22,7 +22,7 @@
   }
 }
 
-/** Targets answer in 10 ms, and the first does `broken` while `isBroken`. */
+/** Targets respond in 10 ms; the first uses `broken` while `isBroken` is set. */
 function setUp(broken: Respond, floorSlots: number, options: IHomeFixtureOptions = {}) {
   const state = { isBroken: false, bookings: 0 };
   const fixture = createHomeFixture(
@@ -38,7 +38,7 @@
     return fixture.answerAfter(10)(request, sendOptions);
   };
   let number = 0;
-  /** One request every 5 ms; every third must not run twice. */
+  /** Sends one request every 5 ms; every third is not idempotent. */
   const run = async (durationMs: number) => {
     for (let passedMs = 0; passedMs < durationMs; passedMs += 5) {
       number += 1;
@@ -76,10 +76,9 @@
   };
 }
 
-test('a failing target is ejected, tried by copies only, and returns when it is well', async () => {
-  // Symptom: bookings are lost on a target whose recovery is being tried.
-  // Sequence: a target is ejected; after a while live requests are sent to see if it is back.
-  // Cause: requests that must not run twice were the experiment.
+test('a failing target is ejected, tried with copies only, and returns after it recovers', async () => {
+  // If callers' requests were used to test whether an ejected target has recovered, bookings, which
+  // must not run twice, would be lost on a target that has not.
   const { state, run, breakNow, standings, table, home } = setUp(fail, 8);
   await breakNow();
   assert.ok(standings.includes('t0 ejected'));
@@ -95,7 +94,7 @@
   await home.dispose();
 });
 
-test('below the floor a failing target stays, as the last choice', async () => {
+test('a failing target that the floor protects remains usable as the last choice', async () => {
   const { breakNow, standings, invariants, state, run, home } = setUp(fail, 16);
   await breakNow();
   assert.ok(standings.includes('t0 suspect'));
@@ -107,7 +106,7 @@
   await home.dispose();
 });
 
-test('with the store out a failing target is demoted and never ejected', async () => {
+test('a failing target is demoted but not ejected while the store is unavailable', async () => {
   // Symptom: during an outage of the store two homes eject down to nothing.
   // Sequence: the ledger can't be asked; each home ejects what it suspects.
   // Cause: no answer was taken for consent.
@@ -119,11 +118,10 @@
   await home.dispose();
 });
 
-test('a target that someone else gave back is ejected anew only by the ledger', async () => {
-  // Symptom: healthy slots are under the floor, and the ledger says that they are not.
-  // Sequence: a home ejects t0; another home, or an operator, gives it back in the ledger; the
-  // first home finds it still failing and goes on leaving it out.
-  // Cause: the home's own verdict outlived the ledger's word.
+test('a target that another node returned is ejected again only with a new grant', async () => {
+  // A home ejects t0, and another home or an operator returns it in the ledger while it still fails.
+  // If the first home kept excluding it, healthy slots would be below the floor while the ledger
+  // counts them as above it.
   const { breakNow, run, table, home } = setUp(fail, 8);
   await breakNow();
   const [key] = [...table.rows.keys()];
@@ -135,10 +133,9 @@
   await home.dispose();
 });
 
-test('a target that only this node cannot reach is not ejected for everyone', async () => {
-  // Symptom: a healthy target is ejected because of one broken path.
-  // Sequence: what the home sends is lost; all other nodes reach the target.
-  // Cause: one point of view was taken for the truth.
+test('a target that only this node cannot reach is not ejected for all nodes', async () => {
+  // All requests of the home are lost while other nodes reach the target. Without an observer, a
+  // healthy target would be ejected because of one faulty path.
   const observer = new FixedObserver(true);
   const fixture = setUp(
     makeSilence(() => fixture),
@@ -151,7 +148,7 @@
   await fixture.home.dispose();
 });
 
-test('a target that the observer cannot reach either is ejected', async () => {
+test('a target that the observer cannot reach is ejected', async () => {
   const observer = new FixedObserver(false);
   const fixture = setUp(
     makeSilence(() => fixture),
@@ -163,7 +160,7 @@
   await fixture.home.dispose();
 });
 
-test('a weak fault needs a longer trial than a strong one', () => {
+test('a trial is longer for a fault that affects fewer requests', () => {
   assert.equal(countTrialCopies(1), 5);
   assert.equal(countTrialCopies(0.2), 14);
   assert.equal(countTrialCopies(0.05), 59);
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -1,6 +1,6 @@
 /**
- * Turns suspicions into ejections and returns. One task a troubled target, written straight down:
- * demote, ask for a second opinion, ask the ledger, wait, try, ramp up.
+ * Turns suspicions into ejections and returns. Each suspected target has one sequential task: demote,
+ * confirm, consult an observer, request the ejection, wait, try, warm up.
  */
 import { setMaxListeners } from 'node:events';
 import type { IDisposable } from '@parsleymux/base';
@@ -13,15 +13,15 @@
 import { isPathFault } from './pathFault.js';
 import { RETRY_LEDGER_MS, TargetReturn } from './targetReturn.js';
 
-/** Longer than a burst of losses, so that the second trial is not the tail of the first. */
+/** Delay before a second trial, in ms; longer than a burst of packet losses, so that one burst cannot fail both. */
 const SECOND_TRIAL_MS = 500;
 const RETRY_PATH_MS = 2000;
 const DRAINING_PROBE_MS = 5000;
 const PROBE_TIMEOUT_MS = 1000;
-/** Trials in a row without one answer after which a path counts as cut. */
+/** Consecutive trials without a successful copy after which a target counts as locally unreachable. */
 const MAX_SILENT_TRIALS = 2;
 
-/** What is assumed of a target that another home ejected. */
+/** Suspicion assumed for a target that another home ejected. */
 const LEDGER_SUSPICION: Omit<ISuspicion, 'target'> = {
   reason: 'ejected in the ledger',
   failureShare: 1,
@@ -29,7 +29,7 @@
   isPathFaultPossible: false,
 };
 
-/** Watches over the standing of one service's targets. */
+/** Controls the health status of one service's targets. */
 export class EjectionController implements IDisposable {
   private readonly tasks = new Map<string, Promise<void>>();
   private readonly relapsed = new Map<string, ISuspicion>();
@@ -38,14 +38,14 @@
   private readonly abort = new AbortController();
 
   constructor(private readonly environment: IEjectionEnvironment) {
-    // Every troubled target waits on this signal; the warning about many listeners is not for us.
+    // Every suspected target adds a listener to this signal, so the limit on listeners is lifted.
     setMaxListeners(0, this.abort.signal);
     this.detector = environment.detector;
     const { relapsed } = this;
     this.targetReturn = new TargetReturn({ environment, relapsed, signal: this.abort.signal });
   }
 
-  /** Acts on a suspicion. */
+  /** Starts a task for the suspicion, or records a relapse if the target already has a task. */
   handleSuspicion(handle: TargetHandle, suspicion: ISuspicion): void {
     if (this.tasks.has(handle.address)) {
       this.relapsed.set(handle.address, suspicion);
@@ -54,19 +54,19 @@
     this.startTask(handle, () => this.runSuspicion(handle, suspicion));
   }
 
-  /** The target said that it is draining. */
+  /** Handles a report of the target that it is draining. */
   handleDraining(handle: TargetHandle): void {
     if (handle.standing === Standing.Draining) return;
-    this.targetReturn.setHealthStatus(handle, Standing.Draining, 'says that it is draining');
+    this.targetReturn.setHealthStatus(handle, Standing.Draining, 'reports that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
-  /** A target that has just been configured is taken for cold. */
+  /** Warms up a newly configured target, which is assumed to be cold. */
   handleNew(handle: TargetHandle): void {
     this.startTask(handle, () => this.runWarmUp(handle));
   }
 
-  /** Takes over targets that some other home has ejected, or this one in an earlier life. */
+  /** Takes over targets that were ejected by another home or by an earlier incarnation of this one. */
   takeOverEjected(): void {
     for (const address of this.targetReturn.listEjected()) {
       const handle = this.environment.pool.handles.get(address);
@@ -86,7 +86,7 @@
     if (this.tasks.has(address)) return;
     const task = run()
       .catch((error: unknown) => {
-        // Without a task the target would keep its standing for ever; serving is the safe end.
+        // Without a task the status would never change again; serving is the safe fallback.
         if (this.abort.signal.aborted) return;
         this.targetReturn.setHealthStatus(
           handle,
@@ -98,9 +98,9 @@
         this.tasks.delete(address);
         this.relapsed.delete(address);
         this.environment.pool.serveWaiting();
-        // It said so while another task had it in hand.
-        const isOurs = this.targetReturn.isConfigured(handle) && !this.abort.signal.aborted;
-        if (handle.standing === Standing.Draining && isOurs) {
+        // The target reported that it is draining while another task was running.
+        const isActive = this.targetReturn.isConfigured(handle) && !this.abort.signal.aborted;
+        if (handle.standing === Standing.Draining && isActive) {
           this.startTask(handle, () => this.waitWhileDraining(handle));
         }
       });
@@ -112,7 +112,7 @@
     this.targetReturn.setHealthStatus(handle, Standing.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
-      // The evidence is kept: should it grow again, less of it is needed.
+      // The evidence is kept, so that a target that does fail is suspected again sooner.
       this.targetReturn.setHealthStatus(handle, Standing.Serving, '');
       return;
     }
@@ -131,7 +131,7 @@
     return this.eject(handle, suspicion);
   }
 
-  /** Lets peers show what they do, and the suspect what it does with copies. */
+  /** Waits for further outcomes of peers, and sends copies to the suspect. */
   private async confirm(handle: TargetHandle): Promise<void> {
     const { confirmMs, confirmCopies } = this.detector.traits;
     const signal = this.abort.signal;
@@ -162,7 +162,7 @@
     return this.waitAndReturn(handle, suspicion);
   }
 
-  /** Waits, tries, ramps up; a relapse on the way starts over with twice the time. */
+  /** Waits, tries and warms up the target; a relapse starts over with a doubled ejection time. */
   private async waitAndReturn(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     for (;;) {
       this.detector.reset(handle.address);
@@ -174,8 +174,8 @@
       if (isWell && !this.relapsed.has(handle.address)) break;
       const reason = isWell ? 'relapsed after its return' : 'failed its trial';
       if (!this.targetReturn.listEjected().has(handle.address)) {
-        // Someone else gave it back. The ledger counts its slots as healthy, so it may be left out
-        // only when the ledger agrees again; kept ejected here, the floor would break unseen.
+        // Another node ended the ejection, so the ledger counts the slots as healthy. Excluding the
+        // target without a new grant would violate the floor unnoticed.
         this.targetReturn.setHealthStatus(handle, Standing.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
@@ -192,14 +192,15 @@
   }
 
   private async waitForPath(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
-    let deadTrials = 0;
+    let silentTrials = 0;
     for (;;) {
       const { hasPassed: isWell, succeededCopies: goodCopies } =
         await this.targetReturn.runTargetTrial(handle, suspicion.failureShare);
       if (isWell) break;
-      // One dead trial may be the tail of a burst of losses; until the second it is last choice.
-      deadTrials = goodCopies === 0 ? deadTrials + 1 : 0;
-      if (deadTrials >= MAX_SILENT_TRIALS && !handle.isCutOff) {
+      // One silent trial may be due to a burst of packet losses; until a second one fails as well,
+      // the target remains usable as the last choice.
+      silentTrials = goodCopies === 0 ? silentTrials + 1 : 0;
+      if (silentTrials >= MAX_SILENT_TRIALS && !handle.isCutOff) {
         handle.isCutOff = true;
         this.targetReturn.setHealthStatus(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
       }
@@ -226,8 +227,12 @@
   private requestEjection(handle: TargetHandle): Promise<EjectionDecision> {
     const others = [...this.environment.pool.handles.values()];
     const unhealthy = others.filter((other) => {
-      const isOut = other.standing === Standing.Cold || other.standing === Standing.Draining;
-      return other !== handle && (isOut || other.standing === Standing.Trial || other.isCutOff);
+      const isWarmingOrDraining =
+        other.standing === Standing.Cold || other.standing === Standing.Draining;
+      return (
+        other !== handle &&
+        (isWarmingOrDraining || other.standing === Standing.Trial || other.isCutOff)
+      );
     });
     const addresses = unhealthy.map((other) => other.address);
     return this.environment.requestEjection(handle, addresses, this.abort.signal);
--- a/packages/routing/src/ejection/common/ejectionEnvironment.ts
+++ b/packages/routing/src/ejection/common/ejectionEnvironment.ts
@@ -1,4 +1,4 @@
-/** What the ejection controller needs of the home around it. */
+/** Services that the home provides to its ejection controller. */
 import type { Clock } from '@parsleymux/base';
 import type { FailureDetector } from '../../detection/common/failureDetector.js';
 import type { IObservation } from '../../detection/common/targetObserver.js';
@@ -8,7 +8,7 @@
 import type { CopySender } from './copySender.js';
 import type { IRequestSample, RequestSampler } from './requestSampler.js';
 
-/** One service's ledger, observer and targets. */
+/** Targets, ledger, observer and counters of one service. */
 export interface IEjectionEnvironment {
   readonly clock: Clock;
   readonly pool: SlotPool;
--- a/packages/routing/src/ejection/common/evidenceCopy.ts
+++ b/packages/routing/src/ejection/common/evidenceCopy.ts
@@ -1,4 +1,4 @@
-/** Copies of an idempotent request whose outcome is evidence for or against a suspect. */
+/** Request copies that are sent to a suspect to collect more evidence. */
 import type { Clock } from '@parsleymux/base';
 import type { FailureDetector, IEvidence } from '../../detection/common/failureDetector.js';
 import { Evidence } from '../../detection/common/failureDetector.js';
@@ -7,7 +7,7 @@
 import type { RequestSampler } from './requestSampler.js';
 
 const DEFAULT_TIMEOUT_MS = 1000;
-/** A copy that takes this many times as long as nine in ten of the peers' answers is silence. */
+/** A copy counts as silent after this multiple of the 0.9 quantile of the peers' latencies. */
 const TIMEOUT_FACTOR = 3;
 
 /** Options of {@link sendEvidenceCopy}. */
@@ -20,7 +20,7 @@
   readonly signal: AbortSignal;
 }
 
-/** Sends one copy and gives its outcome to the detector. Without real work to copy, does nothing. */
+/** Sends one copy and records its outcome in the detector. Does nothing without a real request to copy. */
 export async function sendEvidenceCopy(options: IEvidenceCopyOptions): Promise<void> {
   const { detector, handle, signal } = options;
   const sample = options.sampler.get();
@@ -36,5 +36,5 @@
 
 function toKind(result: ICopyResult): Pick<IEvidence, 'kind' | 'latencyMs'> {
   if (result.succeeded) return { kind: Evidence.Success, latencyMs: result.latencyMs };
-  return { kind: result.answered ? Evidence.Failure : Evidence.Silence };
+  return { kind: result.hasResponded ? Evidence.Failure : Evidence.Silence };
 }
--- a/packages/routing/src/ejection/common/pathFault.ts
+++ b/packages/routing/src/ejection/common/pathFault.ts
@@ -1,25 +1,25 @@
 /**
- * A target that is silent or slow here may be well, and the path to it broken. An observer over
- * another path tells the two apart: if the target answers there well and in time, the path is to
- * blame, and ejecting the target for everyone would waste its slots.
+ * Distinguishes a target fault from a path fault. A target that appears silent or slow to this node
+ * may be healthy behind a faulty network path. If it responds to an observer on another path in time,
+ * the path is at fault, and ejecting the target for all nodes would waste its slots.
  */
 import type { IObservation } from '../../detection/common/targetObserver.js';
 import type { ISuspicion } from '../../detection/common/failureDetector.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 
-/** One answer may be luck when only some requests fail. */
+/** Several observations, since a single one may succeed by chance when only some requests fail. */
 const OBSERVATIONS = 3;
 const MIN_IN_TIME = 2;
 const DEFAULT_TIMEOUT_MS = 1000;
 const TIMEOUT_FACTOR = 3;
-/** An observer's own path may add this much to a latency. */
+/** Latency that the path of an observer may add, in ms. */
 const PATH_ALLOWANCE_MS = 10;
 
 /**
- * True when the observations clear the target; false too when no observer could be asked. Against
- * failures every observation must have succeeded; against slowness most must have been in time,
- * since one answer in ten of a healthy target is over the limit.
+ * True when the observations show that the target is healthy; false also when no observer is
+ * available. All observations must succeed. If slowness is suspected, most must also be in time; not
+ * all, since one in ten responses of a healthy target exceeds the limit.
  */
 export async function isPathFault(
   environment: IEjectionEnvironment,
@@ -28,7 +28,7 @@
   signal: AbortSignal,
 ): Promise<boolean> {
   const sample = environment.sampler.get();
-  // The health endpoint answers for targets that fail at their work: it can't clear one.
+  // A target that fails requests may still pass health checks, so they cannot show that it is healthy.
   if (!sample.isRealRequest) return false;
   const limitMs = environment.detector.getSlowLimit(sample.route, handle.address);
   const timeoutMs = limitMs === undefined ? DEFAULT_TIMEOUT_MS : limitMs * TIMEOUT_FACTOR;
@@ -38,9 +38,9 @@
     }),
   );
   const succeeded = observations.filter((observation) => observation?.succeeded === true);
-  const inTime = succeeded.filter((observation) => isInTime(observation, limitMs));
+  const timely = succeeded.filter((observation) => isInTime(observation, limitMs));
   const isFault =
-    succeeded.length === OBSERVATIONS && (!suspicion.isSlow || inTime.length >= MIN_IN_TIME);
+    succeeded.length === OBSERVATIONS && (!suspicion.isSlow || timely.length >= MIN_IN_TIME);
   if (isFault) environment.countPathFault();
   return isFault;
 }
--- a/packages/routing/src/ejection/common/requestSampler.ts
+++ b/packages/routing/src/ejection/common/requestSampler.ts
@@ -1,24 +1,24 @@
 /**
- * The newest idempotent request of a service that went well. Copies of it are sent where an answer
- * is wanted that no caller waits for: to check a connection, to observe a target, to try a target
- * before its return. What must not run twice is never copied.
+ * The most recent successful idempotent request of a service. Copies of it are sent to check a
+ * connection, to observe a target and to try a target before its return. Requests that must not run
+ * twice are never copied.
  */
 import type { Header, IRoutedRequest } from '../../request/common/request.js';
 
-/** What is needed to send it again. */
+/** A request that can be sent again. */
 export interface IRequestSample {
   readonly route: string;
   readonly method: string;
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** False for the health endpoint, which stands in until a request was seen. */
+  /** False for the health endpoint, which is used until a request was recorded. */
   readonly isRealRequest: boolean;
 }
 
 const NO_BODY = new Uint8Array();
 
-/** Keeps the sample. */
+/** Holds the sample of one service. */
 export class RequestSampler {
   private sample: IRequestSample;
   private readonly health: IRequestSample;
@@ -35,7 +35,7 @@
     this.sample = this.health;
   }
 
-  /** Keeps the request if a copy of it does no harm. */
+  /** Uses the request as the sample if it is idempotent and has no body. */
   record(request: IRoutedRequest): void {
     if (!request.route.idempotent || request.body.length > 0) return;
     this.sample = toSample(request);
@@ -45,12 +45,12 @@
     return this.sample;
   }
 
-  /** The health endpoint, which asks for no work. */
+  /** A request to the health endpoint, which causes no work. */
   getHealthSample(): IRequestSample {
     return this.health;
   }
 
-  /** The request itself when it may be copied, else the newest that may. */
+  /** The request itself if it is idempotent, otherwise the current sample. */
   choose(request: IRoutedRequest): IRequestSample {
     return request.route.idempotent ? toSample(request) : this.sample;
   }
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -1,4 +1,4 @@
-/** How an ejected, cold or cut-off target comes back: waiting, trial, ramp, and the ledger. */
+/** Returns an ejected, cold or locally unreachable target to service: wait, trial, warm-up and ledger. */
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
 import { Standing } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
@@ -7,12 +7,13 @@
 import type { ITrialResult } from './trial.js';
 import { runTrial } from './trial.js';
 
-/** Time between two tries to change the ledger while it is out or refuses, in ms. */
+/** Interval between attempts to change the ledger while it is unavailable or refuses, in ms. */
 export const RETRY_LEDGER_MS = 5000;
 
+/** Shares of its slots that a target may use in the successive steps of its warm-up. */
 const WARM_UP_FACTORS: readonly number[] = [0.25, 0.5, 1];
 const WARM_UP_STEP_MS = 2000;
-/** Time after a start in which slowness is not held against a target. */
+/** Time after its start in which a target is not suspected of slowness, in ms. */
 const COLD_MS = 10_000;
 const WAIT_SLICE_MS = 1000;
 const RELAPSE_SLICE_MS = 100;
@@ -20,13 +21,13 @@
 /** Options of a {@link TargetReturn}. */
 export interface ITargetReturnOptions {
   readonly environment: IEjectionEnvironment;
-  /** Targets that were suspected again while on their way back. */
+  /** Suspicions of targets, by address, that were suspected again before their return was complete. */
   readonly relapsed: ReadonlyMap<string, ISuspicion>;
   /** Aborted when the home is closed. */
   readonly signal: AbortSignal;
 }
 
-/** The steps of a return. */
+/** Steps of the return to service. */
 export class TargetReturn {
   private readonly environment: IEjectionEnvironment;
   private readonly detector: FailureDetector;
@@ -41,23 +42,23 @@
     this.signal = options.signal;
   }
 
-  /** Waits for as long as the target's ejection is to last. */
+  /** Waits until the ejection time of the target has elapsed. */
   async waitForEjectionEnd(handle: TargetHandle): Promise<void> {
     const endMs = this.getNow() + this.getBackoff(handle).takeNextDuration(this.getNow());
     while (this.getNow() < endMs) {
       await this.sleep(Math.min(WAIT_SLICE_MS, endMs - this.getNow()));
-      // Someone else gave the target back: its slots count as there, so they should be.
+      // Another node ended the ejection: the ledger counts its slots as available, so they must be.
       if (!this.listEjected().has(handle.address)) return;
     }
   }
 
-  /** True when the target passes its trial, or when returns need none. */
+  /** True when the target passes its trial, or when the detector requires none. */
   async hasRecovered(handle: TargetHandle, failureShare: number): Promise<boolean> {
     if (!this.detector.traits.requiresTrial) return true;
     return (await this.runTargetTrial(handle, failureShare)).hasPassed;
   }
 
-  /** Tries the target with copies. */
+  /** Tries the target with request copies. */
   async runTargetTrial(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
     const { clock, sender, sampler } = this.environment;
     const before = handle.standing;
@@ -75,14 +76,14 @@
     return result;
   }
 
-  /** Gives the target work gradually, and serves it fully unless it relapses on the way. */
+  /** Increases the load of the target gradually, then lets it serve fully unless it relapsed. */
   async runWarmUp(handle: TargetHandle): Promise<void> {
     if (!this.detector.traits.requiresTrial) {
       this.serve(handle);
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setHealthStatus(handle, Standing.Cold, 'has just started or returned');
+    this.setHealthStatus(handle, Standing.Cold, 'recently started or returned');
     const endMs = this.getNow() + COLD_MS;
     for (const ramp of WARM_UP_FACTORS) {
       handle.ramp = ramp;
@@ -96,18 +97,21 @@
     if (!this.relapsed.has(handle.address)) this.serve(handle);
   }
 
-  /** The target serves like any other from here on. */
+  /** Lets the target serve without restrictions. */
   serve(handle: TargetHandle): void {
-    // A target that said meanwhile that it is draining is believed.
+    // The target may meanwhile have reported that it is draining.
     if (handle.standing === Standing.Draining) return;
     handle.isCutOff = false;
-    // What came in while the target was left out must not count against it from here on.
+    // Evidence that was recorded while the target was excluded must not count after its return.
     this.detector.reset(handle.address);
     this.getBackoff(handle).recordReturn(this.getNow());
     this.setHealthStatus(handle, Standing.Serving, '');
   }
 
-  /** Serving an ejected target never breaks the floor, so a ledger that is out delays nothing. */
+  /**
+   * Ends the ejection in the ledger, and retries until that succeeds. The target serves meanwhile,
+   * since serving an ejected target never violates the floor.
+   */
   async returnInLedger(handle: TargetHandle): Promise<void> {
     while (this.isConfigured(handle)) {
       try {
@@ -119,12 +123,12 @@
     }
   }
 
-  /** Targets that the ledger has as ejected. */
+  /** Addresses of the targets that are ejected in the ledger, as last read. */
   listEjected(): ReadonlySet<string> {
     return this.environment.listEjected();
   }
 
-  /** False once the configuration has dropped or replaced the target. */
+  /** False once the configuration no longer contains the target or has replaced it. */
   isConfigured(handle: TargetHandle): boolean {
     return this.environment.pool.handles.get(handle.address) === handle;
   }
@@ -138,13 +142,13 @@
     return backoff;
   }
 
-  /** Changes how the target stands, and tells whoever wants to know. */
+  /** Changes the health status of the target and reports the change. */
   setHealthStatus(handle: TargetHandle, standing: Standing, reason: string): void {
     handle.setStanding(standing, reason, this.getNow());
     this.environment.notifyHealthStatus(handle);
   }
 
-  /** The instant on the monotonic clock. */
+  /** The current instant on the monotonic clock, in ms. */
   getNow(): number {
     return this.environment.clock.getMonotonicTime();
   }
@@ -155,7 +159,7 @@
     }
   }
 
-  /** Rejects when the home is closed. */
+  /** Sleeps for `durationMs`. Rejects when the home is closed. */
   sleep(durationMs: number): Promise<void> {
     return this.environment.clock.sleep(durationMs, this.signal);
   }
--- a/packages/routing/src/ejection/common/trial.ts
+++ b/packages/routing/src/ejection/common/trial.ts
@@ -1,4 +1,4 @@
-/** Tries an ejected target with copies of idempotent requests until its fault would have shown. */
+/** Tries an ejected target with copies of idempotent requests until its fault would have been observed. */
 import type { Clock } from '@parsleymux/base';
 import type { FailureDetector } from '../../detection/common/failureDetector.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
@@ -7,10 +7,10 @@
 
 const MIN_COPIES = 5;
 const MAX_COPIES = 60;
-/** Chance that a fault of the former strength slips through the trial. */
+/** Maximum probability that a trial misses a fault of the earlier severity. */
 const MAX_MISS_PROBABILITY = 0.05;
 const COPY_INTERVAL_MS = 50;
-/** A healthy target has one answer in ten above its peers' limit. */
+/** Share of slow copies above which a trial fails; a healthy target has one in ten above its peers' limit. */
 const MAX_SLOW_SHARE = 0.6;
 const DEFAULT_TIMEOUT_MS = 1000;
 const SLOW_TIMEOUT_FACTOR = 4;
@@ -22,37 +22,37 @@
   readonly sampler: RequestSampler;
   readonly detector: FailureDetector;
   readonly handle: TargetHandle;
-  /** Share of requests that were bad when the target was suspected. */
+  /** Share of requests that failed or were slow when the target was suspected, from 0 to 1. */
   readonly failureShare: number;
   readonly signal: AbortSignal;
 }
 
-/** Copies after which a fault that hits `failureShare` of requests would have shown but for 5%. */
+/** Number of copies that reveal a fault in `failureShare` of requests with a probability of 95%. */
 export function countTrialCopies(failureShare: number): number {
   const share = Math.min(0.99, Math.max(0.01, failureShare));
   const copies = Math.ceil(Math.log(MAX_MISS_PROBABILITY) / Math.log(1 - share));
   return Math.min(MAX_COPIES, Math.max(MIN_COPIES, copies));
 }
 
-/** What a trial showed. */
+/** Result of a trial. */
 export interface ITrialResult {
-  /** Every copy was answered well, and not too many of them slowly. */
+  /** All copies succeeded, and few enough were slow. */
   readonly hasPassed: boolean;
-  /** Copies that were answered well before the trial ended. */
+  /** Number of copies that succeeded before the trial ended. */
   readonly succeededCopies: number;
 }
 
-/** Sends copies one after another until one is bad, too many are slow, or enough were sent. */
+/** Sends copies in sequence until one fails, too many are slow, or enough have succeeded. */
 export async function runTrial(options: ITrialOptions): Promise<ITrialResult> {
   const copies = countTrialCopies(options.failureShare);
   let slow = 0;
   let sent = 0;
   while (sent < copies) {
     await options.clock.sleep(COPY_INTERVAL_MS, options.signal);
-    const verdict = await runCopy(options);
-    if (verdict === 'bad') return { hasPassed: false, succeededCopies: sent };
-    if (verdict !== 'no-slot') sent += 1;
-    if (verdict === 'slow') slow += 1;
+    const outcome = await runCopy(options);
+    if (outcome === 'bad') return { hasPassed: false, succeededCopies: sent };
+    if (outcome !== 'no-slot') sent += 1;
+    if (outcome === 'slow') slow += 1;
     if (slow > MAX_SLOW_SHARE * copies) return { hasPassed: false, succeededCopies: sent };
   }
   return { hasPassed: true, succeededCopies: sent };
--- a/packages/routing/src/guard/common/dispatchGuard.ts
+++ b/packages/routing/src/guard/common/dispatchGuard.ts
@@ -1,21 +1,21 @@
-/** Stands between the arrival of a non-idempotent request at its home and its dispatch. */
+/** Guards the dispatch of non-idempotent requests at their home. */
 import type { MuxError } from '@parsleymux/base';
 import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
 
-/** The attempt that the guard decides on. */
+/** An attempt whose execution the guard controls. */
 export interface IGuardedAttempt {
   readonly request: IRoutedRequest;
-  /** The refusal that would follow at once, for overload or lack of time; undefined when none. */
+  /** The refusal that a run would meet now, due to overload or an expired deadline; undefined for none. */
   estimateRefusal(): MuxError | undefined;
   /**
-   * Queues and dispatches, once at most. Rejects with a MuxError whose run state is the truth:
-   * NotRun only if no byte left or the target said so.
+   * Queues the request and dispatches it at most once. Rejects with a MuxError whose run state is
+   * truthful: NotRun only if no byte was sent or the target reported that it did not run the request.
    */
   run(signal: AbortSignal): Promise<IAnswer>;
 }
 
-/** Lets a non-idempotent request run at most once across the whole fleet. */
+/** Ensures that a non-idempotent request runs at most once in the whole fleet. */
 export abstract class DispatchGuard {
-  /** Gives the answer of the one execution, be it this one or an earlier. */
+  /** Returns the response of the single execution, which may be an earlier one. */
   abstract execute(attempt: IGuardedAttempt, signal: AbortSignal): Promise<IAnswer>;
 }
--- a/packages/routing/src/guard/common/passThroughGuard.ts
+++ b/packages/routing/src/guard/common/passThroughGuard.ts
@@ -1,10 +1,10 @@
-/** A guard that guards nothing, for tests and replays whose subject is not at-most-once. */
+/** A guard without at-most-once protection, for tests and replays that do not cover it. */
 import type { IAnswer } from '../../request/common/request.js';
 import type { IGuardedAttempt } from './dispatchGuard.js';
 import { DispatchGuard } from './dispatchGuard.js';
 
 /**
- * Runs every attempt at once.
+ * Runs every attempt immediately.
  *
  * @example
  * const home = new LocalHomeService({ ...services, guard: new PassThroughGuard() });
--- a/packages/routing/src/home/common/buildEjectionEnvironment.ts
+++ b/packages/routing/src/home/common/buildEjectionEnvironment.ts
@@ -5,7 +5,7 @@
 import type { RequestSampler } from '../../ejection/common/requestSampler.js';
 import type { IEvidenceRecorderOptions } from './evidenceRecorder.js';
 
-/** Builds the surroundings. */
+/** Builds the environment of an ejection controller. */
 export function buildEjectionEnvironment(
   options: IEvidenceRecorderOptions,
   detector: FailureDetector,
--- a/packages/routing/src/home/common/evidenceRecorder.ts
+++ b/packages/routing/src/home/common/evidenceRecorder.ts
@@ -1,4 +1,4 @@
-/** Turns what happens to attempts into evidence, and keeps ledger and probes current. */
+/** Converts outcomes of attempts into evidence, sends health probes and polls the ejection ledger. */
 import { setMaxListeners } from 'node:events';
 import type { IDisposable } from '@parsleymux/base';
 import type { Service } from '@parsleymux/schema';
@@ -18,12 +18,12 @@
 import type { IHomeContext } from './homeOptions.js';
 import type { SlotPool } from './slotPool.js';
 
-/** An attempt this many times over what nine in ten of its peers' answers need is overdue. */
+/** An attempt is overdue after this multiple of the 0.9 quantile of the peers' latencies. */
 const STALL_FACTOR = 3;
-/** A copy on a fresh connection that takes this many times as long clears nobody. */
+/** A copy on a fresh connection must be answered within this multiple of the same quantile. */
 const CHECK_FACTOR = 2;
 const MIN_STALL_MS = 20;
-/** A busy target has a slot free again soon; one whose requests are all stuck never has. */
+/** Attempts to find a free slot for a check. A busy target soon has one; a stuck target never does. */
 const CHECK_ATTEMPTS = 5;
 const CHECK_RETRY_MS = 20;
 const DEFAULT_CHECK_TIMEOUT_MS = 1000;
@@ -39,7 +39,7 @@
   getService(): Service;
 }
 
-/** The evidence side of one service's home. */
+/** Collects the evidence about the targets of one service. */
 export class EvidenceRecorder implements IDisposable {
   readonly detector: FailureDetector;
   readonly controller: EjectionController;
@@ -65,26 +65,26 @@
     if (probeIntervalMs !== undefined) void this.probeAll(probeIntervalMs).catch(() => undefined);
   }
 
-  /** Takes over a new configuration; `added` targets are taken for cold. */
+  /** Applies a new configuration; `added` targets are assumed to be cold. */
   update(service: Service, added: readonly TargetHandle[]): void {
     this.detector.setTargets(service.targets.map((target) => target.address));
     for (const handle of added) this.controller.handleNew(handle);
   }
 
-  /** Time after which an attempt is overdue, in ms; undefined while nothing is known. */
+  /** Time after which an attempt is overdue, in ms; undefined until latencies are known. */
   getStallLimit(request: IRoutedRequest, handle: TargetHandle): number | undefined {
     const limitMs = this.detector.getSlowLimit(request.route.name, handle.address);
     return limitMs === undefined ? undefined : Math.max(MIN_STALL_MS, STALL_FACTOR * limitMs);
   }
 
-  /** An attempt is overdue, and has not ended. True when that was taken as evidence. */
+  /** Records that a running attempt is overdue. True when that counts as evidence. */
   recordStall(request: IRoutedRequest, handle: TargetHandle, isFresh: boolean): boolean {
     if (!this.detector.traits.detectsStalls) return false;
     void this.ensureCheck(handle, request).handleSilence(isFresh).catch(discardError);
     return true;
   }
 
-  /** An attempt has ended. What was already charged as a stall is not charged again. */
+  /** Records the outcome of an attempt. A stall that was already recorded is not counted again. */
   recordOutcome(
     request: IRoutedRequest,
     handle: TargetHandle,
@@ -127,21 +127,21 @@
       atMs: this.context.clock.getMonotonicTime(),
     };
     if (outcome.kind === 'answered') {
-      // Shedding is honest: it lowers the concurrency limit, and says nothing of failing.
+      // Shedding lowers the concurrency limit of the target; it is no evidence of a fault.
       if (outcome.answer.notRun) return undefined;
       if (!isGood(outcome)) return { ...common, kind: Evidence.Failure };
       return { ...common, kind: Evidence.Success, latencyMs: outcome.answer.latencyMs };
     }
     const { failure } = outcome.error;
-    const isOurs =
+    const isLocalFailure =
       failure === TransportFailure.Cancelled ||
       failure === TransportFailure.TooLarge ||
       failure === TransportFailure.NoConnection;
-    return isOurs ? undefined : { ...common, kind: Evidence.Silence };
+    return isLocalFailure ? undefined : { ...common, kind: Evidence.Silence };
   }
 
   private recordEvidence(handle: TargetHandle, evidence: IEvidence): void {
-    // What was under way when the target was ejected says nothing about its return.
+    // Attempts that were running at the ejection are no evidence about the return of the target.
     if (handle.standing === Standing.Ejected || handle.standing === Standing.Trial) return;
     const suspicion = this.detector.recordEvidence(evidence);
     if (suspicion !== undefined) this.controller.handleSuspicion(handle, suspicion);
@@ -160,12 +160,12 @@
     return new ConnectionCheck({
       clock: context.clock,
       tryFreshConnection: async () => {
-        // Until it is known who is silent, further requests would only join those that wait.
+        // Until the cause of the silence is known, further requests might get stuck as well.
         handle.isUnderCheck = true;
-        const isAnswered = await this.tryFreshConnection(handle);
+        const hasResponded = await this.tryFreshConnection(handle);
         handle.isUnderCheck = false;
         this.options.pool.serveWaiting();
-        return isAnswered;
+        return hasResponded;
       },
       retireConnections: () => {
         context.metrics.connectionsAccused.inc(this.getLabels());
@@ -188,7 +188,7 @@
     const signal = this.abort.signal;
     for (let attempt = 0; attempt < CHECK_ATTEMPTS; attempt += 1) {
       const result = await this.sender.send({ handle, sample, timeoutMs, signal });
-      if (result !== undefined) return result.answered;
+      if (result !== undefined) return result.hasResponded;
       await this.context.clock.sleep(CHECK_RETRY_MS, signal);
     }
     return undefined;
@@ -202,7 +202,7 @@
         await context.ledger.readEjected(member, service, this.abort.signal);
         this.controller.takeOverEjected();
       } catch {
-        // The ledger is out: what was last seen stays in force, and the next round tries again.
+        // The ledger is unavailable: the last read state stays in force until the next poll.
       }
       const delayMs = context.random.getJittered(LEDGER_INTERVAL_MS);
       await context.clock.sleep(delayMs, this.abort.signal);
@@ -231,7 +231,7 @@
   }
 }
 
-/** What was under way when the home was closed has no one left to tell. */
+/** Ignores rejections of tasks that were running when the home was closed. */
 function discardError(): void {
   return;
 }
--- a/packages/routing/src/home/common/homeOptions.ts
+++ b/packages/routing/src/home/common/homeOptions.ts
@@ -1,4 +1,4 @@
-/** What a home is made of. */
+/** Options of a home and their defaults. */
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import type { ConfigService } from '@parsleymux/config';
 import type { Service } from '@parsleymux/schema';
@@ -19,22 +19,22 @@
 const DEFAULT_MAX_IN_FLIGHT = 4000;
 const DEFAULT_HEALTH_PATH = '/health';
 
-/** Bounds of one home. */
+/** Limits of the home on one node. */
 export interface IHomeLimits {
-  /** Largest answer held until whole, in bytes. Default 1 MiB. */
+  /** Maximum size of a buffered response in bytes. Default 1 MiB. */
   readonly maxResponseBytes?: number;
-  /** Requests queued or running on this node, for all members together. Default 4000. */
+  /** Maximum number of requests queued or running on this node, over all members. Default 4000. */
   readonly maxInFlight?: number;
 }
 
-/** A change of how a target stands. */
+/** A change of the health status of a target. */
 export interface IHealthStatusChange {
   readonly member: string;
   readonly service: string;
   readonly target: string;
   readonly standing: Standing;
   readonly reason: string;
-  /** Instant on the monotonic clock. */
+  /** Instant on the monotonic clock, in ms. */
   readonly atMs: number;
 }
 
@@ -47,23 +47,23 @@
   readonly guard: DispatchGuard;
   readonly ledger: EjectionLedger;
   readonly invariants: InvariantRegistry;
-  /** Second opinions. Default: none to be had. */
+  /** Observes targets over other paths. Default: no observations are available. */
   readonly observer?: TargetObserver;
-  /** Default: sequential tests with the member's preference. */
+  /** Creates the detector of a service. Default: a SequentialDetector for the service's preference. */
   readonly createDetector?: (service: Service) => FailureDetector;
   readonly metrics?: HomeMetrics;
-  /** Told of every change of standing, for logs and replays. */
+  /** Called on every change of a health status. */
   readonly onHealthStatusChange?: (change: IHealthStatusChange) => void;
-  /** Health endpoint of targets: probes, and trials until a request was seen. Default '/health'. */
+  /** Health endpoint of targets for probes, and for trials until a request was recorded. Default '/health'. */
   readonly healthPath?: string;
-  /** Send a second attempt beside an overdue idempotent one. Default true. */
+  /** Whether a second attempt is sent in parallel to an overdue idempotent one. Default true. */
   readonly hedges?: boolean;
 }
 
-/** Options with every default filled in. */
+/** Options with all defaults applied. */
 export type IHomeContext = Required<IHomeOptions>;
 
-/** Fills in the defaults. */
+/** Applies the defaults. */
 export function withHomeDefaults(options: IHomeOptions): IHomeContext {
   return {
     ...options,
--- a/packages/routing/src/home/common/homeService.ts
+++ b/packages/routing/src/home/common/homeService.ts
@@ -1,21 +1,21 @@
-/** The home of services: owns their slots, queue, connections and health verdicts. */
+/** The home of services: owns their slots, queues, connections and health status. */
 import type { ShardStatus } from '@parsleymux/schema';
 import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
 
-/** Serves requests of the services that this node is home of, or stands in for. */
+/** Serves requests of services that this node is the home of or a substitute for. */
 export abstract class HomeService {
   /**
-   * Serves one request from queue to answer. Rejects with a MuxError.
-   * Aborting `signal` says that the caller is gone.
+   * Queues one request and returns its response. Rejects with a MuxError.
+   * `signal` is aborted when the caller disconnects.
    */
   abstract handle(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer>;
 
-  /** Slots that are free now, less what is queued; negative when requests wait. */
+  /** Number of free slots less the number of queued requests; negative when requests wait. */
   abstract getSpareSlots(member: string, service: string): number;
 
-  /** Requests that are queued or running. */
+  /** Number of requests that are queued or running. */
   abstract getInFlight(): number;
 
-  /** What is known of each shard served here. */
+  /** Status of each shard that this node serves. */
   abstract getStatus(): readonly ShardStatus[];
 }
--- a/packages/routing/src/home/common/localHomeService.test.ts
+++ b/packages/routing/src/home/common/localHomeService.test.ts
@@ -26,7 +26,7 @@
   };
 }
 
-test('an idempotent request that failed is tried on another target', async () => {
+test('a failed idempotent request is retried on another target', async () => {
   const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(true)(request, options);
@@ -37,10 +37,9 @@
   assert.equal(new Set(transport.sent).size, 2);
 });
 
-test('a request that must not run twice is not tried again once a byte may have left', async () => {
-  // Symptom: a booking is executed by two targets.
-  // Sequence: the target gets the booking, the connection breaks, the home tries another target.
-  // Cause: a broken connection was taken for "not run".
+test('a non-idempotent request is not retried once a byte may have been sent', async () => {
+  // A target receives a booking and the connection breaks. If that counted as "not run", a retry would
+  // execute the booking on a second target.
   const { home, transport } = createHomeFixture(2, breakConnection(true));
   const request = buildRequest({ route: buildRoute(false), idempotencyKey: 'k' });
   await assert.rejects(home.handle(request, signal), (error: MuxError) => {
@@ -49,7 +48,7 @@
   assert.equal(transport.sent.length, 1);
 });
 
-test('a request that must not run twice goes on when no byte left', async () => {
+test('a non-idempotent request is retried when no byte was sent', async () => {
   const { home, transport } = createHomeFixture(2, breakConnection(false));
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(false)(request, options);
@@ -61,7 +60,7 @@
   assert.equal(answer.code, ResultCode.Ok);
 });
 
-test('a target past its leaving instant or draining gets nothing new', async () => {
+test('a target that is draining or past its removal time gets no new requests', async () => {
   const { home, transport, configService } = createHomeFixture(3, () =>
     Promise.resolve(buildAnswer()),
   );
@@ -75,7 +74,7 @@
   assert.deepEqual(new Set(transport.sent), new Set(['t2']));
 });
 
-test('no request exceeds the slots, and the full queue refuses truthfully with when to come back', async () => {
+test('requests never exceed the slots, and a full queue refuses with a retry time', async () => {
   const { home, transport, clock, answerAfter } = createHomeFixture(
     1,
     () => Promise.resolve(buildAnswer()),
@@ -98,7 +97,7 @@
   assert.ok((error.retryAfterMs ?? 0) >= 100);
 });
 
-test('a caller that hangs up cancels a read but not a booking', async () => {
+test('a caller disconnect cancels a read but not a booking', async () => {
   const { home, transport, clock, answerAfter } = createHomeFixture(1, () =>
     Promise.resolve(buildAnswer()),
   );
@@ -111,17 +110,16 @@
   const read = home.handle(buildRequest(), abort.signal);
   const readResult = Promise.allSettled([read]);
   await clock.advanceBy(10);
-  abort.abort(new Error('gone'));
+  abort.abort(new Error('caller disconnected'));
   await clock.advanceBy(200);
   assert.equal((await readResult)[0].status, 'rejected');
   assert.equal((await booking).code, ResultCode.Ok);
   assert.equal(home.getInFlight(), 0);
 });
 
-test('one member cannot fill the node: its share is refused, the other member is served', async () => {
-  // Symptom: a member's requests are refused while another floods the same node.
-  // Sequence: the flood fills the node's places; the quiet member comes too late.
-  // Cause: places went to whoever came first.
+test('a flood from one member is limited to its share, and another member is served', async () => {
+  // If requests were admitted in order of arrival, a flood from one member would use all places of the
+  // node, and requests of other members would be refused.
   const { home, transport, clock, answerAfter } = createHomeFixture(
     4,
     () => Promise.resolve(buildAnswer()),
@@ -142,7 +140,7 @@
   await home.dispose();
 });
 
-test('a home without requests is closed, and made again when one comes', async () => {
+test('an idle home is closed and recreated by the next request', async () => {
   const { home, clock } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
   await home.handle(buildRequest(), signal);
   assert.equal(home.getStatus().length, 1);
--- a/packages/routing/src/home/common/localHomeService.ts
+++ b/packages/routing/src/home/common/localHomeService.ts
@@ -1,4 +1,4 @@
-/** All services that this node is home of, made on demand from the configuration in force. */
+/** Homes of services on this node, created on demand from the current configuration. */
 import type { IDisposable } from '@parsleymux/base';
 import type { Service, ShardStatus } from '@parsleymux/schema';
 import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
@@ -13,8 +13,8 @@
 const RETRY_AFTER_MS = 1000;
 const SWEEP_INTERVAL_MS = 30_000;
 /**
- * A home without requests for this long is closed. Placement moves services from node to node;
- * without it each node would in the end keep the state, and the ledger reads, of every service.
+ * A home without requests for this time is closed, in ms. Placement moves services between nodes;
+ * without a limit each node would eventually keep state and ledger polls for every service.
  */
 const IDLE_LIMIT_MS = 120_000;
 
--- a/packages/routing/src/home/common/serviceHome.ts
+++ b/packages/routing/src/home/common/serviceHome.ts
@@ -1,4 +1,4 @@
-/** The home of one service: from the queue through attempts and retries to the answer. */
+/** The home of one service: queues its requests, dispatches them to targets, retries and hedges. */
 import type { IDisposable } from '@parsleymux/base';
 import { InvariantName, MuxError, RunState } from '@parsleymux/base';
 import type { Service } from '@parsleymux/schema';
@@ -31,7 +31,7 @@
   readonly service: Service;
 }
 
-/** One request on its way through the home. */
+/** State of one request in the home. */
 interface IRequestState {
   readonly request: IRoutedRequest;
   readonly signal: AbortSignal;
@@ -39,7 +39,7 @@
   readonly tried: Set<string>;
 }
 
-/** Set when an attempt was charged as overdue before it ended. */
+/** Marks an attempt that was recorded as overdue before it ended. */
 interface IStallFlag {
   isStalled: boolean;
 }
@@ -49,7 +49,7 @@
   readonly member: string;
   readonly pool: SlotPool;
   inFlight = 0;
-  /** Instant of the newest request, on the monotonic clock. */
+  /** Instant of the latest request on the monotonic clock, in ms. */
   lastUsedMs: number;
   private service: Service;
   private readonly context: IHomeContext;
@@ -74,7 +74,7 @@
     this.budget = new RetryBudget({ share: options.service.retryBudget || DEFAULT_RETRY_SHARE });
   }
 
-  /** Takes over a new configuration of the service. */
+  /** Applies a new configuration of the service. */
   update(service: Service): void {
     this.service = service;
     this.evidenceRecorder.update(service, this.pool.update(service));
@@ -84,7 +84,7 @@
     this.evidenceRecorder.dispose();
   }
 
-  /** The configuration in force. */
+  /** The current configuration. */
   getService(): Service {
     return this.service;
   }
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Attempts on one target after another, as far as that is safe and the budget allows. */
+  /** Attempts one target after another, while a retry is safe and the budget allows it. */
   private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
     const state: IRequestState = { request, signal, count: new DispatchCount(), tried: new Set() };
     try {
@@ -140,7 +140,7 @@
     return this.context.clock.getMonotonicTime() >= deadlineMs;
   }
 
-  /** Undefined when an earlier attempt's outcome is the better answer than the refusal to queue. */
+  /** Returns undefined when refused after an earlier attempt, whose outcome is then the response. */
   private async waitForSlot(
     state: IRequestState,
     last: AttemptOutcome | undefined,
@@ -154,7 +154,7 @@
     }
   }
 
-  /** One attempt, with another beside it when it is overdue and may be run twice. */
+  /** Runs one attempt, and hedges it when it is overdue and the request is idempotent. */
   private async runAttempt(state: IRequestState, slot: ISlot): Promise<AttemptOutcome> {
     const { request } = state;
     const isFresh = !request.route.idempotent;
@@ -189,7 +189,7 @@
     const abort = new AbortController();
     state.tried.add(slot.handle.address);
     this.context.metrics.attempts.inc(this.labels);
-    // A caller that hangs up cancels reads; a request that must not run twice is let finish.
+    // A caller that disconnects cancels idempotent requests only; other requests run to completion.
     const signals = request.route.idempotent ? [state.signal, abort.signal] : [abort.signal];
     const attempt = {
       slot,
@@ -237,7 +237,7 @@
     return true;
   }
 
-  /** A refusal is truthful only if it reckons with every attempt of the request. */
+  /** Ensures that a refusal is truthful about all attempts of the request, not just the last. */
   private checkRefusal(state: IRequestState, error: unknown): unknown {
     if (!(error instanceof MuxError)) return error;
     const mayHaveRun = state.count.isMaybeRun();
--- a/packages/routing/src/home/common/shardStatus.ts
+++ b/packages/routing/src/home/common/shardStatus.ts
@@ -8,7 +8,7 @@
 import type { IHomeContext } from './homeOptions.js';
 import type { ServiceHome } from './serviceHome.js';
 
-/** What the home knows of its shard now. */
+/** Describes the current state of the shard that a home serves. */
 export function describeShard(home: ServiceHome, context: IHomeContext): ShardStatus {
   const service = home.getService().name;
   const handles = [...home.pool.handles.values()];
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -1,4 +1,4 @@
-/** The slots of one service's targets, and the bounded queue of requests that wait for one. */
+/** Slots of one service's targets and the bounded queue of requests that wait for a slot. */
 import type { Clock, MuxError, RandomSource } from '@parsleymux/base';
 import type { Service, Target } from '@parsleymux/schema';
 import { ServiceTimeEstimate } from '../../queue/common/serviceTimeEstimate.js';
@@ -14,22 +14,23 @@
 import { TargetHandle } from '../../target/common/targetHandle.js';
 import { pickTarget } from '../../target/common/targetPicker.js';
 
+/** Queue limit as a multiple of all slots of the service. */
 const DEFAULT_QUEUE_FACTOR = 2;
 const MIN_QUEUE = 1;
 const MIN_RETRY_AFTER_MS = 100;
 const NO_TARGET_RETRY_AFTER_MS = 2000;
 
-/** A slot that is held. */
+/** A reserved slot. */
 export interface ISlot {
   readonly handle: TargetHandle;
-  /** Gives the slot back. Calling it again does nothing. */
+  /** Releases the slot. Further calls have no effect. */
   release(): void;
 }
 
-/** What a request waits for. */
+/** A request for a slot. */
 export interface ISlotRequest {
   readonly request: IRoutedRequest;
-  /** Targets that are out of the question. */
+  /** Addresses of targets that must not be used. */
   readonly excluded: ReadonlySet<string>;
 }
 
@@ -48,7 +49,7 @@
 }
 
 /**
- * Owns slots and queue.
+ * Owns the slots and the queue of one service.
  *
  * @example
  * const slot = await pool.acquire({ request, excluded: new Set() }, signal);
@@ -72,8 +73,8 @@
   }
 
   /**
-   * Takes over the configured targets and returns those that are new. What a removed target still
-   * runs is left to finish.
+   * Applies the configured targets and returns those that are new. Requests that a removed target
+   * still runs are completed.
    */
   update(service: Service): readonly TargetHandle[] {
     this.service = service;
@@ -91,7 +92,7 @@
     return added;
   }
 
-  /** A free slot at once, or undefined. */
+  /** Reserves a free slot immediately. Returns undefined when none is available. */
   tryReserve(slotRequest: ISlotRequest): ISlot | undefined {
     const handle = pickTarget({
       handles: this.handles.values(),
@@ -103,7 +104,7 @@
     return handle === undefined ? undefined : this.reserveSlot(handle);
   }
 
-  /** Waits for a slot in the queue. Rejects with a refusal that is not run. */
+  /** Waits in the queue for a slot. Rejects with a MuxError of a request that was not run. */
   wait(slotRequest: ISlotRequest, signal: AbortSignal): Promise<ISlot> {
     if (signal.aborted) return Promise.reject(makeCallerGone());
     const refusal = this.estimateRefusal(slotRequest);
@@ -113,12 +114,12 @@
     return this.addWaiter(slotRequest, signal);
   }
 
-  /** A slot of one given target, whatever its standing, if one is free: for trials. */
+  /** Reserves a free slot of one target whatever its health status, for probes and trials. */
   tryReserveOn(handle: TargetHandle): ISlot | undefined {
     return handle.inUse < handle.target.slots ? this.reserveSlot(handle) : undefined;
   }
 
-  /** The refusal that a request would meet now; undefined when it would be served. */
+  /** The refusal that a request would receive now; undefined when it would be served. */
   estimateRefusal(slotRequest: ISlotRequest): MuxError | undefined {
     const leftMs = slotRequest.request.deadlineMs - this.clock.getMonotonicTime();
     if (leftMs <= 0) return makeDeadlinePassed();
@@ -137,7 +138,7 @@
     return undefined;
   }
 
-  /** A request of the route was answered well after `durationMs` on a slot. */
+  /** Records that a successful request of the route held its slot for `durationMs`. */
   recordServiceTime(route: string, durationMs: number): void {
     this.serviceTime.record(durationMs);
     let estimate = this.routeTimes.get(route);
@@ -148,25 +149,25 @@
     estimate.record(durationMs);
   }
 
-  /** When asking again makes sense: once the present queue has drained, spread at random. */
+  /** Retry delay in ms: the time in which the current queue drains, with jitter. */
   computeRetryAfter(): number {
     const drainMs = ((this.queue.size + 1) * this.serviceTime.getMean()) / this.countAllowed();
     return Math.max(MIN_RETRY_AFTER_MS, this.random.getJittered(drainMs, 0.3));
   }
 
-  /** Slots that are free now, less the requests that wait. */
+  /** Number of free slots less the number of waiting requests. */
   getSpare(): number {
     return this.countFree() - this.queue.size;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   getQueued(): number {
     return this.queue.size;
   }
 
-  /** Gives free slots to those that wait. To be called whenever a slot may have become free. */
+  /** Assigns free slots to waiting requests. Must be called whenever a slot may have become free. */
   serveWaiting(): void {
-    // Finishing a waiter can release or take slots at once, which would serveWaiting again underneath.
+    // Finishing a waiter can synchronously release or reserve slots, which calls this method again.
     if (this.isServing) return;
     this.isServing = true;
     try {
@@ -195,8 +196,8 @@
     }
     return new Promise((resolve, reject) => {
       const { request } = slotRequest;
-      // Past this instant the answer may well come too late, and the slot be wasted: under overload
-      // a queue that starts work at the last moment fills every slot with work that nobody awaits.
+      // A request that starts later is likely to miss its deadline. Under overload, a queue that starts
+      // requests at the last moment fills all slots with work whose results arrive too late.
       const latestStartMs = request.deadlineMs - this.getLongestExpected(request);
       const timer = this.clock.startTimer(latestStartMs - this.clock.getMonotonicTime(), () => {
         this.queue.remove(waiter);
--- a/packages/routing/src/home/common/streamedResponses.test.ts
+++ b/packages/routing/src/home/common/streamedResponses.test.ts
@@ -9,7 +9,7 @@
 
 const signal = new AbortController().signal;
 
-/** A body whose source is open until it is read to its end or given up. */
+/** A body whose source stays open until it is read to the end or discarded. */
 class OpenBody implements AsyncIterable<Uint8Array> {
   isOpen = true;
 
@@ -36,7 +36,7 @@
   return length;
 }
 
-test('a streamed answer holds its slot until it was read to its end', async () => {
+test('a streamed response holds its slot until it was read to the end', async () => {
   const { home } = createHomeFixture(1, () =>
     Promise.resolve(buildAnswer({ body: new OpenBody() })),
   );
@@ -46,10 +46,9 @@
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 4);
 });
 
-test('a streamed answer that nobody begins to read gives its slot back', async () => {
-  // Symptom: a target's slots are all taken though it works on nothing; only a restart helps.
-  // Sequence: the target's answer begins; the caller hangs up before its first byte is written.
-  // Cause: a generator that was never started runs no finally block when it is given up.
+test('a streamed response that is discarded unread releases its slot', async () => {
+  // A generator that was never started does not run its finally block when it is discarded. If the slot
+  // were released there, callers that disconnect before the first byte would leak all slots of a target.
   const body = new OpenBody();
   const { home } = createHomeFixture(1, () => Promise.resolve(buildAnswer({ body })));
   const answer = await home.handle(buildRequest(), signal);
@@ -58,8 +57,8 @@
   assert.equal(body.isOpen, false);
 });
 
-test('a large error answer that is tried again elsewhere gives slot and connection back', async () => {
-  // Symptom and cause as above. Sequence: a target answers 500 with a page above the limit.
+test('a retried request releases slot and connection of a large error response', async () => {
+  // A target responds 500 with a body above the buffer limit; its stream is discarded unread.
   const body = new OpenBody();
   const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
   transport.respond = () => {
@@ -72,10 +71,9 @@
   assert.equal(body.isOpen, false);
 });
 
-test('a later target that cannot be reached does not undo that an earlier one may have run', async () => {
-  // Symptom: a caller is told "not run" of a request that a target executed.
-  // Sequence: the first target's connection breaks after dispatch; the second refuses connections.
-  // Cause: the failure to connect was counted as the proof that the first dispatch did not run.
+test('a failure to connect to a later target does not hide that an earlier one may have run', async () => {
+  // The connection to the first target breaks after dispatch, and the second target refuses connections.
+  // If only the last attempt counted, the caller would receive "not run" for an executed request.
   const { home, transport, invariants } = createHomeFixture(2, () =>
     Promise.resolve(buildAnswer()),
   );
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions: homes, queues, detection, retries, and the way to the targets. */
+/** Request routing: homes, queues, failure detection, ejection, retries and the transport to targets. */
 export * from './detection/common/consecutiveErrorsDetector.js';
 export * from './detection/common/failureDetector.js';
 export * from './detection/common/healthCheckDetector.js';
--- a/packages/routing/src/ledger/common/capacityFloor.ts
+++ b/packages/routing/src/ledger/common/capacityFloor.ts
@@ -1,18 +1,18 @@
-/** The one place that decides whether a service can spare a target. */
+/** The capacity floor: the number of healthy slots that ejections must leave to a service. */
 import { isLeaving } from '@parsleymux/config';
 import type { Service, Target } from '@parsleymux/schema';
 import { TargetState } from '@parsleymux/schema';
 
-/** What is known when a target is to be ejected. */
+/** State that a floor check is based on. */
 export interface IFloorCheck {
   readonly service: Service;
-  /** Targets that the ledger has as ejected. */
+  /** Addresses of the targets that are ejected in the ledger. */
   readonly ejected: ReadonlySet<string>;
-  /** Targets that are cold, draining by their own word, or on trial. */
+  /** Addresses of targets that are cold, draining at their own request, or on trial. */
   readonly otherwiseUnhealthy: ReadonlySet<string>;
 }
 
-/** True when the configuration lets the target have new work at `wallTimeMs`. */
+/** True when the configuration allows new requests to the target at `wallTimeMs`. */
 export function isConfiguredServing(target: Target, wallTimeMs: number): boolean {
   if (target.state === TargetState.DRAINING) return false;
   const leaveAtMs = Number(target.leaveAtMs);
@@ -20,10 +20,9 @@
 }
 
 /**
- * Healthy slots of the service: slots of targets that no plan takes away, that are not
- * ejected, and that the home knows of no other reason against. Cold, draining and probationary
- * targets count as missing: they may come to nothing, and the floor is a promise about capacity
- * that is there.
+ * Counts the healthy slots of the service: those of targets that no plan removes, that are not
+ * ejected and that the home has no other reason to avoid. Targets that are cold, draining or on trial
+ * count as missing, since they may fail to recover and the floor guarantees available capacity.
  *
  * @example
  * const spare = computeHealthySlots(floorCheck) - floorCheck.service.floorSlots;
@@ -34,7 +33,7 @@
     .reduce((sum, target) => sum + target.slots, 0);
 }
 
-/** True when ejecting `address` leaves at least the floor. A target that is not healthy costs nothing. */
+/** True when ejecting `address` preserves the floor. Ejecting an unhealthy target removes no capacity. */
 export function isEjectable(address: string, floorCheck: IFloorCheck): boolean {
   const ejected = new Set(floorCheck.ejected).add(address);
   const before = computeHealthySlots(floorCheck);
--- a/packages/routing/src/ledger/common/ejectionLedger.ts
+++ b/packages/routing/src/ledger/common/ejectionLedger.ts
@@ -1,39 +1,40 @@
 /**
- * The one place that says which targets of a service are ejected, so that two nodes that both
- * take themselves for home cannot together go below the service's floor.
+ * The authoritative record of a service's ejected targets. Two nodes that both consider themselves
+ * the home of the service cannot together eject below its capacity floor.
  */
 import type { Service } from '@parsleymux/schema';
 
-/** What became of a wish to eject. */
+/** Decision on an ejection request. */
 export const EjectionDecision = {
   Granted: 'granted',
-  /** It would leave less than the floor. */
+  /** The ejection would leave fewer healthy slots than the floor. */
   RefusedByFloor: 'refused-by-floor',
-  /** The ledger can't be reached: the target may be demoted, never ejected. */
+  /** The ledger is unreachable: the target may be demoted but not ejected. */
   Unavailable: 'unavailable',
 } as const;
 
 export type EjectionDecision = (typeof EjectionDecision)[keyof typeof EjectionDecision];
 
-/** One wish to eject. */
+/** A request to eject one target. */
 export interface IEjectionRequest {
   readonly member: string;
   readonly service: Service;
   readonly target: string;
-  /** Targets that the home knows to be cold, draining by their own word, or on trial. */
+  /** Addresses of targets that the home knows to be cold, draining at their own request, or on trial. */
   readonly otherwiseUnhealthy: readonly string[];
-  /** The member revision that `service` was read from. */
+  /** Member revision of the configuration that contains `service`. */
   readonly memberRevision: number;
 }
 
-/** Grants ejections against the floor. */
+/** Grants ejections that preserve the capacity floor. */
 export abstract class EjectionLedger {
+  /** Ejects the target if the floor allows it. */
   abstract requestEjection(
     request: IEjectionRequest,
     signal: AbortSignal,
   ): Promise<EjectionDecision>;
 
-  /** Gives the target back. Until the ledger took note, its slots count as missing. */
+  /** Ends the ejection of the target. Until the ledger has recorded that, its slots count as missing. */
   abstract returnTarget(
     member: string,
     service: string,
@@ -41,9 +42,9 @@
     signal: AbortSignal,
   ): Promise<void>;
 
-  /** Reads the ledger again, so that ejections by other homes are seen. Rejects when it can't. */
+  /** Reads the ledger again to learn of ejections by other homes. Rejects when it is unreachable. */
   abstract readEjected(member: string, service: string, signal: AbortSignal): Promise<void>;
 
-  /** Targets that the ledger has as ejected, as last seen. */
+  /** Addresses of the ejected targets, as last read. */
   abstract getEjected(member: string, service: string): ReadonlySet<string>;
 }
--- a/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
@@ -28,10 +28,9 @@
   return decodeEjections(table.rows.get(key)).ejected.map((entry) => entry.target);
 }
 
-test('two homes that both hold the service cannot eject below the floor together', async () => {
-  // Symptom: healthy slots fall below the floor although each home left enough.
-  // Sequence: two homes read the row, each ejects another target, both write.
-  // Cause: each reckoned without the other; only the condition on the row's version stops it.
+test('two homes of the same service cannot together eject below the floor', async () => {
+  // Two homes read the row, and each ejects a different target. Each ejection alone preserves the
+  // floor, so only the condition on the row's version prevents the second.
   const { table, invariants, makeLedger, makeRequest } = setUp(12);
   const decisions = await Promise.all([
     makeLedger('a').requestEjection(makeRequest('t0'), signal),
@@ -51,11 +50,9 @@
   assert.equal(decision, EjectionDecision.RefusedByFloor);
 });
 
-test('a target that a plan takes away later counts as missing already', async () => {
-  // Symptom: healthy slots fall below the floor at a planned leaving instant, though every
-  // ejection left enough when it was granted.
-  // Sequence: a plan lets t3 leave in an hour; t0 is ejected; the hour passes.
-  // Cause: the ejection reckoned with slots that were promised away.
+test('a target that a plan will remove already counts as missing', async () => {
+  // A plan removes t3 in an hour. If its slots still counted, an ejection of t0 would leave the
+  // service below the floor when the hour has passed.
   const { makeLedger, makeRequest } = setUp(12);
   const request = makeRequest('t0');
   request.service.targets[3]!.leaveAtMs = 3_600_000n;
@@ -63,10 +60,9 @@
   assert.equal(decision, EjectionDecision.RefusedByFloor);
 });
 
-test('a lost answer is read back, and the ejection is granted once', async () => {
-  // Symptom: a target is ejected in the store, but its home goes on as if it were not.
-  // Sequence: the transaction takes effect, its answer is lost.
-  // Cause: no answer was taken for no effect.
+test('after a lost response the row is read again, and the ejection is granted once', async () => {
+  // The transaction takes effect but its response is lost. If that counted as a failure, the target
+  // would be ejected in the store while its home kept using it.
   const { table, makeLedger, makeRequest } = setUp(4);
   table.lostAnswers = 1;
   const decision = await makeLedger('a').requestEjection(makeRequest('t0'), signal);
@@ -74,7 +70,7 @@
   assert.deepEqual(listEjected(table), ['t0']);
 });
 
-test('with the store out nothing is ejected', async () => {
+test('no target is ejected while the store is unavailable', async () => {
   const { table, makeLedger, makeRequest } = setUp(4);
   table.isDown = true;
   const ledger = makeLedger('a');
@@ -84,17 +80,16 @@
   await assert.rejects(ledger.returnTarget(MEMBER, SERVICE, 't0', signal), /unavailable/);
 });
 
-test('a home whose configuration is older than a confirmed plan does not eject', async () => {
-  // Symptom: a plan that takes a target away and an ejection together undercut the floor.
-  // Sequence: the plan is confirmed; a home that has not heard of it ejects another target.
-  // Cause: the home reckons with targets that are about to leave.
+test('a home with a configuration older than a confirmed plan does not eject', async () => {
+  // A confirmed plan removes a target. A home that has not received it still counts the slots of
+  // that target, so its ejection together with the plan would go below the floor.
   const { table, makeLedger, makeRequest } = setUp(8);
   table.write(key, JSON.stringify({ ejected: [], memberRevision: 2 }));
   const decision = await makeLedger('a').requestEjection(makeRequest('t0'), signal);
   assert.equal(decision, EjectionDecision.Unavailable);
 });
 
-test('whatever homes do in whatever order, granted ejections leave the floor', async () => {
+test('granted ejections preserve the floor in any order of operations', async () => {
   const step = fc.record({
     node: fc.constantFrom('a', 'b', 'c'),
     target: fc.constantFrom('t0', 't1', 't2', 't3'),
@@ -120,7 +115,7 @@
           assert.ok(16 - 4 * listEjected(table).length >= 8);
         }),
       );
-      // Returns can overtake ejections of the same target; without them every grant must stand.
+      // A return can overtake an ejection of the same target; without returns every grant must persist.
       if (steps.some((step) => step.isReturn)) return;
       assert.deepEqual(new Set(listEjected(table)), granted);
       assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
--- a/packages/routing/src/ledger/common/tableEjectionLedger.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.ts
@@ -1,4 +1,4 @@
-/** The ejection ledger in the platform's table: one row a service, changed only conditionally. */
+/** Ejection ledger in the platform's table: one row per service, written by conditional transactions. */
 import type { Clock, InvariantRegistry } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
 import type { IEjectedTarget, IEjectionRow } from '@parsleymux/config';
@@ -10,7 +10,7 @@
 import type { IFloorCheck } from './capacityFloor.js';
 import { isEjectable, computeHealthySlots } from './capacityFloor.js';
 
-/** Two homes that race for one row each lose at most once per grant of the other. */
+/** Of two homes that compete for a row, each loses at most one attempt per grant of the other. */
 const DEFAULT_ATTEMPTS = 5;
 
 /** Options of a {@link TableEjectionLedger}. */
@@ -20,14 +20,14 @@
   readonly invariants: InvariantRegistry;
   /** This node's peer address. */
   readonly node: string;
-  /** Attempts at one change before the ledger counts as unavailable. Default 5. */
+  /** Attempts at one change before the ledger is considered unavailable. Default 5. */
   readonly attempts?: number;
 }
 
 type RowChange = (row: IEjectionRow) => IEjectionRow | undefined;
 
 /**
- * Keeps ejections in the table.
+ * Stores ejections in the table.
  *
  * @example
  * const ledger = new TableEjectionLedger({ table, clock, invariants, node: '127.0.0.1:7002' });
@@ -85,7 +85,7 @@
     return this.lastRead.get(formatEjectionKey(member, service)) ?? new Set();
   }
 
-  /** Grants only on a row and a configuration that are both current. */
+  /** Grants only when the configuration is at least as new as the row requires. */
   private decide(request: IEjectionRequest, row: IEjectionRow): EjectionDecision {
     if ((row.memberRevision ?? 0) > request.memberRevision) return EjectionDecision.Unavailable;
     if (hasTarget(row, request.target)) return EjectionDecision.Granted;
@@ -95,7 +95,7 @@
     return EjectionDecision.Granted;
   }
 
-  /** Asserts the promise itself, reckoned apart from the rule that decided. */
+  /** Asserts the floor invariant, computed independently of the decision. */
   private checkFloor(request: IEjectionRequest, floorCheck: IFloorCheck): void {
     const before = computeHealthySlots(floorCheck);
     const ejected = new Set([...floorCheck.ejected, request.target]);
@@ -117,10 +117,10 @@
   }
 
   /**
-   * Applies `change` on the condition that the row is still as read. True when the row is as the
-   * change wants it. After a lost answer the row is read again: had the write taken effect, the
-   * change finds its work done; had it not, the same condition lets at most one of the two writes
-   * commit, so an answer that is merely late does no harm.
+   * Applies `change` on condition that the row is unchanged since it was read. True when the row
+   * contains the change. When the response is lost the row is read again: if the write took effect
+   * the change has nothing left to do; if not, the condition on the version lets at most one of the
+   * two writes commit, so a write that is merely delayed is harmless.
    */
   private async transactChange(
     key: string,
@@ -169,7 +169,7 @@
   return row.ejected.some((entry) => entry.target === target);
 }
 
-/** Entries of targets that are configured no more say nothing about capacity. */
+/** Drops entries of targets that are no longer configured; they have no effect on capacity. */
 function listConfigured(row: IEjectionRow, request: IEjectionRequest): readonly IEjectedTarget[] {
   const configured = new Set(request.service.targets.map((target) => target.address));
   return row.ejected.filter((entry) => configured.has(entry.target));
--- a/packages/routing/src/limits/common/fairShares.ts
+++ b/packages/routing/src/limits/common/fairShares.ts
@@ -1,19 +1,19 @@
-/** A resource of one node that members share: requests in hand, bytes of bodies. */
+/** Fair sharing of a node resource, such as concurrent requests or body bytes, among members. */
 
 /** Options of a {@link FairShares}. */
 export interface IFairSharesOptions {
-  /** All that there is. */
+  /** Total amount of the resource. */
   readonly capacity: number;
-  /** Share of the capacity up to which nobody is limited. Default 0.5. */
+  /** Share of the capacity, from 0 to 1, below which no member is limited. Default 0.5. */
   readonly unrestrictedShare?: number;
 }
 
 const DEFAULT_UNRESTRICTED_SHARE = 0.5;
 
 /**
- * Gives to whoever asks while there is plenty. Once more than the free share is taken, each member
- * is held to an equal part among those that hold any: otherwise one member's flood would leave
- * the others without, and the others' callers would see refusals that their own load never caused.
+ * Grants every reservation while usage is within the unrestricted share. Above it, each member is
+ * limited to an equal part among the members that hold reservations. Otherwise a flood from one member
+ * would exhaust the resource, and callers of other members would be refused for load they did not cause.
  *
  * @example
  * const release = shares.reserve('relinieri', 1);
@@ -32,7 +32,7 @@
       options.capacity * (options.unrestrictedShare ?? DEFAULT_UNRESTRICTED_SHARE);
   }
 
-  /** Takes `amount` for `member`; undefined when it may not have it. The result gives it back. */
+  /** Reserves `amount` for `member`. Returns the function that releases it, or undefined if refused. */
   reserve(member: string, amount: number): (() => void) | undefined {
     if (!this.isAllowed(member, amount)) return undefined;
     this.add(member, amount);
@@ -44,7 +44,7 @@
     };
   }
 
-  /** All that is taken now. */
+  /** Total amount that is reserved now. */
   getTotal(): number {
     return this.total;
   }
--- a/packages/routing/src/queue/common/serviceTimeEstimate.ts
+++ b/packages/routing/src/queue/common/serviceTimeEstimate.ts
@@ -1,9 +1,10 @@
-/** A running estimate of how long targets take, in ms. */
+/** Running estimate of the service time of targets, in ms. */
 
+/** Weight of a new sample in the exponential averages. */
 const WEIGHT = 0.05;
-/** Mean deviations above the mean; about one log-normal time in thirty is longer. */
+/** Mean deviations above the mean; about one in thirty log-normal times exceeds that. */
 const LONGEST_EXPECTED_DEVIATIONS = 3;
-/** Before anything was measured, nothing is refused for want of time. */
+/** Zero, so that no request is refused for lack of time before a service time was measured. */
 const INITIAL_MS = 0;
 
 /**
@@ -19,7 +20,7 @@
   private deviationMs = 0;
   private hasSample = false;
 
-  /** Takes note of one answered request. */
+  /** Records the service time of one successful request, in ms. */
   record(durationMs: number): void {
     if (!this.hasSample) {
       this.hasSample = true;
@@ -32,12 +33,12 @@
     this.deviationMs += WEIGHT * (Math.abs(error) - this.deviationMs);
   }
 
-  /** The mean; 0 before the first answer. */
+  /** The mean in ms; 0 before the first sample. */
   getMean(): number {
     return this.meanMs;
   }
 
-  /** A duration that all but a few answers stay under; 0 before the first answer. */
+  /** A duration in ms that few requests exceed; 0 before the first sample. */
   getLongestExpected(): number {
     return this.meanMs + LONGEST_EXPECTED_DEVIATIONS * this.deviationMs;
   }
--- a/packages/routing/src/queue/common/waitQueue.test.ts
+++ b/packages/routing/src/queue/common/waitQueue.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { WaitQueue } from './waitQueue.js';
 
-test('callers take turns, and the least time left goes first within one caller', () => {
+test('callers are served in turn, and requests of one caller by deadline', () => {
   const queue = new WaitQueue();
   for (const deadlineMs of [30, 10, 20]) queue.add({ caller: 'flood', deadlineMs });
   queue.add({ caller: 'quiet', deadlineMs: 99 });
@@ -16,7 +16,7 @@
   assert.equal(queue.size, 0);
 });
 
-test('a full queue makes room for a newcomer at the cost of the caller that holds most', () => {
+test('a full queue makes room at the expense of the caller with the most waiters', () => {
   const queue = new WaitQueue();
   for (const deadlineMs of [1, 2, 3]) queue.add({ caller: 'flood', deadlineMs });
   assert.equal(queue.takeFromLongest('flood'), undefined);
--- a/packages/routing/src/queue/common/waitQueue.ts
+++ b/packages/routing/src/queue/common/waitQueue.ts
@@ -1,11 +1,12 @@
 /**
- * Requests that wait for a slot. Callers take turns, so that one caller's burst does not hold up
- * the others; among one caller's requests the one with the least time left goes first.
+ * Queue of requests that wait for a slot. Callers are served in round-robin order, so that a burst
+ * from one caller does not delay the others; requests of one caller are ordered by deadline.
  */
 
-/** A request that waits. */
+/** A waiting request. */
 export interface IWaiter {
   readonly caller: string;
+  /** Instant on the monotonic clock, in ms. */
   readonly deadlineMs: number;
 }
 
@@ -18,16 +19,16 @@
  * const next = queue.take(() => true);
  */
 export class WaitQueue<T extends IWaiter> {
-  /** Insertion order is the order of turns: a caller that was served moves to the end. */
+  /** Insertion order is the round-robin order: a caller that was served moves to the end. */
   private readonly byCaller = new Map<string, T[]>();
   private count = 0;
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size(): number {
     return this.count;
   }
 
-  /** Adds a waiter in the order of its deadline among those of its caller. */
+  /** Inserts a waiter among those of its caller, ordered by deadline. */
   add(waiter: T): void {
     const waiters = this.byCaller.get(waiter.caller) ?? [];
     let index = waiters.length;
@@ -60,8 +61,8 @@
   }
 
   /**
-   * Makes room for a newcomer when the queue is full: gives the last waiter of the caller that has
-   * most of them, if that caller holds at least two more than the newcomer's.
+   * Makes room for a new request when the queue is full: removes and returns the last waiter of the
+   * caller with the most waiters, if it has at least two more than `newcomer`, the new request's caller.
    */
   takeFromLongest(newcomer: string): T | undefined {
     const victim = this.findReplaceable(newcomer);
@@ -69,12 +70,12 @@
     return victim;
   }
 
-  /** True when {@link takeFromLongest} would make room. */
+  /** True when {@link takeFromLongest} would remove a waiter. */
   hasRoomFor(newcomer: string): boolean {
     return this.findReplaceable(newcomer) !== undefined;
   }
 
-  /** Waiters that are ahead of a newcomer of this caller if turns are taken. */
+  /** Number of waiters that are served before a new request of this caller. */
   countAhead(caller: string): number {
     const own = this.byCaller.get(caller)?.length ?? 0;
     let ahead = own;
