--- a/packages/routing/src/detection/common/cumulativeSum.ts
+++ b/packages/routing/src/detection/common/cumulativeSum.ts
@@ -1,4 +1,4 @@
-/** Page's cumulative sum test: a log-likelihood ratio that is clamped at zero while it favours the baseline. */
+/** Page's cumulative sum test: a log-likelihood ratio that never falls below zero. */
 
 /**
  * Accumulates evidence that bad outcomes occur with probability `alternative` rather than `baseline`.
--- a/packages/routing/src/detection/common/sequentialDetector.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.ts
@@ -19,11 +19,14 @@
 const MAX_PROBABILITY = 0.98;
 /** Minimum ratio of the failure rate of a suspect to the current rate of its peers. */
 const COMMON_CAUSE_FACTOR = 3;
-/** Latencies yield about ten times as much evidence as failures, so chance requires a higher threshold. */
+/**
+ * Added to the threshold for slowness. Latencies yield about ten times as much evidence as failures,
+ * so random variation reaches a given sum more often.
+ */
 const SLOW_EXTRA_THRESHOLD_NATS = 3;
 /** Time for which peers' rates and latency limits are cached, in ms; they change slowly between outcomes. */
 const REFERENCE_MAX_AGE_MS = 100;
-/** A path fault is possible while responses make up less than this share of the failures. */
+/** A path fault is possible while failure responses make up less than this share of all failures. */
 const PATH_FAULT_MAX_ERROR_SHARE = 0.5;
 
 /**
@@ -170,7 +173,7 @@
 
   private recordFailureEvidence(evidence: IEvidence, stats: TargetStatistics): void {
     const isFailure = evidence.kind !== Evidence.Success;
-    if (evidence.kind === Evidence.Failure) stats.answeredFailures += 1;
+    if (evidence.kind === Evidence.Failure) stats.reportedFailures += 1;
     if (evidence.kind === Evidence.Silence) stats.silences += 1;
     stats.recordOutcome(isFailure);
     const baseline = this.getReference(evidence.target).failureRate;
@@ -220,14 +223,14 @@
       stats.resetEvidence();
       return undefined;
     }
-    const failures = stats.answeredFailures + stats.silences;
+    const failures = stats.reportedFailures + stats.silences;
     const percent = Math.round(100 * ownRate);
     return {
       target,
       reason: `fails ${percent}% against ${Math.round(100 * peerRate)}% of peers, ${sum.toFixed(1)} nats`,
       failureShare: ownRate,
       isSlow: false,
-      isPathFaultPossible: stats.answeredFailures < PATH_FAULT_MAX_ERROR_SHARE * failures,
+      isPathFaultPossible: stats.reportedFailures < PATH_FAULT_MAX_ERROR_SHARE * failures,
     };
   }
 
@@ -240,7 +243,7 @@
     }
     return {
       target,
-      reason: `${Math.round(100 * stats.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
+      reason: `${Math.round(100 * stats.slowRate)}% of responses slow against ${Math.round(100 * peerRate)}% of peers`,
       failureShare: stats.slowRate,
       isSlow: true,
       isPathFaultPossible: true,
--- a/packages/routing/src/detection/common/targetStatistics.ts
+++ b/packages/routing/src/detection/common/targetStatistics.ts
@@ -18,7 +18,7 @@
   slowRate = 0;
   outcomes = 0;
   /** Failures that the target itself reported in a response. */
-  answeredFailures = 0;
+  reportedFailures = 0;
   silences = 0;
   isCold = false;
   /** True after a reset, as on ejection; the target is then not used as a reference for peers. */
@@ -67,7 +67,7 @@
     this.slowSum.reset();
     this.shortRate = 0;
     this.slowRate = 0;
-    this.answeredFailures = 0;
+    this.reportedFailures = 0;
     this.silences = 0;
   }
 }
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -107,9 +107,8 @@
 });
 
 test('a failing target is demoted but not ejected while the store is unavailable', async () => {
-  // Symptom: during an outage of the store two homes eject down to nothing.
-  // Sequence: the ledger can't be asked; each home ejects what it suspects.
-  // Cause: no answer was taken for consent.
+  // If an unreachable ledger counted as a grant, two homes could eject all targets of a service
+  // during an outage of the store.
   const { breakNow, standings, table, home } = setUp(fail, 8);
   table.isDown = true;
   await breakNow();
@@ -148,7 +147,7 @@
   await fixture.home.dispose();
 });
 
-test('a target that the observer cannot reach is ejected', async () => {
+test('a silent target that the observer cannot reach either is ejected', async () => {
   const observer = new FixedObserver(false);
   const fixture = setUp(
     makeSilence(() => fixture),
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -13,7 +13,7 @@
 import { isPathFault } from './pathFault.js';
 import { RETRY_LEDGER_MS, TargetReturn } from './targetReturn.js';
 
-/** Delay before a second trial, in ms; longer than a burst of packet losses, so that one burst cannot fail both. */
+/** Delay before a second trial, in ms; longer than a burst of losses, so that one burst can't fail both. */
 const SECOND_TRIAL_MS = 500;
 const RETRY_PATH_MS = 2000;
 const DRAINING_PROBE_MS = 5000;
--- a/packages/routing/src/home/common/evidenceRecorder.ts
+++ b/packages/routing/src/home/common/evidenceRecorder.ts
@@ -20,7 +20,7 @@
 
 /** An attempt is overdue after this multiple of the 0.9 quantile of the peers' latencies. */
 const STALL_FACTOR = 3;
-/** A copy on a fresh connection must be answered within this multiple of the same quantile. */
+/** A copy on a fresh connection must get its response within this multiple of the same quantile. */
 const CHECK_FACTOR = 2;
 const MIN_STALL_MS = 20;
 /** Attempts to find a free slot for a check. A busy target soon has one; a stuck target never does. */
--- a/packages/routing/src/home/common/homeOptions.ts
+++ b/packages/routing/src/home/common/homeOptions.ts
@@ -54,7 +54,7 @@
   readonly metrics?: HomeMetrics;
   /** Called on every change of a health status. */
   readonly onHealthStatusChange?: (change: IHealthStatusChange) => void;
-  /** Health endpoint of targets for probes, and for trials until a request was recorded. Default '/health'. */
+  /** Path of targets for probes, and for trials until a request was recorded. Default '/health'. */
   readonly healthPath?: string;
   /** Whether a second attempt is sent in parallel to an overdue idempotent one. Default true. */
   readonly hedges?: boolean;
--- a/packages/routing/src/home/common/localHomeService.test.ts
+++ b/packages/routing/src/home/common/localHomeService.test.ts
@@ -32,8 +32,8 @@
     if (transport.sent.length === 1) return breakConnection(true)(request, options);
     return Promise.resolve(buildAnswer());
   };
-  const answer = await home.handle(buildRequest(), signal);
-  assert.equal(answer.runState, RunState.Ran);
+  const response = await home.handle(buildRequest(), signal);
+  assert.equal(response.runState, RunState.Ran);
   assert.equal(new Set(transport.sent).size, 2);
 });
 
@@ -56,8 +56,8 @@
     return Promise.resolve(buildAnswer());
   };
   const request = buildRequest({ route: buildRoute(false), idempotencyKey: 'k' });
-  const answer = await home.handle(request, signal);
-  assert.equal(answer.code, ResultCode.Ok);
+  const response = await home.handle(request, signal);
+  assert.equal(response.code, ResultCode.Ok);
 });
 
 test('a target that is draining or past its removal time gets no new requests', async () => {
@@ -74,7 +74,7 @@
   assert.deepEqual(new Set(transport.sent), new Set(['t2']));
 });
 
-test('requests never exceed the slots, and a full queue refuses with a retry time', async () => {
+test('requests never exceed the slots, and a full queue refuses truthfully with a retry time', async () => {
   const { home, transport, clock, answerAfter } = createHomeFixture(
     1,
     () => Promise.resolve(buildAnswer()),
--- a/packages/routing/src/home/common/localHomeService.ts
+++ b/packages/routing/src/home/common/localHomeService.ts
@@ -23,7 +23,7 @@
  *
  * @example
  * const home = new LocalHomeService({ configService, clock, random, transport, guard, ledger, invariants });
- * const answer = await home.handle(request, signal);
+ * const response = await home.handle(request, signal);
  */
 export class LocalHomeService extends HomeService implements IDisposable {
   private readonly context: IHomeContext;
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -63,7 +63,7 @@
   private readonly clock: Clock;
   private readonly random: RandomSource;
   private readonly queue = new WaitQueue<ISlotWaiter>();
-  private isServing = false;
+  private isServingQueue = false;
 
   constructor(options: ISlotPoolOptions) {
     this.service = options.service;
@@ -123,7 +123,7 @@
   estimateRefusal(slotRequest: ISlotRequest): MuxError | undefined {
     const leftMs = slotRequest.request.deadlineMs - this.clock.getMonotonicTime();
     if (leftMs <= 0) return makeDeadlinePassed();
-    if (!this.hasUsable(slotRequest.excluded)) {
+    if (!this.hasUsableTarget(slotRequest.excluded)) {
       return makeNoTarget(this.random.getJittered(NO_TARGET_RETRY_AFTER_MS));
     }
     if (this.queue.size === 0 && this.countFree() > 0) return undefined;
@@ -168,12 +168,12 @@
   /** Assigns free slots to waiting requests. Must be called whenever a slot may have become free. */
   serveWaiting(): void {
     // Finishing a waiter can synchronously release or reserve slots, which calls this method again.
-    if (this.isServing) return;
-    this.isServing = true;
+    if (this.isServingQueue) return;
+    this.isServingQueue = true;
     try {
       while (this.queue.size > 0 && this.countFree() > 0 && this.serveNext());
     } finally {
-      this.isServing = false;
+      this.isServingQueue = false;
     }
   }
 
@@ -263,7 +263,7 @@
     return this.countUsable((handle) => Math.max(0, handle.getAllowed() - handle.inUse));
   }
 
-  private hasUsable(excluded: ReadonlySet<string>): boolean {
+  private hasUsableTarget(excluded: ReadonlySet<string>): boolean {
     const wallTimeMs = this.clock.getWallTime();
     for (const handle of this.handles.values()) {
       if (handle.isUsable(wallTimeMs) && !excluded.has(handle.address)) return true;
--- a/packages/routing/src/home/common/streamedResponses.test.ts
+++ b/packages/routing/src/home/common/streamedResponses.test.ts
@@ -40,9 +40,9 @@
   const { home } = createHomeFixture(1, () =>
     Promise.resolve(buildAnswer({ body: new OpenBody() })),
   );
-  const answer = await home.handle(buildRequest(), signal);
+  const response = await home.handle(buildRequest(), signal);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 3);
-  assert.equal(await readAll(answer.body), 2);
+  assert.equal(await readAll(response.body), 2);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 4);
 });
 
@@ -51,8 +51,8 @@
   // were released there, callers that disconnect before the first byte would leak all slots of a target.
   const body = new OpenBody();
   const { home } = createHomeFixture(1, () => Promise.resolve(buildAnswer({ body })));
-  const answer = await home.handle(buildRequest(), signal);
-  await discardBody(answer.body);
+  const response = await home.handle(buildRequest(), signal);
+  await discardBody(response.body);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 4);
   assert.equal(body.isOpen, false);
 });
@@ -65,8 +65,8 @@
     const isFirst = transport.sent.length === 1;
     return Promise.resolve(isFirst ? buildAnswer({ status: 500, body }) : buildAnswer());
   };
-  const answer = await home.handle(buildRequest(), signal);
-  assert.equal(answer.status, 200);
+  const response = await home.handle(buildRequest(), signal);
+  assert.equal(response.status, 200);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 8);
   assert.equal(body.isOpen, false);
 });
