--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -1,10 +1,10 @@
 /** What targets have told this node in their answers about being sent more. */
 import type { Clock } from '@parsleymux/base';
-import type { ITargetAnswer } from '@parsleymux/routing';
+import type { ITargetResponse } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import { formatLife } from '../../catalog/common/catalog.js';
-import type { INamedLimit } from '../../grants/common/grant.js';
+import type { IAdvertisedLimit } from '../../grants/common/grant.js';
 import { parseRetryAfterMs } from './retryAfter.js';
 
 const RETRY_AFTER = 'retry-after';
@@ -36,7 +36,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Takes a whole answer of the target itself. */
-  record(target: ITargetRecord, answer: ITargetAnswer): void {
+  record(target: ITargetRecord, answer: ITargetResponse): void {
     const waitMs = answer.notRun ? this.getWaitMs(answer) : undefined;
     const { draining, rateLimit: ratePerS } = answer;
     const known = this.notices.get(formatLife(target));
@@ -55,7 +55,7 @@
   }
 
   /** Limits that some of the targets have named, the latest first. */
-  listLimits(targets: readonly ITargetRecord[]): readonly INamedLimit[] {
+  listLimits(targets: readonly ITargetRecord[]): readonly IAdvertisedLimit[] {
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
     const limits = targets.flatMap((target) => {
@@ -75,7 +75,7 @@
     return notice.isLeaving || this.clock.getMonotonicTime() < notice.waitUntilMs;
   }
 
-  private getWaitMs({ headers }: ITargetAnswer): number | undefined {
+  private getWaitMs({ headers }: ITargetResponse): number | undefined {
     const text = findHeader(headers, RETRY_AFTER);
     if (text === undefined) return undefined;
     const waitMs = parseRetryAfterMs(text, this.clock.getWallTime());
--- a/packages/dispatch/src/grants/common/homeSelector.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.ts
@@ -1,4 +1,4 @@
-/** Gets targets from the homes of services, and decides alone when none can be asked. */
+/** Obtains targets from the homes of services, and decides locally if none of them responds. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, IDisposable, Logger } from '@parsleymux/base';
 import type { ResultCode } from '@parsleymux/base';
@@ -7,8 +7,8 @@
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
 import type { HomeService } from '../../home/common/homeService.js';
 import type { DatagramChannel } from './datagramChannel.js';
-import type { GrantOutcome, IGrantRequest, IReportedAnswer } from './grant.js';
-import { NO_ANSWER } from './grant.js';
+import type { GrantOutcome, IGrantRequest, IReportedResponse } from './grant.js';
+import { NO_RESPONSE } from './grant.js';
 import {
   decodeBornMs,
   decodeSuspicion,
@@ -17,14 +17,14 @@
   encodeRate,
 } from './grantMessages.js';
 import { HomeHealth } from './homeHealth.js';
-import { HomeQuestion } from './homeQuestion.js';
+import { GrantRequestSender } from './grantRequestSender.js';
 import type { IGrant, Selection } from './targetSelector.js';
 import { TargetSelector } from './targetSelector.js';
 
-/** Homes that are asked before this node decides alone. */
-const HOMES_ASKED = 2;
-/** Waits between the sends of a report that nobody confirmed, in ms. */
-const REPORT_REPEATS_MS = [40, 150, 600];
+/** Number of homes tried before this node decides locally. */
+const MAX_HOMES_TRIED = 2;
+/** Delays between transmissions of an unconfirmed report, in ms. */
+const REPORT_RETRY_DELAYS_MS = [40, 150, 600];
 
 /** Options of a {@link HomeSelector}. */
 export interface IHomeSelectorOptions {
@@ -32,30 +32,31 @@
   readonly homes: HomeService;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Tells this start of the process from earlier ones. */
+  /** Distinguishes this process from earlier ones at the same address. */
   readonly incarnation: number;
-  /** Homes of a service, best first; this node's own address may be among them. */
+  /** Homes of a service in order of preference; may contain this node's own address. */
   readonly rankHomes: (service: string) => readonly string[];
   readonly findTarget: (id: string) => ITargetRecord | undefined;
 }
 
-interface IPendingQuestion {
+interface IPendingRequest {
   readonly home: string;
-  readonly question: HomeQuestion;
+  readonly requestSender: GrantRequestSender;
 }
 
-/** What one home said; undefined when it stayed silent. */
-type HomeAnswer = Selection | { readonly kind: 'unusable-target'; readonly id: string } | undefined;
+/** The response of one home; undefined if there was none. */
+type HomeResponse =
+  Selection | { readonly kind: 'unusable-target'; readonly id: string } | undefined;
 
 /**
- * Asks the homes of a service in their order. The wait for silent homes is bounded, so the loss of
- * a home costs precision and some tens of ms, never a request.
+ * Tries the homes of a service in order. The wait for unresponsive homes is bounded, so a crashed home
+ * costs accuracy and some tens of ms, but never a request.
  *
  * @example
  * const selection = await selector.choose(request, signal);
  */
 export class HomeSelector extends TargetSelector {
-  private readonly pending = new Map<bigint, IPendingQuestion>();
+  private readonly pending = new Map<bigint, IPendingRequest>();
   private readonly unconfirmed = new Map<bigint, IDisposable>();
   private readonly health: HomeHealth;
   private nextId = 1n;
@@ -68,52 +69,57 @@
   override async choose(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
     const { channel, clock, log } = this.options;
     const endMs = clock.getMonotonicTime() + request.remainingMs;
-    // Each home lets a request wait for as long as it is told, whatever other questions took.
-    const makeRepeat = (): IGrantRequest => {
+    // A home queues a request for the remaining time it receives, so earlier homes' time must be deducted.
+    const makeRepeatedRequest = (): IGrantRequest => {
       const remainingMs = Math.max(0, endMs - clock.getMonotonicTime());
       return { ...request, isRepeated: true, remainingMs };
     };
     const homes = this.options.rankHomes(request.service);
-    const audible = homes.filter((home) => !this.health.isSilent(home)).slice(0, HOMES_ASKED);
-    let asked = request;
-    for (const home of audible) {
+    const responsive = homes
+      .filter((home) => !this.health.isUnresponsive(home))
+      .slice(0, MAX_HOMES_TRIED);
+    let current = request;
+    for (const home of responsive) {
       if (home === channel.address) {
-        if (!this.options.homes.isInformed) continue;
-        return this.decideAlone(asked, signal);
+        if (!this.options.homes.hasReceivedTargets) continue;
+        return this.decideLocally(current, signal);
       }
-      const answer = await this.requestGrant(home, asked, signal);
-      // Counted by each home that hears of it, one request would earn the service several shares of
-      // a retry.
-      asked = makeRepeat();
-      if (answer?.kind === 'unusable-target') {
-        const excluded = [...request.excluded, answer.id];
-        return this.choose({ ...asked, excluded }, signal);
+      const response = await this.requestGrant(home, current, signal);
+      // If several homes counted the same request, it would increase the retry allowance several times.
+      current = makeRepeatedRequest();
+      if (response?.kind === 'unusable-target') {
+        const excluded = [...request.excluded, response.id];
+        return this.choose({ ...current, excluded }, signal);
       }
-      if (answer !== undefined) return answer;
-      this.health.recordSilence(home);
+      if (response !== undefined) return response;
+      this.health.recordNoResponse(home);
       log.warn('home is silent', { home, service: request.service });
     }
-    return this.decideAlone(this.removeLimited(asked), signal);
+    return this.decideLocally(this.removeLimitedTargets(current), signal);
   }
 
   /**
-   * A node that decides for itself knows nothing of what others send, so it avoids targets that name a
-   * limit over all nodes.
+   * A node that decides locally doesn't know what other nodes send, so it avoids targets that advertise a
+   * limit for all nodes together.
    */
-  private removeLimited(request: IGrantRequest): IGrantRequest {
-    const targets = this.options.homes.findBook(request.service)?.listTargets() ?? [];
-    const known = targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined);
-    const named = request.limits.map(({ targetId }) => targetId);
-    const excluded = [...request.excluded, ...named, ...known.map(({ record }) => record.id)];
+  private removeLimitedTargets(request: IGrantRequest): IGrantRequest {
+    const targets = this.options.homes.findScheduler(request.service)?.listTargets() ?? [];
+    const limited = targets.filter(({ rateLimit }) => rateLimit.ratePerS !== undefined);
+    const advertised = request.limits.map(({ targetId }) => targetId);
+    const excluded = [
+      ...request.excluded,
+      ...advertised,
+      ...limited.map(({ record }) => record.id),
+    ];
     return { ...request, excluded };
   }
 
-  /** Takes a decision that arrived. */
+  /** Handles a received decision. */
   handleDecision(sender: string, decision: Decision): void {
     const pending = this.pending.get(decision.askId);
     if (pending?.home !== sender) return;
-    this.health.recordAnswer(sender);
-    pending.question.handleDecision(decision);
+    this.health.recordResponse(sender);
+    pending.requestSender.handleDecision(decision);
   }
 
   handleReportReceived(askId: bigint): void {
@@ -121,31 +127,31 @@
     this.unconfirmed.delete(askId);
   }
 
-  /** A node said that it stops: it is not asked any more. */
+  /** Handles the shutdown notice of a node: no further requests are sent to it. */
   handleLeaving(sender: string): void {
-    this.health.recordSilence(sender);
+    this.health.recordNoResponse(sender);
   }
 
-  /** Resolves with undefined when the home stays silent; rejects when `signal` aborts. */
+  /** Resolves with undefined if the home does not respond; rejects if `signal` aborts. */
   private async requestGrant(
     home: string,
     request: IGrantRequest,
     signal: AbortSignal,
-  ): Promise<HomeAnswer> {
+  ): Promise<HomeResponse> {
     const { channel, clock, incarnation } = this.options;
     const id = this.nextId++;
-    const question = new HomeQuestion({
+    const requestSender = new GrantRequestSender({
       clock,
       signal,
       send: (elapsedMs) => {
-        const remaining = { ...request, remainingMs: request.remainingMs - elapsedMs };
-        channel.send(home, { case: 'ask', value: encodeAsk(remaining, id, incarnation) });
+        const remainingRequest = { ...request, remainingMs: request.remainingMs - elapsedMs };
+        channel.send(home, { case: 'ask', value: encodeAsk(remainingRequest, id, incarnation) });
       },
     });
-    this.pending.set(id, { home, question });
-    const decision = await question.run().finally(() => this.pending.delete(id));
+    this.pending.set(id, { home, requestSender });
+    const decision = await requestSender.run().finally(() => this.pending.delete(id));
     if (decision === undefined) {
-      // The home may have granted already, or will when a slot gets free.
+      // The home may already have granted a slot, or may grant one later if the request is queued.
       this.sendReport(home, id, request, undefined, 'abandoned', 0);
       signal.throwIfAborted();
       return undefined;
@@ -158,15 +164,15 @@
     id: bigint,
     request: IGrantRequest,
     decision: Decision,
-  ): HomeAnswer {
+  ): HomeResponse {
     if (decision.kind !== DecisionKind.GRANTED) {
       const code = decision.resultCode as ResultCode;
       return { kind: 'refused', code, retryAfterMs: decision.retryAfterMs, home };
     }
     const target = this.options.findTarget(decision.targetId);
-    // Either side may have older news: the home knows a target that this node has not heard of, or a
-    // home that stood still for a while grants one that this node knows to be leaving. Where they
-    // know different lives of a target, its address may have changed too.
+    // Either side may have older data: the home may know a target that this node has not learned of, or a
+    // home that was paused may grant one that this node knows to be draining. If they know different
+    // incarnations of a target, its address may have changed too.
     const isSameLife = target?.bornMs === decodeBornMs(decision.bornMs);
     if (target === undefined || target.isDraining || !isSameLife) {
       this.sendReport(home, id, request, undefined, 'abandoned', 0);
@@ -194,8 +200,8 @@
       home,
       suspicion: decodeSuspicion(decision),
       needsFreshConnection: decision.freshConnection,
-      report: (outcome, latencyMs, answer) => {
-        this.sendReport(home, id, request, target.id, outcome, latencyMs, answer);
+      report: (outcome, latencyMs, response) => {
+        this.sendReport(home, id, request, target.id, outcome, latencyMs, response);
       },
     };
   }
@@ -207,13 +213,13 @@
     targetId: string | undefined,
     outcome: GrantOutcome,
     latencyMs: number,
-    { answerBytes, isLeaving, rateLimit }: IReportedAnswer = NO_ANSWER,
+    { answerBytes, isDraining, rateLimit }: IReportedResponse = NO_RESPONSE,
   ): void {
     const rateLimitMilli = encodeRate(rateLimit);
     const value = create(ReportSchema, {
       ...(rateLimitMilli === undefined ? {} : { rateLimitMilli }),
       answerBytes,
-      leaving: isLeaving,
+      leaving: isDraining,
       askId,
       service: request.service,
       targetId: targetId ?? '',
@@ -224,7 +230,7 @@
     });
     const send = (repeat: number) => {
       this.options.channel.send(home, { case: 'report', value });
-      const delayMs = REPORT_REPEATS_MS[repeat];
+      const delayMs = REPORT_RETRY_DELAYS_MS[repeat];
       if (delayMs === undefined) {
         this.unconfirmed.delete(askId);
         return;
@@ -237,8 +243,8 @@
     send(0);
   }
 
-  private decideAlone(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
-    const book = this.options.homes.getBook(request.service);
+  private decideLocally(request: IGrantRequest, signal: AbortSignal): Promise<Selection> {
+    const scheduler = this.options.homes.getScheduler(request.service);
     const home = this.options.channel.address;
     return new Promise((resolve, reject) => {
       if (signal.aborted) {
@@ -246,19 +252,19 @@
         return;
       }
       const onAbort = () => {
-        book.recordOutcome(ticket, 'abandoned', 0);
+        scheduler.recordOutcome(ticket, 'abandoned', 0);
         reject(toError(signal.reason));
       };
       signal.addEventListener('abort', onAbort, { once: true });
-      const ticket = book.requestGrant(request, home, (decision) => {
+      const ticket = scheduler.requestGrant(request, home, (decision) => {
         signal.removeEventListener('abort', onAbort);
         if (decision.kind === 'refused') {
           resolve({ ...decision, home });
           return;
         }
         const { needsFreshConnection, suspicion, target } = decision;
-        const report = (outcome: GrantOutcome, latencyMs: number, answer?: IReportedAnswer) => {
-          book.recordOutcome(ticket, outcome, latencyMs, answer);
+        const report = (outcome: GrantOutcome, latencyMs: number, response?: IReportedResponse) => {
+          scheduler.recordOutcome(ticket, outcome, latencyMs, response);
         };
         const grant = { target, home, suspicion, needsFreshConnection, report };
         resolve({ kind: 'granted', grant });
--- a/packages/routing/src/ejection/common/copySender.ts
+++ b/packages/routing/src/ejection/common/copySender.ts
@@ -82,7 +82,7 @@
         body: sample.body,
         timeoutMs: copy.timeoutMs,
       },
-      { signal, freshConnection: true, maxAnswerBytes: this.context.maxResponseBytes },
+      { signal, freshConnection: true, maxResponseBytes: this.context.maxResponseBytes },
     );
     return {
       succeeded: response.status < FIRST_SERVER_ERROR && !response.notRun,
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -6,7 +6,7 @@
 import type { IDisposable } from '@parsleymux/base';
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
 import { EjectionDecision } from '../../ledger/common/ejectionLedger.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 import { sendEvidenceCopy } from './evidenceCopy.js';
@@ -56,8 +56,8 @@
 
   /** Handles a report of the target that it is draining. */
   handleDraining(handle: TargetHandle): void {
-    if (handle.standing === Standing.Draining) return;
-    this.targetReturn.setHealthStatus(handle, Standing.Draining, 'reports that it is draining');
+    if (handle.standing === HealthStatus.Draining) return;
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Draining, 'reports that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
@@ -71,7 +71,7 @@
     for (const address of this.targetReturn.listEjected()) {
       const handle = this.environment.pool.handles.get(address);
       if (handle === undefined || this.tasks.has(address)) continue;
-      this.targetReturn.setHealthStatus(handle, Standing.Ejected, 'ejected in the ledger');
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, 'ejected in the ledger');
       const suspicion = { ...LEDGER_SUSPICION, target: address };
       this.startTask(handle, () => this.waitAndReturn(handle, suspicion));
     }
@@ -90,7 +90,7 @@
         if (this.abort.signal.aborted) return;
         this.targetReturn.setHealthStatus(
           handle,
-          Standing.Serving,
+          HealthStatus.Serving,
           `task failed: ${String(error)}`,
         );
       })
@@ -100,7 +100,7 @@
         this.environment.pool.serveWaiting();
         // The target reported that it is draining while another task was running.
         const isActive = this.targetReturn.isConfigured(handle) && !this.abort.signal.aborted;
-        if (handle.standing === Standing.Draining && isActive) {
+        if (handle.standing === HealthStatus.Draining && isActive) {
           this.startTask(handle, () => this.waitWhileDraining(handle));
         }
       });
@@ -109,11 +109,11 @@
 
   private async runSuspicion(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     const { traits } = this.detector;
-    this.targetReturn.setHealthStatus(handle, Standing.Suspect, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
       // The evidence is kept, so that a target that does fail is suspected again sooner.
-      this.targetReturn.setHealthStatus(handle, Standing.Serving, '');
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Serving, '');
       return;
     }
     if (
@@ -123,7 +123,7 @@
     ) {
       this.targetReturn.setHealthStatus(
         handle,
-        Standing.Suspect,
+        HealthStatus.Suspect,
         `path fault: ${suspicion.reason}`,
       );
       return this.waitForPath(handle, suspicion);
@@ -147,7 +147,7 @@
       if (decision === EjectionDecision.Granted) break;
       this.targetReturn.setHealthStatus(
         handle,
-        Standing.Suspect,
+        HealthStatus.Suspect,
         `${decision}: ${suspicion.reason}`,
       );
       this.detector.reset(handle.address);
@@ -158,7 +158,7 @@
         return;
       }
     }
-    this.targetReturn.setHealthStatus(handle, Standing.Ejected, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, suspicion.reason);
     return this.waitAndReturn(handle, suspicion);
   }
 
@@ -176,10 +176,10 @@
       if (!this.targetReturn.listEjected().has(handle.address)) {
         // Another node ended the ejection, so the ledger counts the slots as healthy. Excluding the
         // target without a new grant would violate the floor unnoticed.
-        this.targetReturn.setHealthStatus(handle, Standing.Suspect, reason);
+        this.targetReturn.setHealthStatus(handle, HealthStatus.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
-      this.targetReturn.setHealthStatus(handle, Standing.Ejected, reason);
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, reason);
     }
     await this.targetReturn.returnInLedger(handle);
   }
@@ -200,11 +200,15 @@
       // One silent trial may be due to a burst of packet losses; until a second one fails as well,
       // the target remains usable as the last choice.
       silentTrials = goodCopies === 0 ? silentTrials + 1 : 0;
-      if (silentTrials >= MAX_SILENT_TRIALS && !handle.isCutOff) {
-        handle.isCutOff = true;
-        this.targetReturn.setHealthStatus(handle, Standing.Suspect, `cut off: ${suspicion.reason}`);
+      if (silentTrials >= MAX_SILENT_TRIALS && !handle.isLocallyUnreachable) {
+        handle.isLocallyUnreachable = true;
+        this.targetReturn.setHealthStatus(
+          handle,
+          HealthStatus.Suspect,
+          `cut off: ${suspicion.reason}`,
+        );
       }
-      await this.targetReturn.sleep(handle.isCutOff ? RETRY_PATH_MS : SECOND_TRIAL_MS);
+      await this.targetReturn.sleep(handle.isLocallyUnreachable ? RETRY_PATH_MS : SECOND_TRIAL_MS);
       if (!this.targetReturn.isConfigured(handle)) return;
     }
     this.targetReturn.serve(handle);
@@ -228,10 +232,10 @@
     const others = [...this.environment.pool.handles.values()];
     const unhealthy = others.filter((other) => {
       const isWarmingOrDraining =
-        other.standing === Standing.Cold || other.standing === Standing.Draining;
+        other.standing === HealthStatus.Cold || other.standing === HealthStatus.Draining;
       return (
         other !== handle &&
-        (isWarmingOrDraining || other.standing === Standing.Trial || other.isCutOff)
+        (isWarmingOrDraining || other.standing === HealthStatus.Trial || other.isLocallyUnreachable)
       );
     });
     const addresses = unhealthy.map((other) => other.address);
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -1,6 +1,6 @@
 /** Returns an ejected, cold or locally unreachable target to service: wait, trial, warm-up and ledger. */
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
-import { Standing } from '../../target/common/targetHandle.js';
+import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { EjectionBackoff } from './ejectionBackoff.js';
 import type { IEjectionEnvironment } from './ejectionEnvironment.js';
@@ -62,7 +62,8 @@
   async runTargetTrial(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
     const { clock, sender, sampler } = this.environment;
     const before = handle.standing;
-    if (before === Standing.Ejected) this.setHealthStatus(handle, Standing.Trial, handle.evidence);
+    if (before === HealthStatus.Ejected)
+      this.setHealthStatus(handle, HealthStatus.Trial, handle.evidence);
     const result = await runTrial({
       clock,
       sender,
@@ -83,16 +84,16 @@
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setHealthStatus(handle, Standing.Cold, 'recently started or returned');
+    this.setHealthStatus(handle, HealthStatus.Cold, 'recently started or returned');
     const endMs = this.getNow() + COLD_MS;
-    for (const ramp of WARM_UP_FACTORS) {
-      handle.ramp = ramp;
+    for (const factor of WARM_UP_FACTORS) {
+      handle.warmUpFactor = factor;
       this.environment.pool.serveWaiting();
       const stepEndMs = this.getNow() + WARM_UP_STEP_MS;
       await this.sleepUnlessRelapsed(handle, stepEndMs);
     }
     await this.sleepUnlessRelapsed(handle, endMs);
-    handle.ramp = 1;
+    handle.warmUpFactor = 1;
     this.detector.setCold(handle.address, false);
     if (!this.relapsed.has(handle.address)) this.serve(handle);
   }
@@ -100,12 +101,12 @@
   /** Lets the target serve without restrictions. */
   serve(handle: TargetHandle): void {
     // The target may meanwhile have reported that it is draining.
-    if (handle.standing === Standing.Draining) return;
-    handle.isCutOff = false;
+    if (handle.standing === HealthStatus.Draining) return;
+    handle.isLocallyUnreachable = false;
     // Evidence that was recorded while the target was excluded must not count after its return.
     this.detector.reset(handle.address);
     this.getBackoff(handle).recordReturn(this.getNow());
-    this.setHealthStatus(handle, Standing.Serving, '');
+    this.setHealthStatus(handle, HealthStatus.Serving, '');
   }
 
   /**
@@ -143,8 +144,8 @@
   }
 
   /** Changes the health status of the target and reports the change. */
-  setHealthStatus(handle: TargetHandle, standing: Standing, reason: string): void {
-    handle.setStanding(standing, reason, this.getNow());
+  setHealthStatus(handle: TargetHandle, standing: HealthStatus, reason: string): void {
+    handle.setHealthStatus(standing, reason, this.getNow());
     this.environment.notifyHealthStatus(handle);
   }
 
--- a/packages/routing/src/guard/common/dispatchGuard.ts
+++ b/packages/routing/src/guard/common/dispatchGuard.ts
@@ -1,6 +1,6 @@
 /** Guards the dispatch of non-idempotent requests at their home. */
 import type { MuxError } from '@parsleymux/base';
-import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
+import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
 
 /** An attempt whose execution the guard controls. */
 export interface IGuardedAttempt {
@@ -11,11 +11,11 @@
    * Queues the request and dispatches it at most once. Rejects with a MuxError whose run state is
    * truthful: NotRun only if no byte was sent or the target reported that it did not run the request.
    */
-  run(signal: AbortSignal): Promise<IAnswer>;
+  run(signal: AbortSignal): Promise<IResponse>;
 }
 
 /** Ensures that a non-idempotent request runs at most once in the whole fleet. */
 export abstract class DispatchGuard {
   /** Returns the response of the single execution, which may be an earlier one. */
-  abstract execute(attempt: IGuardedAttempt, signal: AbortSignal): Promise<IAnswer>;
+  abstract execute(attempt: IGuardedAttempt, signal: AbortSignal): Promise<IResponse>;
 }
--- a/packages/routing/src/home/common/localHomeService.test.ts
+++ b/packages/routing/src/home/common/localHomeService.test.ts
@@ -5,7 +5,7 @@
 import { TargetState } from '@parsleymux/schema';
 import type { Respond } from '../../test/common/builders.js';
 import {
-  buildAnswer,
+  buildResponse,
   buildRequest,
   buildRoute,
   buildService,
@@ -27,10 +27,10 @@
 }
 
 test('a failed idempotent request is retried on another target', async () => {
-  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(true)(request, options);
-    return Promise.resolve(buildAnswer());
+    return Promise.resolve(buildResponse());
   };
   const response = await home.handle(buildRequest(), signal);
   assert.equal(response.runState, RunState.Ran);
@@ -53,7 +53,7 @@
   transport.respond = (request, options) => {
     if (transport.sent.length === 1) return breakConnection(false)(request, options);
     options.onDispatch?.();
-    return Promise.resolve(buildAnswer());
+    return Promise.resolve(buildResponse());
   };
   const request = buildRequest({ route: buildRoute(false), idempotencyKey: 'k' });
   const response = await home.handle(request, signal);
@@ -62,7 +62,7 @@
 
 test('a target that is draining or past its removal time gets no new requests', async () => {
   const { home, transport, configService } = createHomeFixture(3, () =>
-    Promise.resolve(buildAnswer()),
+    Promise.resolve(buildResponse()),
   );
   await home.handle(buildRequest(), signal);
   const service = buildService(3);
@@ -75,14 +75,14 @@
 });
 
 test('requests never exceed the slots, and a full queue refuses truthfully with a retry time', async () => {
-  const { home, transport, clock, answerAfter } = createHomeFixture(
+  const { home, transport, clock, respondAfter } = createHomeFixture(
     1,
-    () => Promise.resolve(buildAnswer()),
+    () => Promise.resolve(buildResponse()),
     {
       queueFactor: 1,
     },
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const requests = Array.from({ length: 9 }, () => home.handle(buildRequest(), signal));
   const settled = Promise.allSettled(requests);
   await clock.advanceBy(50);
@@ -98,10 +98,10 @@
 });
 
 test('a caller disconnect cancels a read but not a booking', async () => {
-  const { home, transport, clock, answerAfter } = createHomeFixture(1, () =>
-    Promise.resolve(buildAnswer()),
+  const { home, transport, clock, respondAfter } = createHomeFixture(1, () =>
+    Promise.resolve(buildResponse()),
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const abort = new AbortController();
   const booking = home.handle(
     buildRequest({ route: buildRoute(false), idempotencyKey: 'k' }),
@@ -120,13 +120,13 @@
 test('a flood from one member is limited to its share, and another member is served', async () => {
   // If requests were admitted in order of arrival, a flood from one member would use all places of the
   // node, and requests of other members would be refused.
-  const { home, transport, clock, answerAfter } = createHomeFixture(
+  const { home, transport, clock, respondAfter } = createHomeFixture(
     4,
-    () => Promise.resolve(buildAnswer()),
+    () => Promise.resolve(buildResponse()),
     { queueFactor: 10 },
     { maxInFlight: 20 },
   );
-  transport.respond = answerAfter(100);
+  transport.respond = respondAfter(100);
   const quiet = home.handle(buildRequest({ member: OTHER_MEMBER }), signal);
   const flood = Array.from({ length: 40 }, () => home.handle(buildRequest(), signal));
   const settled = Promise.allSettled(flood);
@@ -141,7 +141,7 @@
 });
 
 test('an idle home is closed and recreated by the next request', async () => {
-  const { home, clock } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, clock } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   await home.handle(buildRequest(), signal);
   assert.equal(home.getStatus().length, 1);
   await clock.advanceBy(200_000);
--- a/packages/routing/src/home/common/serviceHome.ts
+++ b/packages/routing/src/home/common/serviceHome.ts
@@ -5,17 +5,17 @@
 import type { AttemptOutcome } from '../../attempt/common/attemptOutcome.js';
 import {
   discardOutcome,
-  isGood,
+  isSuccessful,
   isProvablyNotRun,
-  isWorthRetrying,
-  toAnswer,
+  isRetryable,
+  toResponse,
 } from '../../attempt/common/attemptOutcome.js';
 import type { IRunningAttempt } from '../../attempt/common/hedgedAttempt.js';
 import { runHedged } from '../../attempt/common/hedgedAttempt.js';
 import { makeDeadlinePassed } from '../../refusal/common/refusals.js';
 import { AttemptRunner, DispatchCount } from '../../attempt/common/attemptRunner.js';
 import { RetryBudget } from '../../budget/common/retryBudget.js';
-import type { IAnswer, IRoutedRequest } from '../../request/common/request.js';
+import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
 import { EvidenceRecorder } from './evidenceRecorder.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { ISlot } from './slotPool.js';
@@ -90,7 +90,7 @@
   }
 
   /** Serves one request. Rejects with a MuxError. */
-  async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  async handle(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     this.inFlight += 1;
     this.lastUsedMs = this.context.clock.getMonotonicTime();
     try {
@@ -109,7 +109,7 @@
   }
 
   /** Attempts one target after another, while a retry is safe and the budget allows it. */
-  private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IAnswer> {
+  private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
     const state: IRequestState = { request, signal, count: new DispatchCount(), tried: new Set() };
     try {
       return await this.tryTargets(state);
@@ -118,7 +118,7 @@
     }
   }
 
-  private async tryTargets(state: IRequestState): Promise<IAnswer> {
+  private async tryTargets(state: IRequestState): Promise<IResponse> {
     let last: AttemptOutcome | undefined;
     for (;;) {
       const slot = await this.waitForSlot(state, last);
@@ -133,7 +133,7 @@
       if (!this.isRetryAllowed(state, last)) break;
     }
     if (last === undefined) throw new Error('no attempt was made');
-    return toAnswer(last, this.pool.computeRetryAfter());
+    return toResponse(last, this.pool.computeRetryAfter());
   }
 
   private isDeadlinePassed(deadlineMs: number): boolean {
@@ -162,8 +162,8 @@
     const outcome = await runHedged({
       clock: this.context.clock,
       first: this.startAttempt(state, slot, stall),
-      stallMs: this.evidenceRecorder.getStallLimit(request, slot.handle),
-      onStall: () => {
+      hedgeDelayMs: this.evidenceRecorder.getStallLimit(request, slot.handle),
+      onOverdue: () => {
         stall.isStalled = this.evidenceRecorder.recordStall(request, slot.handle, isFresh);
         return this.startHedge(state);
       },
@@ -219,18 +219,18 @@
     outcome: AttemptOutcome,
     durationMs: number,
   ): void {
-    if (isGood(outcome)) {
+    if (isSuccessful(outcome)) {
       this.budget.recordSuccess();
       this.pool.recordServiceTime(route, durationMs);
       slot.handle.recordAccepted();
-    } else if (outcome.kind === 'answered' && outcome.answer.notRun) {
+    } else if (outcome.kind === 'answered' && outcome.response.notRun) {
       this.context.metrics.sheds.inc(this.labels);
       slot.handle.recordShed();
     }
   }
 
   private isRetryAllowed(state: IRequestState, outcome: AttemptOutcome): boolean {
-    if (state.signal.aborted || !isWorthRetrying(outcome)) return false;
+    if (state.signal.aborted || !isRetryable(outcome)) return false;
     if (!state.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
     if (!this.budget.spend()) return false;
     this.context.metrics.retries.inc(this.labels);
@@ -240,7 +240,7 @@
   /** Ensures that a refusal is truthful about all attempts of the request, not just the last. */
   private checkRefusal(state: IRequestState, error: unknown): unknown {
     if (!(error instanceof MuxError)) return error;
-    const mayHaveRun = state.count.isMaybeRun();
+    const mayHaveRun = state.count.hasPossiblyRun();
     const truthful = mayHaveRun ? error.toMayHaveRun() : error;
     this.context.invariants.check(
       InvariantName.TruthfulRefusal,
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -255,12 +255,12 @@
   private countAllowed(): number {
     return Math.max(
       1,
-      this.countUsable((handle) => handle.getAllowed()),
+      this.countUsable((handle) => handle.getEffectiveLimit()),
     );
   }
 
   private countFree(): number {
-    return this.countUsable((handle) => Math.max(0, handle.getAllowed() - handle.inUse));
+    return this.countUsable((handle) => Math.max(0, handle.getEffectiveLimit() - handle.inUse));
   }
 
   private hasUsableTarget(excluded: ReadonlySet<string>): boolean {
--- a/packages/routing/src/home/common/streamedResponses.test.ts
+++ b/packages/routing/src/home/common/streamedResponses.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MuxError, RunState } from '@parsleymux/base';
-import type { AnswerBody } from '../../request/common/request.js';
-import { discardBody } from '../../request/common/answerBody.js';
-import { buildAnswer, buildRequest, MEMBER, SERVICE } from '../../test/common/builders.js';
+import type { ResponseBody } from '../../request/common/request.js';
+import { discardBody } from '../../request/common/responseBody.js';
+import { buildResponse, buildRequest, MEMBER, SERVICE } from '../../test/common/builders.js';
 import { createHomeFixture } from '../../test/common/homeFixture.js';
 import { TransportError, TransportFailure } from '../../transport/common/targetTransport.js';
 
@@ -29,7 +29,7 @@
   }
 }
 
-async function readAll(body: AnswerBody): Promise<number> {
+async function readAll(body: ResponseBody): Promise<number> {
   if (body instanceof Uint8Array) return body.length;
   let length = 0;
   for await (const chunk of body) length += chunk.length;
@@ -38,7 +38,7 @@
 
 test('a streamed response holds its slot until it was read to the end', async () => {
   const { home } = createHomeFixture(1, () =>
-    Promise.resolve(buildAnswer({ body: new OpenBody() })),
+    Promise.resolve(buildResponse({ body: new OpenBody() })),
   );
   const response = await home.handle(buildRequest(), signal);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 3);
@@ -50,7 +50,7 @@
   // A generator that was never started does not run its finally block when it is discarded. If the slot
   // were released there, callers that disconnect before the first byte would leak all slots of a target.
   const body = new OpenBody();
-  const { home } = createHomeFixture(1, () => Promise.resolve(buildAnswer({ body })));
+  const { home } = createHomeFixture(1, () => Promise.resolve(buildResponse({ body })));
   const response = await home.handle(buildRequest(), signal);
   await discardBody(response.body);
   assert.equal(home.getSpareSlots(MEMBER, SERVICE), 4);
@@ -60,10 +60,10 @@
 test('a retried request releases slot and connection of a large error response', async () => {
   // A target responds 500 with a body above the buffer limit; its stream is discarded unread.
   const body = new OpenBody();
-  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildAnswer()));
+  const { home, transport } = createHomeFixture(2, () => Promise.resolve(buildResponse()));
   transport.respond = () => {
     const isFirst = transport.sent.length === 1;
-    return Promise.resolve(isFirst ? buildAnswer({ status: 500, body }) : buildAnswer());
+    return Promise.resolve(isFirst ? buildResponse({ status: 500, body }) : buildResponse());
   };
   const response = await home.handle(buildRequest(), signal);
   assert.equal(response.status, 200);
@@ -75,7 +75,7 @@
   // The connection to the first target breaks after dispatch, and the second target refuses connections.
   // If only the last attempt counted, the caller would receive "not run" for an executed request.
   const { home, transport, invariants } = createHomeFixture(2, () =>
-    Promise.resolve(buildAnswer()),
+    Promise.resolve(buildResponse()),
   );
   transport.respond = (_request, options) => {
     const mayHaveRun = transport.sent.length === 1;
