--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -1,25 +1,25 @@
-/** Sends one attempt of a request to one target, and judges what came of it. */
+/** Sends one attempt of a request to one target and determines its outcome. */
 import type { Clock } from '@parsleymux/base';
 import type { Header, TargetTransport } from '@parsleymux/routing';
 import type { ITargetRecord } from '../../catalog/common/catalog.js';
-import { formatLife } from '../../catalog/common/catalog.js';
+import { formatIncarnation } from '../../catalog/common/catalog.js';
 import { GrantOutcome, hasCompleteResponse } from '../../grants/common/grant.js';
 import type { KeyChecker } from '../../tenants/common/keyChecker.js';
-import type { AnswerCheck, IAttemptResult } from './attemptOutcome.js';
-import { decideAnswerOutcome, decideFailureOutcome } from './attemptOutcome.js';
+import type { ResponseCheck, IAttemptResult } from './attemptOutcome.js';
+import { decideResponseOutcome, decideFailureOutcome } from './attemptOutcome.js';
 import type { IEntryRequest } from './entryRequest.js';
 import type { TargetNotices } from './targetNotices.js';
 
-/** Answers above this size are not taken, in bytes: half of what a small VM can spare. */
-const MAX_ANSWER_BYTES = 67_108_864;
-/** The target is told to stop this much sooner, in ms, so that its own last word still arrives. */
+/** Largest accepted response, in bytes: half of the memory that a small VM can spare. */
+const MAX_RESPONSE_BYTES = 67_108_864;
+/** The target gets a deadline this much earlier, in ms, so that its own timeout response still arrives. */
 const TARGET_MARGIN_MS = 20;
 
-/** A target was granted that may not be used any more, or the request's key has ended meanwhile. */
+/** The granted target may no longer be used, or the request's key has been revoked in the meantime. */
 const NOT_SENT: IAttemptResult = {
   outcome: GrantOutcome.Abandoned,
   mayHaveRun: false,
-  answer: undefined,
+  response: undefined,
 };
 
 /** Options of an {@link AttemptSender}. */
@@ -28,19 +28,21 @@
   readonly transport: TargetTransport;
   readonly notices: TargetNotices;
   readonly keys: KeyChecker;
-  readonly isAuthentic: AnswerCheck;
-  /** Headers that are added for one target. */
+  readonly isAuthentic: ResponseCheck;
+  /** Headers to add for a particular target. */
   readonly listTargetHeaders: (targetId: string) => readonly Header[];
 }
 
 /** How one attempt is sent. */
 export interface ISendAttemptOptions {
   readonly signal: AbortSignal;
-  /** Whether a kept connection must not be used. */
+  /** Whether the attempt must use a new connection. */
   readonly needsFreshConnection: boolean;
 }
 
 /**
+ * Sends attempts and records the notices of targets.
+ *
  * @example
  * const { outcome } = await sender.send(request, target, { signal, needsFreshConnection: false });
  */
@@ -53,16 +55,16 @@
     { needsFreshConnection: freshConnection, signal }: ISendAttemptOptions,
   ): Promise<IAttemptResult> {
     const { clock, isAuthentic, keys, listTargetHeaders, notices, transport } = this.options;
-    // The grant may have waited in a queue; the target may have told this node meanwhile.
+    // While the grant waited in a queue, the target may have announced that it is draining or overloaded.
     if (notices.isExcluded(target)) return NOT_SENT;
     if (keys.checkAgain(request.sender, request.route).kind === 'refused') return NOT_SENT;
     const remainingMs = request.deadlineMs - clock.getMonotonicTime();
     try {
-      const answer = await transport.send(
+      const response = await transport.send(
         {
           target: target.address,
-          // Connections to a former life lead nowhere, or hang: each life has its own.
-          member: formatLife(target),
+          // Connections to an earlier incarnation are dead or hang, so each incarnation has its own.
+          member: formatIncarnation(target),
           method: request.method,
           path: request.path,
           headers: [...request.headers, ...listTargetHeaders(target.id)],
@@ -70,11 +72,11 @@
           timeoutMs: remainingMs,
           targetTimeoutMs: Math.max(1, remainingMs - TARGET_MARGIN_MS),
         },
-        { signal, maxResponseBytes: MAX_ANSWER_BYTES, freshConnection },
+        { signal, maxResponseBytes: MAX_RESPONSE_BYTES, freshConnection },
       );
-      const result = decideAnswerOutcome(answer, isAuthentic);
-      // What is not the target's own answer may bear anything.
-      if (hasCompleteResponse(result.outcome)) notices.record(target, answer);
+      const result = decideResponseOutcome(response, isAuthentic);
+      // Headers of a response that is not the target's own can't be relied on.
+      if (hasCompleteResponse(result.outcome)) notices.record(target, response);
       return result;
     } catch (error) {
       return decideFailureOutcome(error);
--- a/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
@@ -12,8 +12,8 @@
 const WINDOW_MS = TENANT_BOUNDS.quotaWindowMs;
 const NODES = 110;
 
-/** What may run of a tenant in one window, over all nodes. */
-function computeMost({ burst, ratePerS = 0 }: ITenantRule): number {
+/** The most requests of a tenant that may run in one window, over all nodes. */
+function computeMaxPerWindow({ burst, ratePerS = 0 }: ITenantRule): number {
   const whole = (ratePerS * WINDOW_MS) / 1000 + burst;
   return whole * (1 + TENANT_BOUNDS.quotaExcess) + TENANT_BOUNDS.quotaSlack;
 }
@@ -38,14 +38,14 @@
   }
 }
 
-/** Requests of tenants, a second, by home. */
+/** Requests per second, by tenant and home. */
 type Demand = readonly (readonly number[])[];
 
 class Fleet {
   readonly clock = new ManualClock();
   readonly homes: Home[];
   tenants: ITenantRule[];
-  /** When each request was let in, by tenant. */
+  /** Times of the admitted requests, by tenant. */
   readonly admitted: number[][];
   readonly refused: number[];
   private readonly random: SeededRandom;
@@ -62,11 +62,11 @@
     return new Home(name, this.clock, seed);
   }
 
-  /** Another process takes over from a home; `knows`: it had their announcements before. */
-  replaceHome(index: number, knows: boolean): void {
+  /** Replaces a home by a new process, which may receive the others' announcements before it serves. */
+  replaceHome(index: number, receivesAnnouncements: boolean): void {
     const home = this.makeHome(`h${index}'${this.clock.getMonotonicTime()}`, index);
     this.homes[index] = home;
-    if (knows) this.announce();
+    if (receivesAnnouncements) this.announce();
   }
 
   async run(ms: number, demand: Demand): Promise<void> {
@@ -81,8 +81,8 @@
     }
   }
 
-  /** Most requests of a tenant in any window. */
-  countMost(tenant: number): number {
+  /** The most admitted requests of a tenant in any window. */
+  countMaxPerWindow(tenant: number): number {
     const times = this.admitted[tenant] ?? [];
     let first = 0;
     return times.reduce((most, atMs, index) => {
@@ -106,7 +106,7 @@
     };
     const uses = this.homes.map(({ name, shares }) => ({ name, use: shares.summarize(getLimit) }));
     for (const { name, use } of uses) {
-      for (const home of this.homes) if (home.name !== name) home.shares.take(name, use);
+      for (const home of this.homes) if (home.name !== name) home.shares.recordRemoteUse(name, use);
     }
   }
 }
@@ -119,7 +119,7 @@
 ];
 const SEEDS = Array.from({ length: 30 }, (_, index) => index + 1);
 
-test('tenants within their quotas are refused next to nothing, however it is divided', async () => {
+test('tenants within their quotas are almost never refused, however their requests are divided', async () => {
   for (const seed of SEEDS.slice(0, 5)) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(20_000, CALM);
@@ -129,8 +129,9 @@
   }
 });
 
-test('many small tenants are refused next to nothing by homes that start anew', async () => {
-  // Guards against: one request of a small tenant is taken for a rate near its limit, and divided away.
+test('many small tenants are almost never refused by homes that have just started', async () => {
+  // Guards against a single request of a small tenant that counts as a rate near its limit, so that the
+  // limit is divided by it.
   let refused = 0;
   let admitted = 0;
   for (const seed of SEEDS.slice(0, 5)) {
@@ -146,7 +147,7 @@
   assert.ok(refused <= admitted / 1000, `${refused} refused, ${admitted} admitted`);
 });
 
-test('a tenant that uses one service alone gets its whole quota there', async () => {
+test('a tenant that uses only one service gets its whole quota there', async () => {
   const fleet = new Fleet([SMALL, LARGE], 1);
   const demand: Demand = [
     [14, 0, 0],
@@ -158,8 +159,8 @@
   assert.ok((fleet.refused[0] ?? 0) - before <= 2, `${fleet.refused[0]} refused`);
 });
 
-test('a tenant that sends many times its quota stays below what a window may hold', async () => {
-  // Guards against: homes that divide a limit by what they know, and together exceed it.
+test('a tenant that sends many times its quota stays within the window limit', async () => {
+  // Guards against homes that divide a limit by different figures and exceed it together.
   for (const seed of SEEDS) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(3000, CALM);
@@ -168,43 +169,46 @@
       CALM.map((perHome) => perHome.map((perS) => perS * 7.5)),
     );
     for (const [index, tenant] of fleet.tenants.entries()) {
-      const most = fleet.countMost(index);
-      assert.ok(most <= computeMost(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
-      assert.ok(most >= computeMost(tenant) * 0.7, `seed ${seed}, ${tenant.name}: ${most} at most`);
+      const most = fleet.countMaxPerWindow(index);
+      assert.ok(most <= computeMaxPerWindow(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
+      assert.ok(
+        most >= computeMaxPerWindow(tenant) * 0.7,
+        `seed ${seed}, ${tenant.name}: ${most} at most`,
+      );
     }
   }
 });
 
-test('a tenant that has calmed down is named no more', async () => {
-  // Guards against: homes that answer each other's announcements go on naming a tenant for ever.
+test('a tenant whose rate has dropped is no longer reported', async () => {
+  // Guards against homes that report a tenant permanently by responding to each other's announcements.
   const fleet = new Fleet([SMALL, LARGE], 1);
   await fleet.run(
     4000,
     CALM.map((perHome) => perHome.map((perS) => perS * 7.5)),
   );
-  assert.ok(fleet.homes.every(({ shares }) => shares.isNamed(SMALL.name)));
+  assert.ok(fleet.homes.every(({ shares }) => shares.isReportedNearLimit(SMALL.name)));
   await fleet.run(12_000, CALM);
-  assert.ok(fleet.homes.every(({ shares }) => !shares.isNamed(SMALL.name)));
+  assert.ok(fleet.homes.every(({ shares }) => !shares.isReportedNearLimit(SMALL.name)));
 });
 
-test('homes that are replaced in series hand out nothing twice', async () => {
-  // Guards against: each home that takes over gives a hot tenant its share of the window anew.
+test('homes that are replaced one after the other do not grant a share twice', async () => {
+  // Guards against each new home granting an overloading tenant its share of the window again.
   for (const seed of SEEDS) {
     const fleet = new Fleet([SMALL, LARGE], seed);
-    const hot = CALM.map((perHome) => perHome.map((perS) => perS * 7.5));
-    await fleet.run(4000, hot);
+    const overload = CALM.map((perHome) => perHome.map((perS) => perS * 7.5));
+    await fleet.run(4000, overload);
     for (const index of [0, 1, 2]) {
       fleet.replaceHome(index, true);
-      await fleet.run(1500, hot);
+      await fleet.run(1500, overload);
     }
     for (const [index, tenant] of fleet.tenants.entries()) {
-      const most = fleet.countMost(index);
-      assert.ok(most <= computeMost(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
+      const most = fleet.countMaxPerWindow(index);
+      assert.ok(most <= computeMaxPerWindow(tenant), `seed ${seed}, ${tenant.name}: ${most}`);
     }
   }
 });
 
-test('a lowered quota holds one window later', async () => {
+test('a lowered quota is enforced one window later', async () => {
   for (const seed of SEEDS.slice(0, 5)) {
     const fleet = new Fleet([SMALL, LARGE], seed);
     await fleet.run(6000, CALM);
@@ -214,12 +218,12 @@
     await fleet.run(12_000, CALM);
     const later = (fleet.admitted[1] ?? []).filter((atMs) => atMs >= fromMs + WINDOW_MS);
     fleet.admitted[1] = later;
-    assert.ok(fleet.countMost(1) <= computeMost(lowered), `seed ${seed}`);
+    assert.ok(fleet.countMaxPerWindow(1) <= computeMaxPerWindow(lowered), `seed ${seed}`);
   }
 });
 
-test('nodes that reach no home stay below the limit together with the homes', () => {
-  // Guards against: a fleet that is cut in parts spends each tenant's limit in each of them.
+test('nodes that reach no home stay within the limit together with the homes', () => {
+  // Guards against a partitioned fleet that spends the limit of each tenant in every partition.
   for (const seed of SEEDS) {
     for (const tenant of [SMALL, LARGE]) {
       const clock = new ManualClock();
@@ -233,18 +237,18 @@
         }
       }
       const whole = ((tenant.ratePerS ?? 0) * WINDOW_MS) / 1000 + tenant.burst;
-      const extra = computeMost(tenant) - whole;
+      const extra = computeMaxPerWindow(tenant) - whole;
       assert.ok(admitted <= extra / 2, `seed ${seed}, ${tenant.name}: ${admitted} of ${extra}`);
     }
   }
 });
 
-test('a tenant without a limit is never refused, and what did not run is given back', () => {
+test('a tenant without a limit is never refused, and requests that did not run are released', () => {
   const clock = new ManualClock();
   const { quotas } = new Home('h', clock, 1);
-  const free: ITenantRule = { name: 'free', keys: [], burst: 0 };
+  const unlimited: ITenantRule = { name: 'free', keys: [], burst: 0 };
   for (let sent = 0; sent < 10_000; sent += 1) {
-    assert.equal(quotas.spend(free, 'home'), undefined);
+    assert.equal(quotas.spend(unlimited, 'home'), undefined);
   }
   for (let sent = 0; sent < 10_000; sent += 1) {
     assert.equal(quotas.spend(SMALL, 'home'), undefined);
