--- a/packages/node/src/app/node/nodeCore.ts
+++ b/packages/node/src/app/node/nodeCore.ts
@@ -176,8 +176,8 @@
       invariants,
       observer: new ConnectTargetObserver({ clients, membership, random, self }),
       metrics: new HomeMetrics(registry),
-      maxAnswerBytes: components.limits.answerBodyBytes,
-      onStandingChange: ({ member, service, target, standing, reason }) => {
+      maxResponseBytes: components.limits.answerBodyBytes,
+      onHealthStatusChange: ({ member, service, target, standing, reason }) => {
         log.info('target health status changed', { member, service, target, standing, reason });
       },
     }),
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -1,6 +1,6 @@
 /**
- * Turns suspicions into ejections and returns. One task a troubled target, written straight down:
- * demote, ask for a second opinion, ask the ledger, wait, try, ramp up.
+ * Turns suspicions into ejections and returns. Each suspected target has one sequential task: demote,
+ * confirm, consult an observer, request the ejection, wait, try, warm up.
  */
 import { setMaxListeners } from 'node:events';
 import type { IDisposable } from '@parsleymux/base';
@@ -8,44 +8,44 @@
 import { EjectionDecision } from '../../ledger/common/ejectionLedger.js';
 import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
-import type { IEjectionSurroundings } from './ejectionSurroundings.js';
+import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 import { sendEvidenceCopy } from './evidenceCopy.js';
-import { isPathFault } from './secondOpinion.js';
+import { isPathFault } from './pathFault.js';
 import { RETRY_LEDGER_MS, TargetReturn } from './targetReturn.js';
 
-/** Longer than a burst of losses, so that the second trial is not the tail of the first. */
+/** Delay before a second trial, in ms; longer than a burst of losses, so that one burst can't fail both. */
 const SECOND_TRIAL_MS = 500;
 const RETRY_PATH_MS = 2000;
 const DRAINING_PROBE_MS = 5000;
 const PROBE_TIMEOUT_MS = 1000;
-/** Trials in a row without one answer after which a path counts as cut. */
-const DEAD_TRIALS = 2;
+/** Consecutive trials without a successful copy after which a target counts as locally unreachable. */
+const MAX_SILENT_TRIALS = 2;
 
-/** What is assumed of a target that another home ejected. */
-const TAKEN_OVER: Omit<ISuspicion, 'target'> = {
+/** Suspicion assumed for a target that another home ejected. */
+const LEDGER_SUSPICION: Omit<ISuspicion, 'target'> = {
   reason: 'ejected in the ledger',
   failureShare: 1,
   isSlow: false,
-  isPathPossible: false,
+  isPathFaultPossible: false,
 };
 
-/** Watches over the standing of one service's targets. */
+/** Controls the health status of one service's targets. */
 export class EjectionController implements IDisposable {
   private readonly tasks = new Map<string, Promise<void>>();
   private readonly relapsed = new Map<string, ISuspicion>();
-  private readonly back: TargetReturn;
+  private readonly targetReturn: TargetReturn;
   private readonly detector: FailureDetector;
   private readonly abort = new AbortController();
 
-  constructor(private readonly surroundings: IEjectionSurroundings) {
-    // Every troubled target waits on this signal; the warning about many listeners is not for us.
+  constructor(private readonly environment: IEjectionEnvironment) {
+    // Every suspected target adds a listener to this signal, so the limit on listeners is lifted.
     setMaxListeners(0, this.abort.signal);
-    this.detector = surroundings.detector;
+    this.detector = environment.detector;
     const { relapsed } = this;
-    this.back = new TargetReturn({ surroundings, relapsed, signal: this.abort.signal });
+    this.targetReturn = new TargetReturn({ environment, relapsed, signal: this.abort.signal });
   }
 
-  /** Acts on a suspicion. */
+  /** Starts a task for the suspicion, or records a relapse if the target already has a task. */
   handleSuspicion(handle: TargetHandle, suspicion: ISuspicion): void {
     if (this.tasks.has(handle.address)) {
       this.relapsed.set(handle.address, suspicion);
@@ -54,25 +54,25 @@
     this.startTask(handle, () => this.runSuspicion(handle, suspicion));
   }
 
-  /** The target said that it is draining. */
+  /** Handles a report of the target that it is draining. */
   handleDraining(handle: TargetHandle): void {
     if (handle.standing === HealthStatus.Draining) return;
-    this.back.setStanding(handle, HealthStatus.Draining, 'says that it is draining');
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Draining, 'reports that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
-  /** A target that has just been configured is taken for cold. */
+  /** Warms up a newly configured target, which is assumed to be cold. */
   handleNew(handle: TargetHandle): void {
     this.startTask(handle, () => this.runWarmUp(handle));
   }
 
-  /** Takes over targets that some other home has ejected, or this one in an earlier life. */
+  /** Takes over targets that were ejected by another home or by an earlier incarnation of this one. */
   takeOverEjected(): void {
-    for (const address of this.back.listInLedger()) {
-      const handle = this.surroundings.pool.handles.get(address);
+    for (const address of this.targetReturn.listEjected()) {
+      const handle = this.environment.pool.handles.get(address);
       if (handle === undefined || this.tasks.has(address)) continue;
-      this.back.setStanding(handle, HealthStatus.Ejected, 'ejected in the ledger');
-      const suspicion = { ...TAKEN_OVER, target: address };
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, 'ejected in the ledger');
+      const suspicion = { ...LEDGER_SUSPICION, target: address };
       this.startTask(handle, () => this.waitAndReturn(handle, suspicion));
     }
   }
@@ -86,17 +86,21 @@
     if (this.tasks.has(address)) return;
     const task = run()
       .catch((error: unknown) => {
-        // Without a task the target would keep its standing for ever; serving is the safe end.
+        // Without a task the status would never change again; serving is the safe fallback.
         if (this.abort.signal.aborted) return;
-        this.back.setStanding(handle, HealthStatus.Serving, `task failed: ${String(error)}`);
+        this.targetReturn.setHealthStatus(
+          handle,
+          HealthStatus.Serving,
+          `task failed: ${String(error)}`,
+        );
       })
       .finally(() => {
         this.tasks.delete(address);
         this.relapsed.delete(address);
-        this.surroundings.pool.serveWaiting();
-        // It said so while another task had it in hand.
-        const isOurs = this.back.isConfigured(handle) && !this.abort.signal.aborted;
-        if (handle.standing === HealthStatus.Draining && isOurs) {
+        this.environment.pool.serveWaiting();
+        // The target reported that it is draining while another task was running.
+        const isActive = this.targetReturn.isConfigured(handle) && !this.abort.signal.aborted;
+        if (handle.standing === HealthStatus.Draining && isActive) {
           this.startTask(handle, () => this.waitWhileDraining(handle));
         }
       });
@@ -105,103 +109,117 @@
 
   private async runSuspicion(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     const { traits } = this.detector;
-    this.back.setStanding(handle, HealthStatus.Suspect, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Suspect, suspicion.reason);
     if (traits.confirmMs > 0) await this.confirm(handle);
     if (!this.detector.isConfirmed(suspicion)) {
-      // The evidence is kept: should it grow again, less of it is needed.
-      this.back.setStanding(handle, HealthStatus.Serving, '');
+      // The evidence is kept, so that a target that does fail is suspected again sooner.
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Serving, '');
       return;
     }
     if (
-      traits.asksObserver &&
-      suspicion.isPathPossible &&
-      (await this.checkPath(handle, suspicion))
+      traits.usesObserver &&
+      suspicion.isPathFaultPossible &&
+      (await this.hasPathFault(handle, suspicion))
     ) {
-      this.back.setStanding(handle, HealthStatus.Suspect, `path fault: ${suspicion.reason}`);
+      this.targetReturn.setHealthStatus(
+        handle,
+        HealthStatus.Suspect,
+        `path fault: ${suspicion.reason}`,
+      );
       return this.waitForPath(handle, suspicion);
     }
     return this.eject(handle, suspicion);
   }
 
-  /** Lets peers show what they do, and the suspect what it does with copies. */
+  /** Waits for further outcomes of peers, and sends copies to the suspect. */
   private async confirm(handle: TargetHandle): Promise<void> {
     const { confirmMs, confirmCopies } = this.detector.traits;
     const signal = this.abort.signal;
     const copies = Array.from({ length: confirmCopies }, () => {
-      return sendEvidenceCopy({ ...this.surroundings, handle, signal });
+      return sendEvidenceCopy({ ...this.environment, handle, signal });
     });
-    await Promise.all([this.back.sleep(confirmMs), ...copies]);
+    await Promise.all([this.targetReturn.sleep(confirmMs), ...copies]);
   }
 
   private async eject(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     for (;;) {
       const decision = await this.requestEjection(handle);
       if (decision === EjectionDecision.Granted) break;
-      this.back.setStanding(handle, HealthStatus.Suspect, `${decision}: ${suspicion.reason}`);
+      this.targetReturn.setHealthStatus(
+        handle,
+        HealthStatus.Suspect,
+        `${decision}: ${suspicion.reason}`,
+      );
       this.detector.reset(handle.address);
-      await this.back.sleep(RETRY_LEDGER_MS);
-      if (!this.back.isConfigured(handle)) return;
-      if (await this.back.isWellAgain(handle, suspicion.failureShare)) {
-        this.back.serve(handle);
+      await this.targetReturn.sleep(RETRY_LEDGER_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      if (await this.targetReturn.hasRecovered(handle, suspicion.failureShare)) {
+        this.targetReturn.serve(handle);
         return;
       }
     }
-    this.back.setStanding(handle, HealthStatus.Ejected, suspicion.reason);
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, suspicion.reason);
     return this.waitAndReturn(handle, suspicion);
   }
 
-  /** Waits, tries, ramps up; a relapse on the way starts over with twice the time. */
+  /** Waits, tries and warms up the target; a relapse starts over with a doubled ejection time. */
   private async waitAndReturn(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     for (;;) {
       this.detector.reset(handle.address);
       this.relapsed.delete(handle.address);
-      await this.back.waitOutEjection(handle);
-      if (!this.back.isConfigured(handle)) return;
-      const isWell = await this.back.isWellAgain(handle, suspicion.failureShare);
-      if (isWell) await this.back.runRamp(handle);
+      await this.targetReturn.waitForEjectionEnd(handle);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      const isWell = await this.targetReturn.hasRecovered(handle, suspicion.failureShare);
+      if (isWell) await this.targetReturn.runWarmUp(handle);
       if (isWell && !this.relapsed.has(handle.address)) break;
       const reason = isWell ? 'relapsed after its return' : 'failed its trial';
-      if (!this.back.listInLedger().has(handle.address)) {
-        // Someone else gave it back. The ledger counts its slots as healthy, so it may be left out
-        // only when the ledger agrees again; kept ejected here, the floor would break unseen.
-        this.back.setStanding(handle, HealthStatus.Suspect, reason);
+      if (!this.targetReturn.listEjected().has(handle.address)) {
+        // Another node ended the ejection, so the ledger counts the slots as healthy. Excluding the
+        // target without a new grant would violate the floor unnoticed.
+        this.targetReturn.setHealthStatus(handle, HealthStatus.Suspect, reason);
         return this.eject(handle, { ...suspicion, reason });
       }
-      this.back.setStanding(handle, HealthStatus.Ejected, reason);
+      this.targetReturn.setHealthStatus(handle, HealthStatus.Ejected, reason);
     }
-    await this.back.returnToLedger(handle);
+    await this.targetReturn.returnInLedger(handle);
   }
 
   private async runWarmUp(handle: TargetHandle): Promise<void> {
-    await this.back.runRamp(handle);
+    await this.targetReturn.runWarmUp(handle);
     const suspicion = this.relapsed.get(handle.address);
     this.relapsed.delete(handle.address);
     if (suspicion !== undefined) await this.runSuspicion(handle, suspicion);
   }
 
   private async waitForPath(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
-    let deadTrials = 0;
+    let silentTrials = 0;
     for (;;) {
-      const { isWell, goodCopies } = await this.back.tryOut(handle, suspicion.failureShare);
+      const { hasPassed: isWell, succeededCopies: goodCopies } =
+        await this.targetReturn.runTargetTrial(handle, suspicion.failureShare);
       if (isWell) break;
-      // One dead trial may be the tail of a burst of losses; until the second it is last choice.
-      deadTrials = goodCopies === 0 ? deadTrials + 1 : 0;
-      if (deadTrials >= DEAD_TRIALS && !handle.isLocallyUnreachable) {
+      // One silent trial may be due to a burst of packet losses; until a second one fails as well,
+      // the target remains usable as the last choice.
+      silentTrials = goodCopies === 0 ? silentTrials + 1 : 0;
+      if (silentTrials >= MAX_SILENT_TRIALS && !handle.isLocallyUnreachable) {
         handle.isLocallyUnreachable = true;
-        this.back.setStanding(handle, HealthStatus.Suspect, `cut off: ${suspicion.reason}`);
+        this.targetReturn.setHealthStatus(
+          handle,
+          HealthStatus.Suspect,
+          `cut off: ${suspicion.reason}`,
+        );
       }
-      await this.back.sleep(handle.isLocallyUnreachable ? RETRY_PATH_MS : SECOND_TRIAL_MS);
-      if (!this.back.isConfigured(handle)) return;
+      await this.targetReturn.sleep(handle.isLocallyUnreachable ? RETRY_PATH_MS : SECOND_TRIAL_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
     }
-    this.back.serve(handle);
+    this.targetReturn.serve(handle);
   }
 
   private async waitWhileDraining(handle: TargetHandle): Promise<void> {
-    const { samples, sender } = this.surroundings;
+    const { sampler, sender } = this.environment;
     for (;;) {
-      await this.back.sleep(DRAINING_PROBE_MS);
-      if (!this.back.isConfigured(handle)) return;
-      const sample = samples.getHealth();
+      await this.targetReturn.sleep(DRAINING_PROBE_MS);
+      if (!this.targetReturn.isConfigured(handle)) return;
+      const sample = sampler.getHealthSample();
       const signal = this.abort.signal;
       const copy = { handle, sample, timeoutMs: PROBE_TIMEOUT_MS, signal };
       const result = await sender.send(copy);
@@ -211,20 +229,20 @@
   }
 
   private requestEjection(handle: TargetHandle): Promise<EjectionDecision> {
-    const others = [...this.surroundings.pool.handles.values()];
+    const others = [...this.environment.pool.handles.values()];
     const unhealthy = others.filter((other) => {
-      const isOut =
+      const isWarmingOrDraining =
         other.standing === HealthStatus.Cold || other.standing === HealthStatus.Draining;
       return (
         other !== handle &&
-        (isOut || other.standing === HealthStatus.Trial || other.isLocallyUnreachable)
+        (isWarmingOrDraining || other.standing === HealthStatus.Trial || other.isLocallyUnreachable)
       );
     });
     const addresses = unhealthy.map((other) => other.address);
-    return this.surroundings.requestEjection(handle, addresses, this.abort.signal);
+    return this.environment.requestEjection(handle, addresses, this.abort.signal);
   }
 
-  private checkPath(handle: TargetHandle, suspicion: ISuspicion): Promise<boolean> {
-    return isPathFault(this.surroundings, handle, suspicion, this.abort.signal);
+  private hasPathFault(handle: TargetHandle, suspicion: ISuspicion): Promise<boolean> {
+    return isPathFault(this.environment, handle, suspicion, this.abort.signal);
   }
 }
--- a/packages/routing/src/ejection/common/ejectionSurroundings.ts
+++ b/packages/routing/src/ejection/common/ejectionEnvironment.ts
@@ -1,4 +1,4 @@
-/** What the ejection controller needs of the home around it. */
+/** Services that the home provides to its ejection controller. */
 import type { Clock } from '@parsleymux/base';
 import type { FailureDetector } from '../../detection/common/failureDetector.js';
 import type { IObservation } from '../../detection/common/targetObserver.js';
@@ -6,15 +6,15 @@
 import type { SlotPool } from '../../home/common/slotPool.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import type { CopySender } from './copySender.js';
-import type { IRequestSample, SampleKeeper } from './requestSample.js';
+import type { IRequestSample, RequestSampler } from './requestSampler.js';
 
-/** One service's ledger, observer and targets. */
-export interface IEjectionSurroundings {
+/** Targets, ledger, observer and counters of one service. */
+export interface IEjectionEnvironment {
   readonly clock: Clock;
   readonly pool: SlotPool;
   readonly detector: FailureDetector;
   readonly sender: CopySender;
-  readonly samples: SampleKeeper;
+  readonly sampler: RequestSampler;
   requestEjection(
     handle: TargetHandle,
     otherwiseUnhealthy: readonly string[],
@@ -28,7 +28,7 @@
     timeoutMs: number,
     signal: AbortSignal,
   ): Promise<IObservation | undefined>;
-  notifyStanding(handle: TargetHandle): void;
+  notifyHealthStatus(handle: TargetHandle): void;
   countTrial(isWell: boolean): void;
   countPathFault(): void;
 }
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -1,94 +1,95 @@
-/** How an ejected, cold or cut-off target comes back: waiting, trial, ramp, and the ledger. */
+/** Returns an ejected, cold or locally unreachable target to service: wait, trial, warm-up and ledger. */
 import type { FailureDetector, ISuspicion } from '../../detection/common/failureDetector.js';
 import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { EjectionBackoff } from './ejectionBackoff.js';
-import type { IEjectionSurroundings } from './ejectionSurroundings.js';
+import type { IEjectionEnvironment } from './ejectionEnvironment.js';
 import type { ITrialResult } from './trial.js';
 import { runTrial } from './trial.js';
 
-/** Time between two tries to change the ledger while it is out or refuses, in ms. */
+/** Interval between attempts to change the ledger while it is unavailable or refuses, in ms. */
 export const RETRY_LEDGER_MS = 5000;
 
-const RAMP_STEPS: readonly number[] = [0.25, 0.5, 1];
-const RAMP_STEP_MS = 2000;
-/** Time after a start in which slowness is not held against a target. */
+/** Shares of its slots that a target may use in the successive steps of its warm-up. */
+const WARM_UP_FACTORS: readonly number[] = [0.25, 0.5, 1];
+const WARM_UP_STEP_MS = 2000;
+/** Time after its start in which a target is not suspected of slowness, in ms. */
 const COLD_MS = 10_000;
 const WAIT_SLICE_MS = 1000;
 const RELAPSE_SLICE_MS = 100;
 
 /** Options of a {@link TargetReturn}. */
 export interface ITargetReturnOptions {
-  readonly surroundings: IEjectionSurroundings;
-  /** Targets that were suspected again while on their way back. */
+  readonly environment: IEjectionEnvironment;
+  /** Suspicions of targets, by address, that were suspected again before their return was complete. */
   readonly relapsed: ReadonlyMap<string, ISuspicion>;
   /** Aborted when the home is closed. */
   readonly signal: AbortSignal;
 }
 
-/** The steps of a return. */
+/** Steps of the return to service. */
 export class TargetReturn {
-  private readonly surroundings: IEjectionSurroundings;
+  private readonly environment: IEjectionEnvironment;
   private readonly detector: FailureDetector;
   private readonly relapsed: ReadonlyMap<string, ISuspicion>;
   private readonly signal: AbortSignal;
   private readonly backoffs = new Map<string, EjectionBackoff>();
 
   constructor(options: ITargetReturnOptions) {
-    this.surroundings = options.surroundings;
-    this.detector = options.surroundings.detector;
+    this.environment = options.environment;
+    this.detector = options.environment.detector;
     this.relapsed = options.relapsed;
     this.signal = options.signal;
   }
 
-  /** Waits for as long as the target's ejection is to last. */
-  async waitOutEjection(handle: TargetHandle): Promise<void> {
-    const endMs = this.getNow() + this.getBackoff(handle).takeNext(this.getNow());
+  /** Waits until the ejection time of the target has elapsed. */
+  async waitForEjectionEnd(handle: TargetHandle): Promise<void> {
+    const endMs = this.getNow() + this.getBackoff(handle).takeNextDuration(this.getNow());
     while (this.getNow() < endMs) {
       await this.sleep(Math.min(WAIT_SLICE_MS, endMs - this.getNow()));
-      // Someone else gave the target back: its slots count as there, so they should be.
-      if (!this.listInLedger().has(handle.address)) return;
+      // Another node ended the ejection: the ledger counts its slots as available, so they must be.
+      if (!this.listEjected().has(handle.address)) return;
     }
   }
 
-  /** True when the target passes its trial, or when returns need none. */
-  async isWellAgain(handle: TargetHandle, failureShare: number): Promise<boolean> {
-    if (!this.detector.traits.returnsByTrial) return true;
-    return (await this.tryOut(handle, failureShare)).isWell;
+  /** True when the target passes its trial, or when the detector requires none. */
+  async hasRecovered(handle: TargetHandle, failureShare: number): Promise<boolean> {
+    if (!this.detector.traits.requiresTrial) return true;
+    return (await this.runTargetTrial(handle, failureShare)).hasPassed;
   }
 
-  /** Tries the target with copies. */
-  async tryOut(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
-    const { clock, sender, samples } = this.surroundings;
+  /** Tries the target with request copies. */
+  async runTargetTrial(handle: TargetHandle, failureShare: number): Promise<ITrialResult> {
+    const { clock, sender, sampler } = this.environment;
     const before = handle.standing;
     if (before === HealthStatus.Ejected)
-      this.setStanding(handle, HealthStatus.Trial, handle.evidence);
+      this.setHealthStatus(handle, HealthStatus.Trial, handle.evidence);
     const result = await runTrial({
       clock,
       sender,
-      samples,
+      sampler,
       detector: this.detector,
       handle,
       failureShare,
       signal: this.signal,
     });
-    this.surroundings.countTrial(result.isWell);
+    this.environment.countTrial(result.hasPassed);
     return result;
   }
 
-  /** Gives the target work gradually, and serves it fully unless it relapses on the way. */
-  async runRamp(handle: TargetHandle): Promise<void> {
-    if (!this.detector.traits.returnsByTrial) {
+  /** Increases the load of the target gradually, then lets it serve fully unless it relapsed. */
+  async runWarmUp(handle: TargetHandle): Promise<void> {
+    if (!this.detector.traits.requiresTrial) {
       this.serve(handle);
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setStanding(handle, HealthStatus.Cold, 'has just started or returned');
+    this.setHealthStatus(handle, HealthStatus.Cold, 'recently started or returned');
     const endMs = this.getNow() + COLD_MS;
-    for (const ramp of RAMP_STEPS) {
-      handle.warmUpFactor = ramp;
-      this.surroundings.pool.serveWaiting();
-      const stepEndMs = this.getNow() + RAMP_STEP_MS;
+    for (const factor of WARM_UP_FACTORS) {
+      handle.warmUpFactor = factor;
+      this.environment.pool.serveWaiting();
+      const stepEndMs = this.getNow() + WARM_UP_STEP_MS;
       await this.sleepUnlessRelapsed(handle, stepEndMs);
     }
     await this.sleepUnlessRelapsed(handle, endMs);
@@ -97,22 +98,25 @@
     if (!this.relapsed.has(handle.address)) this.serve(handle);
   }
 
-  /** The target serves like any other from here on. */
+  /** Lets the target serve without restrictions. */
   serve(handle: TargetHandle): void {
-    // A target that said meanwhile that it is draining is believed.
+    // The target may meanwhile have reported that it is draining.
     if (handle.standing === HealthStatus.Draining) return;
     handle.isLocallyUnreachable = false;
-    // What came in while the target was left out must not count against it from here on.
+    // Evidence that was recorded while the target was excluded must not count after its return.
     this.detector.reset(handle.address);
     this.getBackoff(handle).recordReturn(this.getNow());
-    this.setStanding(handle, HealthStatus.Serving, '');
+    this.setHealthStatus(handle, HealthStatus.Serving, '');
   }
 
-  /** Serving an ejected target never breaks the floor, so a ledger that is out delays nothing. */
-  async returnToLedger(handle: TargetHandle): Promise<void> {
+  /**
+   * Ends the ejection in the ledger, and retries until that succeeds. The target serves meanwhile,
+   * since serving an ejected target never violates the floor.
+   */
+  async returnInLedger(handle: TargetHandle): Promise<void> {
     while (this.isConfigured(handle)) {
       try {
-        await this.surroundings.returnTarget(handle, this.signal);
+        await this.environment.returnTarget(handle, this.signal);
         return;
       } catch {
         await this.sleep(RETRY_LEDGER_MS);
@@ -120,14 +124,14 @@
     }
   }
 
-  /** Targets that the ledger has as ejected. */
-  listInLedger(): ReadonlySet<string> {
-    return this.surroundings.listEjected();
+  /** Addresses of the targets that are ejected in the ledger, as last read. */
+  listEjected(): ReadonlySet<string> {
+    return this.environment.listEjected();
   }
 
-  /** False once the configuration has dropped or replaced the target. */
+  /** False once the configuration no longer contains the target or has replaced it. */
   isConfigured(handle: TargetHandle): boolean {
-    return this.surroundings.pool.handles.get(handle.address) === handle;
+    return this.environment.pool.handles.get(handle.address) === handle;
   }
 
   private getBackoff(handle: TargetHandle): EjectionBackoff {
@@ -139,15 +143,15 @@
     return backoff;
   }
 
-  /** Changes how the target stands, and tells whoever wants to know. */
-  setStanding(handle: TargetHandle, standing: HealthStatus, reason: string): void {
+  /** Changes the health status of the target and reports the change. */
+  setHealthStatus(handle: TargetHandle, standing: HealthStatus, reason: string): void {
     handle.setHealthStatus(standing, reason, this.getNow());
-    this.surroundings.notifyStanding(handle);
+    this.environment.notifyHealthStatus(handle);
   }
 
-  /** The instant on the monotonic clock. */
+  /** The current instant on the monotonic clock, in ms. */
   getNow(): number {
-    return this.surroundings.clock.getMonotonicTime();
+    return this.environment.clock.getMonotonicTime();
   }
 
   private async sleepUnlessRelapsed(handle: TargetHandle, endMs: number): Promise<void> {
@@ -156,8 +160,8 @@
     }
   }
 
-  /** Rejects when the home is closed. */
+  /** Sleeps for `durationMs`. Rejects when the home is closed. */
   sleep(durationMs: number): Promise<void> {
-    return this.surroundings.clock.sleep(durationMs, this.signal);
+    return this.environment.clock.sleep(durationMs, this.signal);
   }
 }
--- a/packages/routing/src/target/common/targetHandle.ts
+++ b/packages/routing/src/target/common/targetHandle.ts
@@ -3,7 +3,7 @@
  */
 import type { Target } from '@parsleymux/schema';
 import { TargetState } from '@parsleymux/schema';
-import { isConfiguredServing } from '../../ledger/common/floorArithmetic.js';
+import { isConfiguredServing } from '../../ledger/common/capacityFloor.js';
 
 /** Health status of a target at its home. The values appear in the status report. */
 export const HealthStatus = {
