--- a/packages/claims/src/guard/common/outcomeSettler.ts
+++ b/packages/claims/src/guard/common/outcomeSettler.ts
@@ -1,9 +1,9 @@
-/** Reads recorded outcomes, and asks the targets where the fleet itself does not know. */
+/** Reads recorded outcomes, and queries the targets if the fleet has no outcome. */
 import type { Clock } from '@parsleymux/base';
 import type { ObjectStore } from '@parsleymux/store';
 import type { IRoutedRequest } from '@parsleymux/routing';
-import type { IStoredAnswer, IWholeAnswer } from '../../claim/common/answerCodec.js';
-import { decodeAnswer, encodeAnswer, markReplayed } from '../../claim/common/answerCodec.js';
+import type { ICompleteResponse, IStoredResponse } from '../../claim/common/responseCodec.js';
+import { decodeResponse, encodeResponse, markReplayed } from '../../claim/common/responseCodec.js';
 import type { IClaim, IVersionedClaim } from '../../claim/common/claim.js';
 import { ClaimState } from '../../claim/common/claim.js';
 import type { IClaimIdentity } from '../../claim/common/claimIdentity.js';
@@ -14,9 +14,9 @@
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import {
   makeAnswerNotKept,
-  makeAnswerUnavailable,
   makeOutcomeSettled,
   makeOutcomeUnknown,
+  makeResponseUnavailable,
 } from './claimErrors.js';
 
 /** Options of an {@link OutcomeSettler}. All times are in ms. */
@@ -26,100 +26,101 @@
   readonly lookUp: OutcomeLookUp;
   readonly retrier: BackgroundRetrier;
   readonly clock: Clock;
-  /** Time after which a target's "never ran" is believed of an unknown outcome. */
-  readonly quietMs: number;
-  /** Longest time that an answer is held back for its record. */
+  /** Minimum age of an unknown outcome at which the targets' "not run" is accepted. */
+  readonly quietPeriodMs: number;
+  /** Maximum time that a response is delayed until it is recorded. */
   readonly recordWaitMs: number;
 }
 
-/** What is to be done about a claim: give the answer, or claim the row at its version. */
-export interface IFollowResult {
-  readonly answer: IWholeAnswer | undefined;
+/** Resolution of a claim: a response to replay, or the version at which the row may be claimed. */
+export interface IClaimResolution {
+  readonly response: ICompleteResponse | undefined;
   /** Version at which the row may be claimed again. */
   readonly claimableVersion: number;
 }
 
 /**
- * Settles claims that no living claimer speaks for.
+ * Settles claims that have an outcome or whose claimer has terminated.
  *
  * @example
- * const result = await settler.readOutcome(request, identity, known, timeLeftMs);
+ * const resolution = await settler.readOutcome(request, identity, known, timeLeftMs);
  */
 export class OutcomeSettler {
   constructor(private readonly options: IOutcomeSettlerOptions) {}
 
-  /** What a row that is no longer running says. Throws a MuxError when there is no answer. */
+  /** Resolves a row that is no longer running. Throws a MuxError if it has no response. */
   async readOutcome(
     request: IRoutedRequest,
     identity: IClaimIdentity,
     known: IVersionedClaim,
     timeLeftMs: number,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     const { state, answer, settlement } = known.claim;
     if (state === ClaimState.NotRun) return makeClaimable(known.version);
     if (state === ClaimState.Unknown) {
       return this.settleByTargets(request, identity, known, timeLeftMs);
     }
-    if (answer !== undefined) return makeAnswered(await this.loadAnswer(answer));
+    if (answer !== undefined) return makeReplayable(await this.loadResponse(answer));
     throw settlement === undefined ? makeAnswerNotKept() : makeOutcomeSettled();
   }
 
   /**
-   * Nobody in the fleet knows the outcome. The targets' "it ran" settles it. Their "it never ran"
-   * is believed only of a dispatch that its own claimer gave up long ago: a claimer that is
-   * merely paused may dispatch yet, and a request that was sent may still be on its way.
+   * Queries the targets for an outcome that is unknown to the fleet. A target's "ran" settles the
+   * claim. "Not run" is accepted only once the quiet period has passed since the claimer itself
+   * recorded the outcome as unknown: a claimer that is merely paused may still dispatch, and a
+   * request that was sent may still be in flight.
    */
   async settleByTargets(
     request: IRoutedRequest,
     identity: IClaimIdentity,
     known: IVersionedClaim,
     timeLeftMs: number,
-  ): Promise<IFollowResult> {
+  ): Promise<IClaimResolution> {
     if (request.route.lookUpPath === '') throw makeOutcomeUnknown(false);
     if (timeLeftMs <= 0) throw makeOutcomeUnknown(true);
     const stop = new AbortController();
     const timer = this.options.clock.startTimer(timeLeftMs, () => {
       stop.abort(new Error('deadline passed'));
     });
-    const said = await this.options.lookUp.lookUp(request, stop.signal);
+    const targetOutcome = await this.options.lookUp.lookUp(request, stop.signal);
     void timer.dispose();
-    if (said.result === LookUpResult.Ran && said.answer !== undefined) {
-      await this.recordAnswer(identity, known, said.answer);
-      return makeAnswered(markReplayed(said.answer));
+    if (targetOutcome.result === LookUpResult.Ran && targetOutcome.response !== undefined) {
+      await this.recordResponse(identity, known, targetOutcome.response);
+      return makeReplayable(markReplayed(targetOutcome.response));
     }
-    if (said.result === LookUpResult.NotRun && this.isQuiet(known.claim)) {
+    if (targetOutcome.result === LookUpResult.NotRun && this.hasQuietPeriodPassed(known.claim)) {
       return makeClaimable(known.version);
     }
     throw makeOutcomeUnknown(true);
   }
 
-  private async loadAnswer(stored: IStoredAnswer): Promise<IWholeAnswer> {
-    if (stored.objectKey === undefined) return decodeAnswer(stored);
+  private async loadResponse(stored: IStoredResponse): Promise<ICompleteResponse> {
+    if (stored.objectKey === undefined) return decodeResponse(stored);
     let body: Uint8Array | undefined;
     try {
       body = await this.options.objects.get(stored.objectKey);
     } catch (error) {
-      throw makeAnswerUnavailable(error);
+      throw makeResponseUnavailable(error);
     }
     if (body === undefined) throw makeAnswerNotKept();
-    return decodeAnswer(stored, body);
+    return decodeResponse(stored, body);
   }
 
-  private isQuiet(claim: IClaim): boolean {
+  private hasQuietPeriodPassed(claim: IClaim): boolean {
     const ageMs = this.options.clock.getWallTime() - claim.changedAtMs;
-    return claim.state === ClaimState.Unknown && ageMs >= this.options.quietMs;
+    return claim.state === ClaimState.Unknown && ageMs >= this.options.quietPeriodMs;
   }
 
-  private async recordAnswer(
+  private async recordResponse(
     identity: IClaimIdentity,
     known: IVersionedClaim,
-    answer: IWholeAnswer,
+    response: ICompleteResponse,
   ): Promise<void> {
     const claim: IClaim = {
       ...known.claim,
       state: ClaimState.Finished,
       changedAtMs: this.options.clock.getWallTime(),
-      answer: encodeAnswer(answer),
+      answer: encodeResponse(response),
     };
     const rowKey = formatClaimRowKey(identity.member, identity.claimKey);
     await this.options.retrier.start(async () => {
@@ -129,21 +130,21 @@
 }
 
 /**
- * The claim is settled by `answer`.
+ * Creates a resolution that replays `response`.
  *
  * @example
- * return makeAnswered(decodeAnswerBytes(said.answer));
+ * return makeReplayable(decodeResponseBytes(lookUpResponse.answer));
  */
-export function makeAnswered(answer: IWholeAnswer): IFollowResult {
-  return { answer, claimableVersion: 0 };
+export function makeReplayable(response: ICompleteResponse): IClaimResolution {
+  return { response, claimableVersion: 0 };
 }
 
 /**
- * The row provably stands for no execution and may be claimed at `version`.
+ * Creates a resolution for a row that provably has no execution and may be claimed at `version`.
  *
  * @example
- * if (said?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
+ * if (lookUpResponse?.state === ClaimLookUp.NOT_RUN) return makeClaimable(known.version);
  */
-export function makeClaimable(version: number): IFollowResult {
-  return { answer: undefined, claimableVersion: version };
+export function makeClaimable(version: number): IClaimResolution {
+  return { response: undefined, claimableVersion: version };
 }
--- a/packages/operators/src/burn/common/burnRecorder.ts
+++ b/packages/operators/src/burn/common/burnRecorder.ts
@@ -1,4 +1,4 @@
-/** Counts requests on one node and hands the counts to the platform's table. */
+/** Counts requests on one node and writes the counts to the platform's table. */
 import { randomUUID } from 'node:crypto';
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
@@ -9,14 +9,18 @@
 import { addCounts, getSlotStart, NO_COUNTS } from './burnCounts.js';
 import type { IRawCounts } from './burnRows.js';
 import { encodeRawCounts, formatRawKey } from './burnRows.js';
-import { MERGE_AFTER_MS } from './burnMerger.js';
+import { MIN_MERGE_AGE_MS } from './burnMerger.js';
 
 const DEFAULT_FLUSH_MS = 60_000;
-/** Counts kept while the store is out: two hours of 200 services. Beyond it the oldest go. */
-const MAX_PENDING = 5000;
+/**
+ * Maximum number of counts buffered while the store is unavailable: two hours of 200 services. Beyond
+ * it the oldest are dropped.
+ */
+const MAX_PENDING_COUNTS = 5000;
 const DEFAULT_LATENCY_MS = 1000;
-/** Requests refused for what they are, and callers that left, say nothing of the service. */
-const FIRST_SERVER_CODE = 2000;
+/** Lower codes are faults of the request or disconnects of its caller, and don't count. */
+const MIN_SERVER_CODE = 2000;
+/** Codes of rejections that don't count, though they are not below {@link MIN_SERVER_CODE}. */
 const UNCOUNTED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.IdempotencyKeyMissing,
   ResultCode.IdempotencyKeyConflict,
@@ -38,50 +42,50 @@
   readonly config: ConfigService;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Mean time between two writes of what was counted, in ms. Default 60000. */
+  /** Mean interval between two writes, in ms. Default 60000. */
   readonly flushMs?: number;
 }
 
-/** A write whose outcome is not known yet. It is repeated as it is, under the same key. */
+/** A write whose outcome is not known yet. It is retried unchanged, under the same key. */
 interface IBatch {
   readonly key: string;
-  readonly madeAtMs: number;
+  readonly createdAtMs: number;
   readonly counts: readonly IRawCounts[];
 }
 
 /**
- * Counts in memory, and writes the counts of all members in one row from time to time. A node
- * that is killed loses what it counted since the last write.
+ * Counts in memory, and periodically writes the counts of all members in one row. A node that is
+ * killed loses the counts since its last write.
  *
  * @example
  * recorder.record({ member: 'dobrescu', service: 'booking', code: ResultCode.Ok, durationMs: 12 });
  */
 export class BurnRecorder {
-  private readonly writer = randomUUID();
+  private readonly writerId = randomUUID();
   private readonly pending = new Map<string, IRawCounts>();
   private batch: IBatch | undefined;
-  /** Key of the batch that may have been written already. */
+  /** Key of the batch that the store may have written already. */
   private unresolvedKey = '';
   private sequence = 0;
   private lostCount = 0;
 
   constructor(private readonly options: IBurnRecorderOptions) {}
 
-  /** Requests whose counts were given up and may be missing from the report. */
+  /** Number of requests whose counts were dropped and may be missing from the report. */
   getLostCount(): number {
     return this.lostCount;
   }
 
   /** Counts one finished request. */
   record(request: IFinishedRequest): void {
-    const counts = this.count(request);
+    const counts = this.toCounts(request);
     if (counts === undefined || request.member === '') return;
     const { member, service } = request;
     const slotMs = getSlotStart(this.options.clock.getWallTime());
     this.addPending({ member, service, slotMs, ...counts });
   }
 
-  /** Writes counts until `signal` aborts, and once more then. */
+  /** Writes counts periodically until `signal` aborts, and a last time after that. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.options;
     const flushMs = this.options.flushMs ?? DEFAULT_FLUSH_MS;
@@ -91,7 +95,7 @@
     }
   }
 
-  /** Writes what was counted since the last write. Failures are kept for the next time. */
+  /** Writes the counts since the last write. Counts whose write failed are retried by the next call. */
   async flush(): Promise<void> {
     this.batch ??= this.takeBatch();
     const { batch } = this;
@@ -99,7 +103,7 @@
     const value = encodeRawCounts(batch.counts);
     const conditions = [{ key: batch.key, version: 0 }];
     try {
-      // Not committed means that an earlier try, whose answer was lost, wrote the row.
+      // If it doesn't commit, an earlier attempt whose response was lost has written the row.
       await this.options.table.transact({
         conditions,
         writes: [{ key: batch.key, value }],
@@ -112,9 +116,9 @@
   }
 
   /**
-   * What surely was not written may be written later under another key. What may have been
-   * written is repeated under its own key, but only until merging may have removed that row:
-   * after that a repetition would count everything twice, and nobody could tell.
+   * Counts that were certainly not written are merged into a later batch under another key. A batch
+   * that may have been written is retried under its own key, but only until that row may have been
+   * merged and removed: a later retry would count all of its requests twice, undetected.
    */
   private handleFailure(batch: IBatch, error: PlatformError): void {
     if (error.failure !== PlatformFailure.Unknown && batch.key !== this.unresolvedKey) {
@@ -123,8 +127,8 @@
       return;
     }
     this.unresolvedKey = batch.key;
-    const ageMs = this.options.clock.getWallTime() - batch.madeAtMs;
-    if (ageMs < MERGE_AFTER_MS / 2) return;
+    const ageMs = this.options.clock.getWallTime() - batch.createdAtMs;
+    if (ageMs < MIN_MERGE_AGE_MS / 2) return;
     this.batch = undefined;
     this.lostCount += batch.counts.reduce((sum, counts) => sum + counts.requests, 0);
   }
@@ -133,33 +137,33 @@
     if (this.pending.size === 0) return undefined;
     const counts = [...this.pending.values()];
     this.pending.clear();
-    const madeAtMs = this.options.clock.getWallTime();
+    const createdAtMs = this.options.clock.getWallTime();
     this.sequence += 1;
-    return { key: formatRawKey(madeAtMs, this.writer, this.sequence), madeAtMs, counts };
+    return { key: formatRawKey(createdAtMs, this.writerId, this.sequence), createdAtMs, counts };
   }
 
   private addPending(counts: IRawCounts): void {
     const key = `${counts.slotMs}/${counts.member}/${counts.service}`;
-    const known = this.pending.get(key);
+    const existing = this.pending.get(key);
     this.pending.set(
       key,
-      known === undefined ? counts : { ...counts, ...addCounts(known, counts) },
+      existing === undefined ? counts : { ...counts, ...addCounts(existing, counts) },
     );
-    if (this.pending.size <= MAX_PENDING) return;
+    if (this.pending.size <= MAX_PENDING_COUNTS) return;
     const oldest = this.pending.entries().next();
     if (oldest.done === true) return;
     this.pending.delete(oldest.value[0]);
     this.lostCount += oldest.value[1].requests;
   }
 
-  /** Undefined when the request says nothing of how the service is served. */
-  private count(request: IFinishedRequest): IBurnCounts | undefined {
+  /** Returns undefined if the request doesn't count towards the service's objectives. */
+  private toCounts(request: IFinishedRequest): IBurnCounts | undefined {
     const { code } = request;
     if (code === ResultCode.Ok) {
       const isSlow = request.durationMs > this.getLatencyObjective(request);
       return { ...NO_COUNTS, requests: 1, slow: isSlow ? 1 : 0 };
     }
-    if (code < FIRST_SERVER_CODE || UNCOUNTED_CODES.has(code)) return undefined;
+    if (code < MIN_SERVER_CODE || UNCOUNTED_CODES.has(code)) return undefined;
     return { requests: 1, failed: 1, slow: 0 };
   }
 
--- a/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
+++ b/packages/routing/src/detection/common/consecutiveErrorsDetector.ts
@@ -1,44 +1,44 @@
-/** Baseline: a target that fails five times in a row is ejected for a fixed time. */
+/** Baseline detector: suspects a target after a fixed number of consecutive failures. */
 import type { IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence } from './failureDetector.js';
-import { PlainDetector } from './plainDetector.js';
+import { BaselineDetector } from './baselineDetector.js';
 
-const DEFAULT_ERRORS = 5;
+const DEFAULT_MAX_ERRORS = 5;
 
-/** Counts failures in a row. */
-export class ConsecutiveErrorsDetector extends PlainDetector {
-  private readonly runs = new Map<string, number>();
+/** Counts consecutive failures of each target. */
+export class ConsecutiveErrorsDetector extends BaselineDetector {
+  private readonly failureCounts = new Map<string, number>();
 
-  constructor(private readonly errors = DEFAULT_ERRORS) {
+  constructor(private readonly maxErrors = DEFAULT_MAX_ERRORS) {
     super();
   }
 
   override setTargets(targets: readonly string[]): void {
-    for (const target of this.runs.keys()) {
-      if (!targets.includes(target)) this.runs.delete(target);
+    for (const target of this.failureCounts.keys()) {
+      if (!targets.includes(target)) this.failureCounts.delete(target);
     }
   }
 
   override recordEvidence(evidence: IEvidence): ISuspicion | undefined {
     const isFailure = evidence.kind !== Evidence.Success;
-    const run = isFailure ? (this.runs.get(evidence.target) ?? 0) + 1 : 0;
-    this.runs.set(evidence.target, run);
-    if (run < this.errors) return undefined;
+    const failures = isFailure ? (this.failureCounts.get(evidence.target) ?? 0) + 1 : 0;
+    this.failureCounts.set(evidence.target, failures);
+    if (failures < this.maxErrors) return undefined;
     return {
       target: evidence.target,
-      reason: `${run} failures in a row`,
+      reason: `${failures} failures in a row`,
       failureShare: 1,
       isSlow: false,
-      isPathPossible: true,
+      isPathFaultPossible: true,
     };
   }
 
-  /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
+  /** Ignored: a target that fails requests may still respond successfully on its health endpoint. */
   override recordProbe(): undefined {
     return undefined;
   }
 
   override reset(target: string): void {
-    this.runs.delete(target);
+    this.failureCounts.delete(target);
   }
 }
--- a/packages/routing/src/ledger/common/tableEjectionLedger.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.ts
@@ -1,4 +1,4 @@
-/** The ejection ledger in the platform's table: one row a service, changed only conditionally. */
+/** Ejection ledger in the platform's table: one row per service, written by conditional transactions. */
 import type { Clock, InvariantRegistry } from '@parsleymux/base';
 import { InvariantName } from '@parsleymux/base';
 import type { IEjectedTarget, IEjectionRow } from '@parsleymux/config';
@@ -7,10 +7,10 @@
 import { PlatformError } from '@parsleymux/store';
 import type { IEjectionRequest } from './ejectionLedger.js';
 import { EjectionDecision, EjectionLedger } from './ejectionLedger.js';
-import type { IFloorQuestion } from './floorArithmetic.js';
-import { isSpare, computeHealthySlots } from './floorArithmetic.js';
+import type { IFloorCheck } from './capacityFloor.js';
+import { isEjectable, computeHealthySlots } from './capacityFloor.js';
 
-/** Two homes that race for one row each lose at most once per grant of the other. */
+/** Of two homes that compete for a row, each loses at most one attempt per grant of the other. */
 const DEFAULT_ATTEMPTS = 5;
 
 /** Options of a {@link TableEjectionLedger}. */
@@ -20,14 +20,14 @@
   readonly invariants: InvariantRegistry;
   /** This node's peer address. */
   readonly node: string;
-  /** Attempts at one change before the ledger counts as unavailable. Default 5. */
+  /** Attempts at one change before the ledger is considered unavailable. Default 5. */
   readonly attempts?: number;
 }
 
-type Change = (row: IEjectionRow) => IEjectionRow | undefined;
+type RowChange = (row: IEjectionRow) => IEjectionRow | undefined;
 
 /**
- * Keeps ejections in the table.
+ * Stores ejections in the table.
  *
  * @example
  * const ledger = new TableEjectionLedger({ table, clock, invariants, node: '127.0.0.1:7002' });
@@ -35,7 +35,7 @@
  */
 export class TableEjectionLedger extends EjectionLedger {
   private readonly options: ITableEjectionLedgerOptions;
-  private readonly seen = new Map<string, ReadonlySet<string>>();
+  private readonly lastRead = new Map<string, ReadonlySet<string>>();
 
   constructor(options: ITableEjectionLedgerOptions) {
     super();
@@ -53,13 +53,13 @@
     };
     let decision: EjectionDecision = EjectionDecision.Unavailable;
     const key = formatEjectionKey(request.member, request.service.name);
-    const change: Change = (row) => {
+    const change: RowChange = (row) => {
       decision = this.decide(request, row);
       if (decision !== EjectionDecision.Granted || hasTarget(row, request.target)) return undefined;
       return { ...row, ejected: [...listConfigured(row, request), entry] };
     };
-    const isSettled = await this.transactChange(key, change, signal);
-    return isSettled ? decision : EjectionDecision.Unavailable;
+    const isApplied = await this.transactChange(key, change, signal);
+    return isApplied ? decision : EjectionDecision.Unavailable;
   }
 
   override async returnTarget(
@@ -69,12 +69,12 @@
     signal: AbortSignal,
   ): Promise<void> {
     const key = formatEjectionKey(member, service);
-    const change: Change = (row) => {
+    const change: RowChange = (row) => {
       if (!hasTarget(row, target)) return undefined;
       return { ...row, ejected: row.ejected.filter((entry) => entry.target !== target) };
     };
-    const isSettled = await this.transactChange(key, change, signal);
-    if (!isSettled) throw new Error(`ejection ledger is unavailable; ${target} stays in it`);
+    const isApplied = await this.transactChange(key, change, signal);
+    if (!isApplied) throw new Error(`ejection ledger is unavailable; ${target} stays in it`);
   }
 
   override async readEjected(member: string, service: string, signal: AbortSignal): Promise<void> {
@@ -82,24 +82,24 @@
   }
 
   override getEjected(member: string, service: string): ReadonlySet<string> {
-    return this.seen.get(formatEjectionKey(member, service)) ?? new Set();
+    return this.lastRead.get(formatEjectionKey(member, service)) ?? new Set();
   }
 
-  /** Grants only on a row and a configuration that are both current. */
+  /** Grants only when the configuration is at least as new as the row requires. */
   private decide(request: IEjectionRequest, row: IEjectionRow): EjectionDecision {
     if ((row.memberRevision ?? 0) > request.memberRevision) return EjectionDecision.Unavailable;
     if (hasTarget(row, request.target)) return EjectionDecision.Granted;
-    const question = this.buildQuestion(request, row);
-    if (!isSpare(request.target, question)) return EjectionDecision.RefusedByFloor;
-    this.checkFloor(request, question);
+    const floorCheck = this.buildFloorCheck(request, row);
+    if (!isEjectable(request.target, floorCheck)) return EjectionDecision.RefusedByFloor;
+    this.checkFloor(request, floorCheck);
     return EjectionDecision.Granted;
   }
 
-  /** Asserts the promise itself, reckoned apart from the rule that decided. */
-  private checkFloor(request: IEjectionRequest, question: IFloorQuestion): void {
-    const before = computeHealthySlots(question);
-    const ejected = new Set([...question.ejected, request.target]);
-    const after = computeHealthySlots({ ...question, ejected });
+  /** Asserts the floor invariant, computed independently of the decision. */
+  private checkFloor(request: IEjectionRequest, floorCheck: IFloorCheck): void {
+    const before = computeHealthySlots(floorCheck);
+    const ejected = new Set([...floorCheck.ejected, request.target]);
+    const after = computeHealthySlots({ ...floorCheck, ejected });
     const holds = after >= Math.min(before, request.service.floorSlots);
     this.options.invariants.check(
       InvariantName.CapacityFloor,
@@ -108,7 +108,7 @@
     );
   }
 
-  private buildQuestion(request: IEjectionRequest, row: IEjectionRow): IFloorQuestion {
+  private buildFloorCheck(request: IEjectionRequest, row: IEjectionRow): IFloorCheck {
     return {
       service: request.service,
       ejected: new Set(row.ejected.map((entry) => entry.target)),
@@ -117,12 +117,16 @@
   }
 
   /**
-   * Applies `change` on the condition that the row is still as read. True when the row is as the
-   * change wants it. After a lost answer the row is read again: had the write taken effect, the
-   * change finds its work done; had it not, the same condition lets at most one of the two writes
-   * commit, so an answer that is merely late does no harm.
+   * Applies `change` on condition that the row is unchanged since it was read. True when the row
+   * contains the change. When the response is lost the row is read again: if the write took effect
+   * the change has nothing left to do; if not, the condition on the version lets at most one of the
+   * two writes commit, so a write that is merely delayed is harmless.
    */
-  private async transactChange(key: string, change: Change, signal: AbortSignal): Promise<boolean> {
+  private async transactChange(
+    key: string,
+    change: RowChange,
+    signal: AbortSignal,
+  ): Promise<boolean> {
     const attempts = this.options.attempts ?? DEFAULT_ATTEMPTS;
     for (let attempt = 0; attempt < attempts; attempt += 1) {
       try {
@@ -135,7 +139,7 @@
     return false;
   }
 
-  private async tryUpdate(key: string, change: Change, signal: AbortSignal): Promise<boolean> {
+  private async tryUpdate(key: string, change: RowChange, signal: AbortSignal): Promise<boolean> {
     const row = await this.readRow(key, signal);
     const changed = change(decodeEjections(row));
     if (changed === undefined) return true;
@@ -146,18 +150,18 @@
       },
       signal,
     );
-    if (result.committed) this.recordSeen(key, changed);
+    if (result.committed) this.recordLastRead(key, changed);
     return result.committed;
   }
 
   private async readRow(key: string, signal: AbortSignal): Promise<ITableRow | undefined> {
     const [row] = await this.options.table.read([key], signal);
-    this.recordSeen(key, decodeEjections(row));
+    this.recordLastRead(key, decodeEjections(row));
     return row;
   }
 
-  private recordSeen(key: string, row: IEjectionRow): void {
-    this.seen.set(key, new Set(row.ejected.map((entry) => entry.target)));
+  private recordLastRead(key: string, row: IEjectionRow): void {
+    this.lastRead.set(key, new Set(row.ejected.map((entry) => entry.target)));
   }
 }
 
@@ -165,7 +169,7 @@
   return row.ejected.some((entry) => entry.target === target);
 }
 
-/** Entries of targets that are configured no more say nothing about capacity. */
+/** Drops entries of targets that are no longer configured; they have no effect on capacity. */
 function listConfigured(row: IEjectionRow, request: IEjectionRequest): readonly IEjectedTarget[] {
   const configured = new Set(request.service.targets.map((target) => target.address));
   return row.ejected.filter((entry) => configured.has(entry.target));
