--- a/packages/base/src/result/common/resultTable.ts
+++ b/packages/base/src/result/common/resultTable.ts
@@ -58,7 +58,7 @@
   NoTarget: [
     503,
     NotRun,
-    'No target of the service may take work.',
+    'No target of the service can accept requests.',
     'Retry after the delay in Retry-After.',
   ],
   NodeLeaving: [503, NotRun, 'The node is shutting down.', 'Retry; another node responds.'],
