--- a/packages/config/src/distribution/common/configDistributor.test.ts
+++ b/packages/config/src/distribution/common/configDistributor.test.ts
@@ -133,7 +133,7 @@
     assert.equal(node.getCurrent().members.get('dobrescu')?.intent?.note, 'two');
   }
   assert.ok(node.getCounters().dropped > 0);
-  assert.equal(invariants.getViolations(InvariantName.ConfigurationNeverReverts), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.ConfigurationNeverReverts), 0);
 });
 
 test('the invariant detects a revert when the revision check is disabled', () => {
@@ -147,7 +147,7 @@
   const config = { member: 'dobrescu', fleetRevision: 2n } as MemberConfig;
   applied.apply({ fleetRevision: 2, members: [{ ...config, memberRevision: 2n }] });
   applied.apply({ fleetRevision: 2, members: [{ ...config, memberRevision: 1n }] });
-  assert.equal(invariants.getViolations(InvariantName.ConfigurationNeverReverts), 1);
+  assert.equal(invariants.getViolationCount(InvariantName.ConfigurationNeverReverts), 1);
 });
 
 /*
--- a/packages/node/src/metrics/node/nodeMetrics.ts
+++ b/packages/node/src/metrics/node/nodeMetrics.ts
@@ -112,7 +112,7 @@
       registers: [this.registry],
       collect: () => {
         for (const name of Object.values(InvariantName)) {
-          violations.set({ name }, invariants.getViolations(name));
+          violations.set({ name }, invariants.getViolationCount(name));
         }
       },
     });
@@ -123,7 +123,7 @@
       registers: [this.registry],
       collect: () => {
         for (const name of Object.values(InvariantName)) {
-          checks.set({ name }, invariants.getChecks(name));
+          checks.set({ name }, invariants.getCheckCount(name));
         }
       },
     });
--- a/packages/node/src/peer/node/peerServer.ts
+++ b/packages/node/src/peer/node/peerServer.ts
@@ -1,5 +1,5 @@
 /** HTTP server for other nodes of the fleet: the request hop and control calls. */
-import { endServer, listenOn } from '@parsleymux/base';
+import { closeServerImmediately, listenOn } from '@parsleymux/base';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { IDisposable } from '@parsleymux/base';
 import type { HttpHandler, PeerAuthenticator } from '@parsleymux/fleet';
@@ -61,7 +61,7 @@
   }
 
   dispose(): Promise<void> {
-    return endServer(this.server);
+    return closeServerImmediately(this.server);
   }
 
   private serve(request: IncomingMessage, response: ServerResponse): void {
--- a/packages/operators/src/api/node/adminApi.test.ts
+++ b/packages/operators/src/api/node/adminApi.test.ts
@@ -153,7 +153,7 @@
     const result = await api.call('GET', '/v1/status', ownKey);
     assert.doesNotMatch(result.text, /donautal|70/);
     assert.match(result.text, /"inForce":true/);
-    assert.equal(api.invariants.getViolations(InvariantName.MemberIsolation), 1);
+    assert.equal(api.invariants.getViolationCount(InvariantName.MemberIsolation), 1);
   });
 });
 
--- a/packages/operators/src/targets/common/floorRace.test.ts
+++ b/packages/operators/src/targets/common/floorRace.test.ts
@@ -171,7 +171,7 @@
     fc.asyncProperty(fc.nat(), fc.array(actions, { maxLength: 32 }), async (seed, list) => {
       const fixture = await runRace(list, { seed });
       assert.ok(fixture.lowestSlots >= FLOOR, `${fixture.lowestSlots} slots`);
-      assert.equal(fixture.invariants.getViolations(InvariantName.CapacityFloor), 0);
+      assert.equal(fixture.invariants.getViolationCount(InvariantName.CapacityFloor), 0);
       ejected += fixture.ejected;
       confirmed += fixture.confirmed;
     }),
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -99,7 +99,7 @@
   await breakNow();
   assert.ok(standings.includes('t0 suspect'));
   assert.equal(standings.includes('t0 ejected'), false);
-  assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
   const bookings = state.bookings;
   await run(2000);
   assert.equal(state.bookings, bookings);
--- a/packages/routing/src/home/common/streamedResponses.test.ts
+++ b/packages/routing/src/home/common/streamedResponses.test.ts
@@ -87,5 +87,5 @@
     return error instanceof MuxError && error.runState === RunState.MayHaveRun;
   });
   assert.equal(transport.sent.length, 2);
-  assert.equal(invariants.getViolations('truthful_refusal'), 0);
+  assert.equal(invariants.getViolationCount('truthful_refusal'), 0);
 });
--- a/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
@@ -41,7 +41,7 @@
     EjectionDecision.RefusedByFloor,
   ]);
   assert.equal(listEjected(table).length, 1);
-  assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+  assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
 });
 
 test('cold and draining targets count as missing', async () => {
@@ -118,7 +118,7 @@
       // A return can overtake an ejection of the same target; without returns every grant must persist.
       if (steps.some((step) => step.isReturn)) return;
       assert.deepEqual(new Set(listEjected(table)), granted);
-      assert.equal(invariants.getViolations(InvariantName.CapacityFloor), 0);
+      assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
     }),
     { seed: 5, numRuns: 100 },
   );
