--- a/packages/lab/src/atMostOnce/node/bookingRun.ts
+++ b/packages/lab/src/atMostOnce/node/bookingRun.ts
@@ -15,8 +15,8 @@
 
 const REST_MS = 1500;
 /** Bookings that were answered and are asked for once more at the end. */
-const REPLAYS = 100;
-const MOST_SETTLED = 10;
+const MAX_REPLAYS = 100;
+const MAX_SETTLED = 10;
 const CODE_NAMES = new Map<number, string>(
   Object.entries(ResultCode).map(([name, code]) => [code, name]),
 );
@@ -87,16 +87,16 @@
   await load.stop();
   await Promise.all(world.getNodes().map((node) => node.waitUntilReady()));
   await sleep(REST_MS);
-  const look: IFinalLook = { world, caller: store.add(new Caller()), balancer };
+  const look: IFinalCheckContext = { world, caller: store.add(new Caller()), balancer };
   return { ...(await makeReport(load.getRecords(), look)), disturbances: disturber.getCounts() };
 }
 
 /** Asks for every booking once more, settles what stays unknown, and compares. */
 async function makeReport(
   records: readonly IRequestRecord[],
-  look: IFinalLook,
+  look: IFinalCheckContext,
 ): Promise<Omit<IBookingReport, 'disturbances'>> {
-  const answered = records.filter(isAnswered).slice(0, REPLAYS);
+  const answered = records.filter(isAnswered).slice(0, MAX_REPLAYS);
   const replays = await sendAgain(answered, look);
   const unanswered = records.filter((record) => !isAnswered(record));
   const lateAsks = await sendAgain(unanswered, look);
@@ -116,7 +116,7 @@
 }
 
 /** What it takes to ask again once the disturbances are over. */
-interface IFinalLook {
+interface IFinalCheckContext {
   readonly world: LabWorld;
   readonly caller: Caller;
   readonly balancer: ReadyBalancer;
@@ -128,7 +128,7 @@
  */
 async function settleUnknown(
   lateAsks: readonly IRequestRecord[],
-  look: IFinalLook,
+  look: IFinalCheckContext,
 ): Promise<ReadonlyMap<string, number>> {
   const { world, caller, balancer } = look;
   const executed = new Set((await world.fetchExecutions()).map(({ key }) => key));
@@ -136,7 +136,7 @@
     return attempts[0]?.code === ResultCode.OutcomeUnknown;
   });
   const counts = new Map<string, number>();
-  for (const { request } of unknown.slice(0, MOST_SETTLED)) {
+  for (const { request } of unknown.slice(0, MAX_SETTLED)) {
     const outcome = executed.has(request.key) ? 'ran' : 'not-run';
     const operator = world.getOperator(request.workload.member);
     const args = ['claim', 'settle', request.key, '--outcome', outcome, '--note', 'looked it up'];
@@ -151,7 +151,7 @@
 
 async function sendAgain(
   records: readonly IRequestRecord[],
-  { caller, balancer }: IFinalLook,
+  { caller, balancer }: IFinalCheckContext,
 ): Promise<readonly IRequestRecord[]> {
   const again: IRequestRecord[] = [];
   for (const { request } of records) {
--- a/packages/lab/src/atMostOnce/node/disturber.ts
+++ b/packages/lab/src/atMostOnce/node/disturber.ts
@@ -10,9 +10,9 @@
 const PAUSES_MS: readonly number[] = [50, 400, 1500, 5000];
 const KILL_SHARE = 0.3;
 const PAUSE_SHARE = 0.8;
-const MOST_LOST_ANSWERS = 4;
+const MAX_LOST_RESPONSES = 4;
 /** With fewer running nodes nothing would be under test. */
-const LEAST_NODES = 3;
+const MIN_NODES = 3;
 
 /** What was done. */
 export interface IDisturbances {
@@ -63,9 +63,9 @@
     while (!this.stopping.signal.aborted) {
       await sleep(this.random.getExponential(SPACING_MS));
       const choice = this.random.getFloat();
-      if (choice < KILL_SHARE) this.track(this.endOneNode());
-      else if (choice < PAUSE_SHARE) this.track(this.stopOneNode());
-      else await this.takeAnswers();
+      if (choice < KILL_SHARE) this.track(this.endRandomNode());
+      else if (choice < PAUSE_SHARE) this.track(this.stopRandomNode());
+      else await this.startResponseLoss();
     }
   }
 
@@ -76,10 +76,10 @@
 
   private pickNode(): NodeProcess | undefined {
     const nodes = this.world.getNodes().filter(({ child }) => !child.isStopped());
-    return nodes.length < LEAST_NODES ? undefined : nodes[this.random.getInteger(nodes.length)];
+    return nodes.length < MIN_NODES ? undefined : nodes[this.random.getInteger(nodes.length)];
   }
 
-  private async endOneNode(): Promise<void> {
+  private async endRandomNode(): Promise<void> {
     const node = this.pickNode();
     if (node === undefined) return;
     this.kills += 1;
@@ -88,7 +88,7 @@
     await this.world.startNextNode();
   }
 
-  private async stopOneNode(): Promise<void> {
+  private async stopRandomNode(): Promise<void> {
     const node = this.pickNode();
     const pauseMs = PAUSES_MS[this.random.getInteger(PAUSES_MS.length)] ?? 0;
     if (node === undefined) return;
@@ -98,8 +98,8 @@
     node.child.sendSignal('SIGCONT');
   }
 
-  private async takeAnswers(): Promise<void> {
-    const loseNextAnswers = 1 + this.random.getInteger(MOST_LOST_ANSWERS);
+  private async startResponseLoss(): Promise<void> {
+    const loseNextAnswers = 1 + this.random.getInteger(MAX_LOST_RESPONSES);
     this.lostAnswers += loseNextAnswers;
     await this.world.platform.setFaults({ loseNextAnswers });
   }
--- a/packages/lab/src/atMostOnce/node/silentTarget.test.ts
+++ b/packages/lab/src/atMostOnce/node/silentTarget.test.ts
@@ -12,7 +12,7 @@
 /** A service of the same member that is not broken here. */
 const OTHER_SERVICE = 'survey';
 const POLL_MS = 50;
-const MOST_POLLS = 400;
+const MAX_POLLS = 400;
 
 test('targets that execute and fall silent leave an outcome that their look-up settles', async () => {
   // Symptom: a booking that was made stayed "may have run" for ever. Sequence: the targets made
@@ -23,8 +23,8 @@
     const world = store.add(new LabWorld({ seed: 3, nodeCount: 3 }));
     await world.start();
     await world.applyIntents();
-    const places = world.getPlaces().filter(({ service }) => service === SERVICE);
-    for (const place of places) await world.getGroup(place).setFaults(place, { oneWay: true });
+    const targets = world.getTargets().filter(({ service }) => service === SERVICE);
+    for (const target of targets) await world.getGroup(target).setFaults(target, { oneWay: true });
     const caller = store.add(new Caller());
     const nodes = world.getNodes().map(({ addresses }) => addresses.caller);
     for (const node of nodes) await waitForConfig(caller, node);
@@ -59,7 +59,7 @@
 async function waitForConfig(caller: Caller, node: string): Promise<void> {
   const workload = findWorkload(OTHER_SERVICE);
   const request = { workload, path: '/survey', body: Buffer.from(''), twinAfterMs: undefined };
-  for (let poll = 1; poll <= MOST_POLLS; poll += 1) {
+  for (let poll = 1; poll <= MAX_POLLS; poll += 1) {
     const sent = { ...request, requestId: `ready-${node}-${poll}`, key: '' };
     if ((await caller.send(node, sent)).outcome === AttemptOutcome.Answered) return;
     await sleep(POLL_MS);
--- a/packages/lab/src/bench/detection-real/node/bench.ts
+++ b/packages/lab/src/bench/detection-real/node/bench.ts
@@ -70,10 +70,10 @@
   const fleet = new ProcessFleet();
   try {
     const group = await startTargetGroup(fleet, SERVICE, seed);
-    const home = new RealHome({ policy, service: SERVICE, places: group.places, seed });
+    const home = new RealHome({ policy, service: SERVICE, places: group.targets, seed });
     const random = new SeededRandom(seed);
     await home.sendFor(WARM_UP_MS, INTERVAL_MS, random);
-    const faulty = group.places[0];
+    const faulty = group.targets[0];
     if (faulty === undefined) throw new Error('no target was started');
     await group.setFaults(faulty, faults);
     home.markFault(faulty.address);
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -10,7 +10,7 @@
   TableEjectionLedger,
 } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
-import type { IServiceLayout, ITargetPlace } from '../../../processes/common/worldLayout.js';
+import type { IServiceLayout, ILabTarget } from '../../../processes/common/worldLayout.js';
 import type { PolicyName } from '../../../replay/common/policies.js';
 import { createPolicy } from '../../../replay/common/policies.js';
 import { SimulatedTable } from '../../../replay/common/simulatedTable.js';
@@ -28,7 +28,7 @@
 export interface IRealHomeOptions {
   readonly policy: PolicyName;
   readonly service: IServiceLayout;
-  readonly places: readonly ITargetPlace[];
+  readonly places: readonly ILabTarget[];
   readonly seed: number;
 }
 
--- a/packages/lab/src/bench/hop/node/hopWorld.ts
+++ b/packages/lab/src/bench/hop/node/hopWorld.ts
@@ -11,7 +11,7 @@
 import { openHttpPlatform, VmState } from '@parsleymux/store';
 import type { Intent } from '@parsleymux/schema';
 import { IntentSchema } from '@parsleymux/schema';
-import type { ITargetPlace } from '../../../processes/common/worldLayout.js';
+import type { ILabTarget } from '../../../processes/common/worldLayout.js';
 import type { NodeProcess } from '../../../processes/node/nodeProcess.js';
 import { startNode } from '../../../processes/node/nodeProcess.js';
 import type { PlatformProcess } from '../../../processes/node/platformProcess.js';
@@ -54,7 +54,7 @@
 export class HopWorld implements IDisposable {
   constructor(
     readonly fleet: ProcessFleet,
-    readonly targets: readonly ITargetPlace[],
+    readonly targets: readonly ILabTarget[],
     /** Home of the service. */
     readonly home: NodeProcess,
     readonly other: NodeProcess,
@@ -98,10 +98,10 @@
     nodes.push(await addNode(fleet, platform, directory, index, options.nodeOptions));
   }
   await Promise.all(nodes.map((node) => node.waitUntilReady()));
-  await putInForce(platform.address, makeIntent(group.places), options.seed);
+  await putInForce(platform.address, makeIntent(group.targets), options.seed);
   await sleep(SETTLE_MS + TIMING.configPollMs);
   const [home, other] = sortByHome(nodes);
-  return new HopWorld(fleet, group.places, home, other, directory);
+  return new HopWorld(fleet, group.targets, home, other, directory);
 }
 
 async function addNode(
@@ -139,7 +139,7 @@
   await platform.dispose();
 }
 
-function makeIntent(places: readonly ITargetPlace[]): Intent {
+function makeIntent(places: readonly ILabTarget[]): Intent {
   const targets = places.map(({ address }) => {
     return { address, failureDomain: DOMAIN, slots: SLOTS, maxConnections: 400 };
   });
--- a/packages/lab/src/bench/in-force/node/bench.ts
+++ b/packages/lab/src/bench/in-force/node/bench.ts
@@ -104,7 +104,7 @@
     if (cutNode === undefined || link === undefined) throw new Error('no node runs');
     const others = nodes.slice(0, -1);
     const operator = this.lab.getOperator(MEMBER);
-    const file = await this.lab.writeIntent(MEMBER, this.lab.getPlaces());
+    const file = await this.lab.writeIntent(MEMBER, this.lab.getTargets());
     await link.setFaults(round.link);
     if (round.cutsPeers) cutNode.child.sendSignal('SIGUSR2');
     await sleep(CUT_SETTLE_MS);
--- a/packages/lab/src/demo/node/main.ts
+++ b/packages/lab/src/demo/node/main.ts
@@ -23,7 +23,7 @@
 async function runDemo(store: DisposableStore): Promise<number> {
   const world = store.add(new LabWorld({ seed: SEED }));
   await world.start();
-  const count = `${world.getNodes().length} nodes, ${world.getPlaces().length} targets`;
+  const count = `${world.getNodes().length} nodes, ${world.getTargets().length} targets`;
   console.log(`started: platform, ${count}, ${world.fleet.getRunning().length} processes`);
   const plans = await world.applyIntents();
   console.log(`confirmed plans: ${plans.join(', ')}`);
--- a/packages/lab/src/demo/node/onceScript.ts
+++ b/packages/lab/src/demo/node/onceScript.ts
@@ -6,7 +6,7 @@
 import { compareOutcomes } from '../../load/common/verdict.js';
 import type { LabWorld } from '../../processes/node/labWorld.js';
 import { readViolations } from '../../processes/node/nodeMetrics.js';
-import type { ITargetPlace } from '../../processes/common/worldLayout.js';
+import type { ILabTarget } from '../../processes/common/worldLayout.js';
 import { CheckList } from './checkList.js';
 
 const GRAY_AFTER_MS = 2000;
@@ -44,12 +44,12 @@
 /** The gray target's work in the last seconds of traffic, against its fair share. */
 function checkDetection(
   world: LabWorld,
-  gray: ITargetPlace,
+  gray: ILabTarget,
   executions: readonly IExecution[],
   endMs: number,
   checks: CheckList,
 ): void {
-  const peers = world.getPlaces().filter(({ service }) => service === gray.service);
+  const peers = world.getTargets().filter(({ service }) => service === gray.service);
   const late = executions.filter(({ target, startedAtMs }) => {
     const isPeer = peers.some(({ address }) => address === target);
     return isPeer && startedAtMs > endMs - LAST_MS && startedAtMs <= endMs;
@@ -62,8 +62,8 @@
   );
 }
 
-async function makeSurveyTargetGray(world: LabWorld): Promise<ITargetPlace> {
-  const place = world.getPlaces().find(({ service }) => service === 'survey');
+async function makeSurveyTargetGray(world: LabWorld): Promise<ILabTarget> {
+  const place = world.getTargets().find(({ service }) => service === 'survey');
   if (place === undefined) throw new Error('there is no survey target');
   await world.getGroup(place).setFaults(place, { failShare: 0.6, slowFactor: 2 });
   console.log(`gray: ${place.address} of relinieri/survey fails 60% and is slow; health is green`);
--- a/packages/lab/src/processes/common/worldLayout.ts
+++ b/packages/lab/src/processes/common/worldLayout.ts
@@ -22,7 +22,7 @@
 }
 
 /** Where a target stand-in listens. */
-export interface ITargetPlace {
+export interface ILabTarget {
   readonly member: string;
   readonly service: string;
   readonly failureDomain: string;
@@ -143,11 +143,11 @@
  *
  * @example
  * const drained = new Map([[address, TargetState.DRAINING]]);
- * const intent = makeIntent('relinieri', places, { states: drained });
+ * const intent = makeIntent('relinieri', targets, { states: drained });
  */
 export function makeIntent(
   member: string,
-  places: readonly ITargetPlace[],
+  targets: readonly ILabTarget[],
   change: IIntentChange = {},
 ): Intent {
   const services = SERVICES.filter((service) => service.member === member);
@@ -155,26 +155,26 @@
   return create(IntentSchema, {
     member,
     note: change.note ?? '',
-    services: services.map((service) => makeService(service, places, change)),
+    services: services.map((service) => makeService(service, targets, change)),
     routes: services.map((service, index) => makeRoute(service, hosts[index] ?? service)),
   });
 }
 
 function makeService(
   service: IServiceLayout,
-  places: readonly ITargetPlace[],
+  targets: readonly ILabTarget[],
   change: IIntentChange,
 ): MessageInitShape<typeof ServiceSchema> {
   return {
     name: service.name,
-    targets: places
-      .filter((place) => isPlaceOf(place, service))
-      .map((place) => ({
-        address: place.address,
-        failureDomain: place.failureDomain,
+    targets: targets
+      .filter((target) => isTargetOf(target, service))
+      .map((target) => ({
+        address: target.address,
+        failureDomain: target.failureDomain,
         slots: service.slots,
         maxConnections: service.maxConnections,
-        state: change.states?.get(place.address) ?? TargetState.SERVING,
+        state: change.states?.get(target.address) ?? TargetState.SERVING,
       })),
     floorSlots: Math.max(0, service.floorSlots + (change.floorChange ?? 0)),
     detection:
@@ -207,6 +207,6 @@
   return toJson(IntentSchema, intent);
 }
 
-function isPlaceOf(place: ITargetPlace, service: IServiceLayout): boolean {
-  return place.member === service.member && place.service === service.name;
+function isTargetOf(target: ILabTarget, service: IServiceLayout): boolean {
+  return target.member === service.member && target.service === service.name;
 }
--- a/packages/lab/src/processes/node/labWorld.ts
+++ b/packages/lab/src/processes/node/labWorld.ts
@@ -8,7 +8,7 @@
 import { KeyStore } from '@parsleymux/operators';
 import { VmState, openHttpPlatform } from '@parsleymux/store';
 import type { IExecution } from '@parsleymux/standins';
-import type { IIntentChange, ITargetPlace } from '../common/worldLayout.js';
+import type { IIntentChange, ILabTarget } from '../common/worldLayout.js';
 import {
   FAILURE_DOMAINS,
   MEMBERS,
@@ -42,7 +42,7 @@
   /** The platform's address as node number `index` is to use it. Default: the platform's own. */
   readonly choosePlatformAddress?: (own: string, index: number) => Promise<string>;
   /** The address that the intent names for a target. Default: the target's own. */
-  readonly chooseTargetAddress?: (place: ITargetPlace) => Promise<string>;
+  readonly chooseTargetAddress?: (target: ILabTarget) => Promise<string>;
 }
 
 const DEFAULT_NODE_COUNT = 5;
@@ -65,7 +65,7 @@
   private readonly groups: TargetGroup[] = [];
   private readonly nodes: NodeProcess[] = [];
   private readonly keys = new Map<string, string>();
-  private places: ITargetPlace[] = [];
+  private targets: ILabTarget[] = [];
   private platformProcess: PlatformProcess | undefined;
   private directory: string | undefined;
   private nodesStarted = 0;
@@ -144,15 +144,15 @@
   }
 
   /** Targets, with the addresses that the intents name. */
-  getPlaces(): readonly ITargetPlace[] {
-    return this.places;
+  getTargets(): readonly ILabTarget[] {
+    return this.targets;
   }
 
-  getGroup(place: ITargetPlace): TargetGroup {
-    const found = this.groups.find(({ places }) => {
-      return places.some(({ control }) => control === place.control);
+  getGroup(target: ILabTarget): TargetGroup {
+    const found = this.groups.find(({ targets }) => {
+      return targets.some(({ control }) => control === target.control);
     });
-    if (found === undefined) throw new Error(`no target at ${place.address}`);
+    if (found === undefined) throw new Error(`no target at ${target.address}`);
     return found;
   }
 
@@ -172,12 +172,12 @@
   /** Writes an intent file for `parsleyctl`; returns its path. */
   async writeIntent(
     member: string,
-    places: readonly ITargetPlace[],
+    targets: readonly ILabTarget[],
     change: IIntentChange = {},
   ): Promise<string> {
     this.intentsWritten += 1;
     const path = join(this.directory ?? tmpdir(), `${member}-${this.intentsWritten}.json`);
-    const json = toIntentJson(makeIntent(member, places, change));
+    const json = toIntentJson(makeIntent(member, targets, change));
     await writeFile(path, JSON.stringify(json, undefined, 2));
     return path;
   }
@@ -186,7 +186,7 @@
   async applyIntents(): Promise<readonly string[]> {
     const ids: string[] = [];
     for (const member of MEMBERS) {
-      const file = await this.writeIntent(member, this.places);
+      const file = await this.writeIntent(member, this.targets);
       ids.push(await this.getOperator(member).applyIntent(file));
     }
     return ids;
@@ -200,7 +200,7 @@
   }
 
   /** Marks a node as leaving on the platform's list. */
-  async markLeaving(node: NodeProcess): Promise<void> {
+  async markShuttingDown(node: NodeProcess): Promise<void> {
     const { failureDomain } = node.options;
     const { peer } = node.addresses;
     await this.platform.registerVm({ address: peer, failureDomain, state: VmState.Leaving });
@@ -212,9 +212,9 @@
   }
 
   /** A target's own address, be there a link before it or not. */
-  getOwnAddress(control: string): string {
-    const places = this.groups.flatMap((group) => group.places);
-    return places.find((place) => place.control === control)?.address ?? '';
+  getDirectAddress(control: string): string {
+    const targets = this.groups.flatMap((group) => group.targets);
+    return targets.find((target) => target.control === control)?.address ?? '';
   }
 
   async fetchExecutions(): Promise<readonly IExecution[]> {
@@ -243,10 +243,10 @@
 
   private async chooseTargetAddresses(): Promise<void> {
     const choose = this.options.chooseTargetAddress;
-    const own = this.groups.flatMap(({ places }) => places);
-    this.places = await Promise.all(
-      own.map(async (place) => {
-        return choose === undefined ? place : { ...place, address: await choose(place) };
+    const own = this.groups.flatMap(({ targets }) => targets);
+    this.targets = await Promise.all(
+      own.map(async (target) => {
+        return choose === undefined ? target : { ...target, address: await choose(target) };
       }),
     );
   }
--- a/packages/lab/src/processes/node/managedProcess.ts
+++ b/packages/lab/src/processes/node/managedProcess.ts
@@ -6,7 +6,7 @@
 
 const READY_TIMEOUT_MS = 20_000;
 /** Lines of standard error that are kept to explain a failure. */
-const KEPT_LINES = 200;
+const MAX_ERROR_LINES = 200;
 
 /** Options of a {@link ManagedProcess}. */
 export interface IManagedProcessOptions {
@@ -122,7 +122,7 @@
     if (this.child.stderr === null) return;
     createInterface({ input: this.child.stderr }).on('line', (line) => {
       this.errorLines.push(line);
-      if (this.errorLines.length > KEPT_LINES) this.errorLines.shift();
+      if (this.errorLines.length > MAX_ERROR_LINES) this.errorLines.shift();
     });
   }
 
--- a/packages/lab/src/processes/node/operatorCommand.ts
+++ b/packages/lab/src/processes/node/operatorCommand.ts
@@ -50,12 +50,12 @@
 
   /** Submits an intent file and confirms the plan that it gets; returns the plan's id. */
   async applyIntent(file: string): Promise<string> {
-    const plan = (await this.runWell(['intent', 'submit', file])) as { readonly id: string };
-    await this.runWell(['plan', 'confirm', plan.id]);
+    const plan = (await this.runOrThrow(['intent', 'submit', file])) as { readonly id: string };
+    await this.runOrThrow(['plan', 'confirm', plan.id]);
     return plan.id;
   }
 
-  private async runWell(args: readonly string[]): Promise<unknown> {
+  private async runOrThrow(args: readonly string[]): Promise<unknown> {
     const { exitCode, output, errors } = await this.run(args);
     if (exitCode === 0) return output;
     throw new VError('parsleyctl %s exited %s:\n%s', args.join(' '), exitCode, errors);
--- a/packages/lab/src/processes/node/targetGroup.ts
+++ b/packages/lab/src/processes/node/targetGroup.ts
@@ -1,6 +1,6 @@
 /** The target stand-ins of one service, in one process. */
 import type { IExecution, IExecutionsBody, ITargetFaults } from '@parsleymux/standins';
-import type { IServiceLayout, ITargetPlace } from '../common/worldLayout.js';
+import type { IServiceLayout, ILabTarget } from '../common/worldLayout.js';
 import { FAILURE_DOMAINS } from '../common/worldLayout.js';
 import { requestJson } from './jsonRequest.js';
 import type { ProcessFleet } from './processFleet.js';
@@ -15,25 +15,26 @@
  *
  * @example
  * const group = await startTargetGroup(fleet, service, 1);
- * await group.setFaults(group.places[0], { failShare: 0.5 });
+ * await group.setFaults(group.targets[0], { failShare: 0.5 });
  */
 export class TargetGroup {
-  constructor(readonly places: readonly ITargetPlace[]) {}
+  constructor(readonly targets: readonly ILabTarget[]) {}
 
-  async setFaults(place: ITargetPlace, faults: Partial<ITargetFaults>): Promise<void> {
-    await requestJson(place.control, 'POST', '/control/faults', faults);
+  async setFaults(target: ILabTarget, faults: Partial<ITargetFaults>): Promise<void> {
+    await requestJson(target.control, 'POST', '/control/faults', faults);
   }
 
   async clearFaults(): Promise<void> {
-    for (const place of this.places) await requestJson(place.control, 'DELETE', '/control/faults');
+    for (const target of this.targets)
+      await requestJson(target.control, 'DELETE', '/control/faults');
   }
 
-  async markConnectionsSilent(place: ITargetPlace): Promise<void> {
-    await requestJson(place.control, 'POST', '/control/silence');
+  async markConnectionsSilent(target: ILabTarget): Promise<void> {
+    await requestJson(target.control, 'POST', '/control/silence');
   }
 
   async fetchExecutions(): Promise<readonly IExecution[]> {
-    const control = this.places[0]?.control;
+    const control = this.targets[0]?.control;
     if (control === undefined) return [];
     const body = (await requestJson(control, 'GET', '/control/executions')) as IExecutionsBody;
     return body.executions;
--- a/packages/lab/src/prove/common/faultSchedule.ts
+++ b/packages/lab/src/prove/common/faultSchedule.ts
@@ -50,9 +50,9 @@
 }
 
 const DEFAULT_SPACING_MS = 1500;
-const LEAST_DURATION_MS = 500;
+const MIN_DURATION_MS = 500;
 /** Longer than any timeout and the isolation limit of the lab's nodes. */
-const LONGEST_DURATION_MS = 9000;
+const MAX_DURATION_MS = 9000;
 
 /**
  * The faults of one run in the order of time. The same options give the same schedule.
@@ -68,7 +68,7 @@
   const step = fc.record({
     kind: fc.constantFrom(...options.kinds),
     atMs: fc.integer({ min: 0, max: lengthMs - 1 }),
-    durationMs: fc.integer({ min: LEAST_DURATION_MS, max: LONGEST_DURATION_MS }),
+    durationMs: fc.integer({ min: MIN_DURATION_MS, max: MAX_DURATION_MS }),
     pick: fc.nat({ max: 1_000_000 }),
     size: fc.double({ min: 0.1, max: 1, noNaN: true }),
   });
--- a/packages/lab/src/prove/common/findings.ts
+++ b/packages/lab/src/prove/common/findings.ts
@@ -1,6 +1,6 @@
 /** Checks that a run makes from outside, by name, with the first few that failed. */
 
-const KEPT_DETAILS = 5;
+const MAX_DETAILS = 5;
 
 /** One check's count. */
 export interface ICheckCount {
@@ -31,7 +31,7 @@
     count.checks += 1;
     if (holds) return;
     count.violations += 1;
-    if (count.details.length < KEPT_DETAILS) count.details.push(describe());
+    if (count.details.length < MAX_DETAILS) count.details.push(describe());
   }
 
   list(): readonly ICheckCount[] {
--- a/packages/lab/src/prove/node/brokenWorld.ts
+++ b/packages/lab/src/prove/node/brokenWorld.ts
@@ -41,7 +41,7 @@
 }
 
 async function setAllTargets(world: ProveWorld, faults: Partial<ITargetFaults>): Promise<void> {
-  for (const place of world.lab.getPlaces()) {
-    await world.lab.getGroup(place).setFaults(place, faults);
+  for (const target of world.lab.getTargets()) {
+    await world.lab.getGroup(target).setFaults(target, faults);
   }
 }
--- a/packages/lab/src/prove/node/leavingTargets.test.ts
+++ b/packages/lab/src/prove/node/drainedTargets.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { ITargetPlace } from '../../processes/common/worldLayout.js';
+import type { ILabTarget } from '../../processes/common/worldLayout.js';
 import { Findings } from '../common/findings.js';
-import { LeavingTargets } from './leavingTargets.js';
+import { DrainedTargets } from './drainedTargets.js';
 
-const PLACE: ITargetPlace = {
+const PLACE: ILabTarget = {
   member: 'm',
   service: 's',
   failureDomain: 'north',
@@ -12,7 +12,7 @@
   control: 'control',
 };
 
-function countViolations(leaving: LeavingTargets, startedAtMs: number): number {
+function countViolations(leaving: DrainedTargets, startedAtMs: number): number {
   const findings = new Findings();
   const execution = {
     target: 't',
@@ -26,7 +26,7 @@
 }
 
 test('work counts after the grace and before the next plan of the member', () => {
-  const leaving = new LeavingTargets();
+  const leaving = new DrainedTargets();
   leaving.open(PLACE, leaving.startConfirmation('m', 0), 0);
   leaving.startConfirmation('other', 7000);
   assert.equal(countViolations(leaving, 5000), 0);
@@ -39,7 +39,7 @@
 // Sequence: a drain takes effect, another plan starts to be confirmed, and only then the first
 // command returns. Cause: the span was opened although a later plan might have ended the drain.
 test('a drain that is known only after a later confirmation began opens no span', () => {
-  const leaving = new LeavingTargets();
+  const leaving = new DrainedTargets();
   const confirmation = leaving.startConfirmation('m', 0);
   leaving.startConfirmation('m', 100);
   leaving.open(PLACE, confirmation, 200);
--- a/packages/lab/src/prove/node/leavingTargets.ts
+++ b/packages/lab/src/prove/node/drainedTargets.ts
@@ -1,6 +1,6 @@
 /** Times during which targets were to see no new work. */
 import type { IExecution } from '@parsleymux/standins';
-import type { ITargetPlace } from '../../processes/common/worldLayout.js';
+import type { ILabTarget } from '../../processes/common/worldLayout.js';
 import type { Findings } from '../common/findings.js';
 
 /**
@@ -26,10 +26,10 @@
  * Remembers spans and compares them with executions.
  *
  * @example
- * const confirmation = leaving.startConfirmation(place.member, Date.now());
- * leaving.open(place, confirmation, Date.now());
+ * const confirmation = leaving.startConfirmation(target.member, Date.now());
+ * leaving.open(target, confirmation, Date.now());
  */
-export class LeavingTargets {
+export class DrainedTargets {
   private readonly spans: ISpan[] = [];
   private readonly confirmations = new Map<string, number>();
 
@@ -50,8 +50,8 @@
    * Begins the span of a target that a confirmation drained, unless another was started since:
    * that one may have taken the drain back before we came to know that ours took effect.
    */
-  open(place: ITargetPlace, confirmation: IConfirmation, sinceMs: number): void {
-    const { member, control } = place;
+  open(target: ILabTarget, confirmation: IConfirmation, sinceMs: number): void {
+    const { member, control } = target;
     if (this.confirmations.get(member) !== confirmation.count) return;
     this.spans.push({ member, control, sinceMs, untilMs: Infinity });
   }
--- a/packages/lab/src/prove/node/gracefulShutdowns.ts
+++ b/packages/lab/src/prove/node/gracefulShutdowns.ts
@@ -12,18 +12,18 @@
  * shutdowns.record('127.0.0.11:4000', Date.now(), child.waitForEnd());
  */
 export class GracefulShutdowns {
-  private readonly askedAtMs = new Map<string, number>();
+  private readonly requestedAtMs = new Map<string, number>();
   private readonly ends = new Map<string, Promise<IProcessEnd>>();
   private readonly disturbed = new Set<string>();
 
   /** `node` is a caller address. */
   record(node: string, nowMs: number, end: Promise<IProcessEnd>): void {
-    this.askedAtMs.set(node, nowMs);
+    this.requestedAtMs.set(node, nowMs);
     this.ends.set(node, end);
   }
 
-  isAsked(node: string): boolean {
-    return this.askedAtMs.has(node);
+  isRequested(node: string): boolean {
+    return this.requestedAtMs.has(node);
   }
 
   markDisturbed(node: string): void {
@@ -33,16 +33,16 @@
   /** Waits for the nodes to end: one that was asked must end, and say that it cut nothing. */
   async checkAll(records: readonly IRequestRecord[], findings: Findings): Promise<void> {
     const attempts = records.flatMap((record) => record.attempts);
-    for (const [node, askedAtMs] of this.askedAtMs) {
+    for (const [node, requestedAtMs] of this.requestedAtMs) {
       if (this.disturbed.has(node)) continue;
       const cut = attempts.filter((attempt) => {
-        const isInFlight = attempt.endedAtMs >= askedAtMs;
+        const isInFlight = attempt.endedAtMs >= requestedAtMs;
         const isCut =
           attempt.outcome === AttemptOutcome.Broken || attempt.outcome === AttemptOutcome.TimedOut;
         return attempt.node === node && isInFlight && isCut;
       });
       findings.check('no request cut by a graceful shutdown', cut.length === 0, () => {
-        const delaysMs = cut.map(({ sentAtMs }) => sentAtMs - askedAtMs);
+        const delaysMs = cut.map(({ sentAtMs }) => sentAtMs - requestedAtMs);
         return `${node} cut ${cut.length} requests, sent ${delaysMs.join(', ')} ms after it was asked`;
       });
       const end = await this.ends.get(node);
--- a/packages/lab/src/prove/node/nodeFaults.ts
+++ b/packages/lab/src/prove/node/nodeFaults.ts
@@ -7,14 +7,14 @@
 import type { ProveWorld } from './proveWorld.js';
 
 /** Fewer than this many running nodes are left alone, or nothing would be under test. */
-const LEAST_NODES = 3;
+const MIN_NODES = 3;
 
 function pickNode(step: IFaultStep, world: ProveWorld): NodeProcess | undefined {
   // A node that was asked to leave is left alone: a second SIGTERM ends it at once, by design.
   const nodes = world.lab.getNodes().filter(({ child, addresses }) => {
-    return !child.isStopped() && !world.shutdowns.isAsked(addresses.caller);
+    return !child.isStopped() && !world.shutdowns.isRequested(addresses.caller);
   });
-  return nodes.length < LEAST_NODES ? undefined : pickElement(nodes, step.pick);
+  return nodes.length < MIN_NODES ? undefined : pickElement(nodes, step.pick);
 }
 
 class NodeKill extends FaultInjector {
@@ -50,7 +50,7 @@
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const node = pickNode(step, world);
     if (node === undefined) return 'skipped';
-    await world.lab.markLeaving(node);
+    await world.lab.markShuttingDown(node);
     world.shutdowns.record(node.addresses.caller, Date.now(), node.child.waitForEnd());
     node.child.sendSignal('SIGTERM');
     void node.child.waitForEnd().then(() => world.lab.platform.removeVm(node.addresses.peer));
--- a/packages/lab/src/prove/node/operatorFaults.ts
+++ b/packages/lab/src/prove/node/operatorFaults.ts
@@ -13,7 +13,7 @@
 import type { ProveWorld } from './proveWorld.js';
 
 /** Long enough to see work that comes after the few seconds that a drain may take. */
-const LEAST_DRAIN_MS = 10_000;
+const MIN_DRAIN_MS = 10_000;
 
 function getPlanId(result: ICommandResult): string | undefined {
   const id = (result.output as { readonly id?: unknown } | undefined)?.id;
@@ -29,7 +29,7 @@
   const result = await world.lab.getOperator(member, step.pick).run(['status']);
   if (result.exitCode !== 0) return;
   const text = JSON.stringify(result.output);
-  const others = world.lab.getPlaces().filter((place) => place.member !== member);
+  const others = world.lab.getTargets().filter((target) => target.member !== member);
   const seen = others.filter(({ address }) => text.includes(`"${address}"`));
   world.findings.check("a member's status shows its own alone", seen.length === 0, () => {
     return `${member} saw ${seen.map(({ address }) => address).join(', ')}`;
@@ -41,7 +41,7 @@
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const member = pickMember(step.pick);
-    const file = await world.lab.writeIntent(member, world.lab.getPlaces(), {
+    const file = await world.lab.writeIntent(member, world.lab.getTargets(), {
       note: `race at ${step.atMs}`,
       floorChange: -(step.pick % 3),
     });
@@ -50,7 +50,7 @@
       operators.map((one) => one.run(['intent', 'submit', file])),
     );
     const ids = submitted.map(getPlanId);
-    world.leavingTargets.startConfirmation(member, Date.now());
+    world.drainedTargets.startConfirmation(member, Date.now());
     const confirmed = await Promise.all(
       operators.map(async (operator, index) => {
         const id = ids[index];
@@ -73,10 +73,10 @@
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const member = pickMember(step.pick);
     const rival = pickMember(step.pick + 1);
-    const file = await world.lab.writeIntent(member, world.lab.getPlaces(), { hostsOf: rival });
+    const file = await world.lab.writeIntent(member, world.lab.getTargets(), { hostsOf: rival });
     const operator = world.lab.getOperator(member, step.pick);
     const id = getPlanId(await operator.run(['intent', 'submit', file]));
-    world.leavingTargets.startConfirmation(member, Date.now());
+    world.drainedTargets.startConfirmation(member, Date.now());
     const result = id === undefined ? undefined : await operator.run(['plan', 'confirm', id]);
     world.findings.check("no member takes a rival's host", result?.exitCode !== 0, () => {
       return `${member} took the hosts of ${rival} by plan ${id ?? ''}`;
@@ -90,23 +90,23 @@
   override readonly kind = FaultKind.OperatorDrain;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
-    const place = pickElement(world.lab.getPlaces(), step.pick);
-    if (place === undefined) return 'skipped';
-    const operator = world.lab.getOperator(place.member, step.pick);
-    const file = await world.lab.writeIntent(place.member, world.lab.getPlaces(), {
-      states: new Map([[place.address, TargetState.DRAINING]]),
+    const target = pickElement(world.lab.getTargets(), step.pick);
+    if (target === undefined) return 'skipped';
+    const operator = world.lab.getOperator(target.member, step.pick);
+    const file = await world.lab.writeIntent(target.member, world.lab.getTargets(), {
+      states: new Map([[target.address, TargetState.DRAINING]]),
       floorChange: -100,
     });
     const id = getPlanId(await operator.run(['intent', 'submit', file]));
     if (id === undefined) return 'skipped';
-    const confirmation = world.leavingTargets.startConfirmation(place.member, Date.now());
+    const confirmation = world.drainedTargets.startConfirmation(target.member, Date.now());
     const result = await operator.run(['plan', 'confirm', id]);
     if (result.exitCode !== 0) return 'skipped';
-    world.leavingTargets.open(place, confirmation, Date.now());
-    const watched = new Promise((resolve) => setTimeout(resolve, LEAST_DRAIN_MS));
+    world.drainedTargets.open(target, confirmation, Date.now());
+    const watched = new Promise((resolve) => setTimeout(resolve, MIN_DRAIN_MS));
     return async () => {
       await watched;
-      await world.restoreIntent(place.member);
+      await world.restoreIntent(target.member);
     };
   }
 }
--- a/packages/lab/src/prove/node/platformFaults.ts
+++ b/packages/lab/src/prove/node/platformFaults.ts
@@ -7,9 +7,9 @@
 import { FaultInjector, endNothing, pickElement } from './faultInjector.js';
 import type { ProveWorld } from './proveWorld.js';
 
-const LONGEST_DELAY_MS = 4000;
-const LONGEST_STALENESS_MS = 8000;
-const MOST_LOST_ANSWERS = 10;
+const MAX_DELAY_MS = 4000;
+const MAX_STALENESS_MS = 8000;
+const MAX_LOST_RESPONSES = 10;
 
 /** A fault that is a setting of the platform stand-in. */
 class PlatformSetting extends FaultInjector {
@@ -29,17 +29,17 @@
   }
 }
 
-class PlatformLostAnswers extends FaultInjector {
+class PlatformLostResponses extends FaultInjector {
   override readonly kind = FaultKind.PlatformLostAnswers;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
-    const loseNextAnswers = Math.ceil(step.size * MOST_LOST_ANSWERS);
+    const loseNextAnswers = Math.ceil(step.size * MAX_LOST_RESPONSES);
     await world.lab.platform.setFaults({ loseNextAnswers });
     return endNothing;
   }
 }
 
-class PlatformCut extends FaultInjector {
+class PlatformPartition extends FaultInjector {
   override readonly kind = FaultKind.PlatformCut;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
@@ -56,12 +56,12 @@
     outage: pick % 2 === 0 ? 'refused' : 'unavailable',
   })),
   new PlatformSetting(FaultKind.PlatformSlow, ({ size }) => ({
-    delayMs: Math.round(size * LONGEST_DELAY_MS),
+    delayMs: Math.round(size * MAX_DELAY_MS),
   })),
   new PlatformSetting(FaultKind.PlatformOneWay, () => ({ oneWay: true })),
   new PlatformSetting(FaultKind.PlatformStale, ({ size }) => ({
-    staleMs: Math.round(size * LONGEST_STALENESS_MS),
+    staleMs: Math.round(size * MAX_STALENESS_MS),
   })),
-  new PlatformLostAnswers(),
-  new PlatformCut(),
+  new PlatformLostResponses(),
+  new PlatformPartition(),
 ];
--- a/packages/lab/src/prove/node/proveRun.ts
+++ b/packages/lab/src/prove/node/proveRun.ts
@@ -25,9 +25,9 @@
 
 /** Time after the last fault in which the fleet may still suffer from it. */
 const RECOVERY_MS = 8000;
-const RECOVERED_MS = 4000;
+const WATCH_MS = 4000;
 const REST_MS = 2000;
-const LEAST_SHARE_RECOVERED = 0.9;
+const MIN_RECOVERED_SHARE = 0.9;
 
 /** Options of {@link runProve}. */
 export interface IProveRunOptions {
@@ -75,7 +75,7 @@
   await world.clearFaults();
   await sleep(RECOVERY_MS);
   const recoveredAtMs = Date.now();
-  await sleep(RECOVERED_MS);
+  await sleep(WATCH_MS);
   await load.stop();
   await sleep(REST_MS);
   await watcher.poll();
@@ -102,7 +102,7 @@
   const answered = late.filter((record) => {
     return getFinalAttempt(record.attempts)?.outcome === AttemptOutcome.Answered;
   });
-  const isRecovered = answered.length >= LEAST_SHARE_RECOVERED * late.length && late.length > 0;
+  const isRecovered = answered.length >= MIN_RECOVERED_SHARE * late.length && late.length > 0;
   world.findings.check('serves again after the faults', isRecovered, () => {
     return `${answered.length} of ${late.length} requests answered`;
   });
@@ -111,15 +111,15 @@
 async function checkOutcomes(records: readonly IRequestRecord[], world: ProveWorld): Promise<void> {
   const executions = await world.lab.fetchExecutions();
   const verdict = compareOutcomes(records, executions);
-  recordPromise(world, verdict, 'at most once', verdict.bookings);
-  recordPromise(world, verdict, 'whole answers', verdict.requests);
-  recordPromise(world, verdict, 'truthful refusals', verdict.notRunChecked);
-  const findTarget = (control: string) => world.lab.getOwnAddress(control);
-  world.leavingTargets.checkAll(executions, findTarget, world.findings);
+  recordGuarantee(world, verdict, 'at most once', verdict.bookings);
+  recordGuarantee(world, verdict, 'whole answers', verdict.requests);
+  recordGuarantee(world, verdict, 'truthful refusals', verdict.notRunChecked);
+  const findTarget = (control: string) => world.lab.getDirectAddress(control);
+  world.drainedTargets.checkAll(executions, findTarget, world.findings);
   await world.shutdowns.checkAll(records, world.findings);
 }
 
-function recordPromise(
+function recordGuarantee(
   world: ProveWorld,
   verdict: IVerdict,
   promise: string,
--- a/packages/lab/src/prove/node/proveWorld.ts
+++ b/packages/lab/src/prove/node/proveWorld.ts
@@ -5,7 +5,7 @@
 import { LabWorld } from '../../processes/node/labWorld.js';
 import { Findings } from '../common/findings.js';
 import { GracefulShutdowns } from './gracefulShutdowns.js';
-import { LeavingTargets } from './leavingTargets.js';
+import { DrainedTargets } from './drainedTargets.js';
 
 /** Options of a {@link ProveWorld}. */
 export interface IProveWorldOptions {
@@ -25,7 +25,7 @@
 export class ProveWorld implements IDisposable {
   readonly lab: LabWorld;
   readonly findings = new Findings();
-  readonly leavingTargets = new LeavingTargets();
+  readonly drainedTargets = new DrainedTargets();
   readonly shutdowns = new GracefulShutdowns();
   private readonly store = new DisposableStore();
   private readonly platformLinks: FaultyLink[] = [];
@@ -38,7 +38,7 @@
       seed: options.seed,
       nodeOptions: breakModule === undefined ? [] : ['--import', breakModule],
       choosePlatformAddress: (own) => this.openLink(own, this.platformLinks),
-      chooseTargetAddress: (place) => this.openLink(place.address, this.targetLinks),
+      chooseTargetAddress: (target) => this.openLink(target.address, this.targetLinks),
     });
   }
 
@@ -63,12 +63,12 @@
 
   /** Submits and confirms the member's first intent again; an outage may keep it from that. */
   async restoreIntent(member: string): Promise<void> {
-    const file = await this.lab.writeIntent(member, this.lab.getPlaces());
+    const file = await this.lab.writeIntent(member, this.lab.getTargets());
     const operator = this.lab.getOperator(member);
     const submitted = await operator.run(['intent', 'submit', file]);
     const id = (submitted.output as { readonly id?: string } | undefined)?.id;
     if (submitted.exitCode !== 0 || id === undefined) return;
-    this.leavingTargets.startConfirmation(member, Date.now());
+    this.drainedTargets.startConfirmation(member, Date.now());
     await operator.run(['plan', 'confirm', id]);
   }
 
--- a/packages/lab/src/prove/node/targetFaults.ts
+++ b/packages/lab/src/prove/node/targetFaults.ts
@@ -7,7 +7,7 @@
 import { FaultInjector, endNothing, pickElement } from './faultInjector.js';
 import type { ProveWorld } from './proveWorld.js';
 
-const GREATEST_SLOWDOWN = 30;
+const MAX_SLOWDOWN = 30;
 
 /** A fault that is a setting of one target stand-in. */
 class TargetSetting extends FaultInjector {
@@ -19,18 +19,18 @@
   }
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
-    const place = pickElement(world.lab.getPlaces(), step.pick);
-    if (place === undefined) return 'skipped';
-    const group = world.lab.getGroup(place);
+    const target = pickElement(world.lab.getTargets(), step.pick);
+    if (target === undefined) return 'skipped';
+    const group = world.lab.getGroup(target);
     const faults = this.makeFaults(step);
-    await group.setFaults(place, faults);
+    await group.setFaults(target, faults);
     const names = Object.keys(faults) as (keyof ITargetFaults)[];
     const cleared = Object.fromEntries(names.map((name) => [name, NO_TARGET_FAULTS[name]]));
-    return () => group.setFaults(place, cleared);
+    return () => group.setFaults(target, cleared);
   }
 }
 
-class TargetCut extends FaultInjector {
+class TargetPartition extends FaultInjector {
   override readonly kind = FaultKind.TargetCut;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
@@ -53,11 +53,11 @@
 }
 
 export const TARGET_FAULTS: readonly FaultInjector[] = [
-  new TargetSetting(FaultKind.TargetSlow, ({ size }) => ({ slowFactor: size * GREATEST_SLOWDOWN })),
+  new TargetSetting(FaultKind.TargetSlow, ({ size }) => ({ slowFactor: size * MAX_SLOWDOWN })),
   new TargetSetting(FaultKind.TargetFailing, ({ size }) => ({ failShare: size })),
   new TargetSetting(FaultKind.TargetTruncating, ({ size }) => ({ truncateShare: size })),
   new TargetSetting(FaultKind.TargetDrain, () => ({ draining: true })),
   new TargetSetting(FaultKind.TargetDown, () => ({ down: true })),
-  new TargetCut(),
+  new TargetPartition(),
   new TargetSilent(),
 ];
--- a/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
+++ b/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
@@ -34,8 +34,8 @@
 }
 
 async function slowTargets(world: LabWorld): Promise<void> {
-  for (const place of world.getPlaces()) {
-    await world.getGroup(place).setFaults(place, { slowFactor: SLOW_FACTOR });
+  for (const target of world.getTargets()) {
+    await world.getGroup(target).setFaults(target, { slowFactor: SLOW_FACTOR });
   }
 }
 
--- a/packages/lab/src/soak/common/boundChecks.ts
+++ b/packages/lab/src/soak/common/boundChecks.ts
@@ -5,28 +5,28 @@
 import type { Findings } from '../../prove/common/findings.js';
 import { STORE_SCOPE, formatLinkScope } from './disturbanceLog.js';
 import type { ISoakEvidence } from './soakEvidence.js';
-import type { ISoakStory } from './soakLedger.js';
+import type { ISoakRequestRecord } from './soakLedger.js';
 import { ROUTE_TIMEOUT_S, SOAK_BOUNDS } from './soakLayout.js';
-import { describeArrival, describeStory } from './storyText.js';
+import { describeArrival, describeRequestRecord } from './requestText.js';
 
 const MS_PER_S = 1000;
 /** How long after its route's timeout a request may still be unanswered, in ms. */
 const TIMEOUT_SLACK_MS = 500;
 /** How long after its caller left a request may still arrive or be worked on at a target, in ms. */
-const LEFT_SLACK_MS = 500;
+const DISCONNECT_SLACK_MS = 500;
 
 export function checkBounds(evidence: ISoakEvidence, findings: Findings): void {
-  const stories = evidence.ledger.listStories();
+  const records = evidence.ledger.listRequestRecords();
   checkDrains(evidence, findings);
-  checkInForce(evidence, findings);
-  for (const story of stories) {
-    checkPlannedStop(story, evidence, findings);
-    checkTimeout(story, evidence, findings);
-    checkLeft(story, evidence, findings);
+  checkConfigApplied(evidence, findings);
+  for (const record of records) {
+    checkPlannedStop(record, evidence, findings);
+    checkTimeout(record, evidence, findings);
+    checkDisconnect(record, evidence, findings);
   }
 }
 
-function checkInForce(evidence: ISoakEvidence, findings: Findings): void {
+function checkConfigApplied(evidence: ISoakEvidence, findings: Findings): void {
   const { disturbances, probes, versions } = evidence;
   for (const probe of probes) {
     const accepted = versions.find(({ version }) => version === probe.version);
@@ -46,7 +46,7 @@
 
 function checkDrains(evidence: ISoakEvidence, findings: Findings): void {
   const { disturbances, drains, ledger } = evidence;
-  const requests = new Map(ledger.listStories().map(({ request }) => [request.id, request]));
+  const requests = new Map(ledger.listRequestRecords().map(({ request }) => [request.id, request]));
   for (const { acceptedMs, endMs = Infinity, target } of drains) {
     const dueMs = acceptedMs + SOAK_BOUNDS.drain_s * MS_PER_S;
     for (const arrival of ledger.listArrivals()) {
@@ -60,40 +60,52 @@
   }
 }
 
-function checkPlannedStop(story: ISoakStory, evidence: ISoakEvidence, findings: Findings): void {
-  const { arrivals, reply, request } = story;
-  const stop = evidence.plannedStops.find(({ life, node }) => {
-    return node === request.node && life === request.life;
+function checkPlannedStop(
+  record: ISoakRequestRecord,
+  evidence: ISoakEvidence,
+  findings: Findings,
+): void {
+  const { arrivals, reply, request } = record;
+  const stop = evidence.plannedStops.find(({ incarnation, node }) => {
+    return node === request.node && incarnation === request.incarnation;
   });
-  if (stop === undefined || reply === undefined || reply.hasLeft) return;
-  const isNear = reply.endMs >= stop.askedMs;
+  if (stop === undefined || reply === undefined || reply.hasDisconnected) return;
+  const isNear = reply.endMs >= stop.requestedMs;
   const scopes = [
     request.node,
     ...arrivals.flatMap(({ target }) => [target, formatLinkScope(target)]),
   ];
   if (!isNear || !evidence.disturbances.isCalm(scopes, request.sentMs, reply.endMs)) return;
   const isLost = reply.status === undefined && (arrivals.length > 0 || !reply.isUnread);
-  findings.check('stops lose no request', !isLost, () => describeStory(story));
+  findings.check('stops lose no request', !isLost, () => describeRequestRecord(record));
 }
 
-function checkTimeout(story: ISoakStory, evidence: ISoakEvidence, findings: Findings): void {
-  const { reply, request } = story;
-  if (reply === undefined || reply.hasLeft) return;
+function checkTimeout(
+  record: ISoakRequestRecord,
+  evidence: ISoakEvidence,
+  findings: Findings,
+): void {
+  const { reply, request } = record;
+  if (reply === undefined || reply.hasDisconnected) return;
   if (!evidence.disturbances.isCalm([request.node], request.sentMs, reply.endMs)) return;
   const tookMs = reply.endMs - request.sentMs;
   const limitMs = ROUTE_TIMEOUT_S * MS_PER_S + TIMEOUT_SLACK_MS;
   findings.check('answers come by the route’s timeout', tookMs <= limitMs, () => {
-    return describeStory(story);
+    return describeRequestRecord(record);
   });
 }
 
-function checkLeft(story: ISoakStory, evidence: ISoakEvidence, findings: Findings): void {
-  const { arrivals, reply, request } = story;
-  if (reply?.hasLeft !== true) return;
+function checkDisconnect(
+  record: ISoakRequestRecord,
+  evidence: ISoakEvidence,
+  findings: Findings,
+): void {
+  const { arrivals, reply, request } = record;
+  if (reply?.hasDisconnected !== true) return;
   if (!evidence.disturbances.isCalm([request.node], request.sentMs, reply.endMs)) return;
-  const limitMs = reply.endMs + LEFT_SLACK_MS;
+  const limitMs = reply.endMs + DISCONNECT_SLACK_MS;
   const isLate = arrivals.some(({ atMs }) => atMs > limitMs);
-  const describe = () => describeStory(story);
+  const describe = () => describeRequestRecord(record);
   findings.check('requests of callers that left go no further', !isLate, describe);
   const links = arrivals.map(({ target }) => formatLinkScope(target));
   if (!evidence.disturbances.isCalm(links, request.sentMs, limitMs)) return;
--- a/packages/lab/src/soak/common/checks.test.ts
+++ b/packages/lab/src/soak/common/checks.test.ts
@@ -7,7 +7,7 @@
 import type { ISoakEvidence } from './soakEvidence.js';
 import type { ISoakArrival, ISoakReply, ISoakRequest } from './soakLedger.js';
 import { SoakLedger } from './soakLedger.js';
-import { formatAnswerBody } from './storyText.js';
+import { formatResponseBody } from './requestText.js';
 
 const REQUEST: ISoakRequest = {
   id: 'q1',
@@ -16,7 +16,7 @@
   path: '/bookings/q1',
   body: 'order',
   node: 'node-0',
-  life: 1,
+  incarnation: 1,
   sentMs: 10_000,
 };
 const ARRIVAL: ISoakArrival = {
@@ -29,16 +29,16 @@
   atMs: 10_010,
   hasRun: true,
   status: 200,
-  tellsDrain: false,
+  isAnnouncingDrain: false,
   bornMs: 1,
 };
 const REPLY: ISoakReply = {
   status: 200,
-  body: formatAnswerBody('q1', 'booking-1'),
+  body: formatResponseBody('q1', 'booking-1'),
   stamp: 'booking-1.q1',
   retryAfter: undefined,
   endMs: 10_100,
-  hasLeft: false,
+  hasDisconnected: false,
   isUnread: false,
 };
 
@@ -51,7 +51,7 @@
 }
 
 /** Names of the checks that fail on one request. */
-function listBroken(given: ICase): readonly string[] {
+function listFailedChecks(given: ICase): readonly string[] {
   const ledger = new SoakLedger();
   ledger.recordRequest({ ...REQUEST, ...given.request });
   ledger.recordReply('q1', { ...REPLY, ...given.reply });
@@ -78,12 +78,12 @@
 }
 
 test('a request that is served breaks nothing', () => {
-  assert.deepEqual(listBroken({}), []);
+  assert.deepEqual(listFailedChecks({}), []);
 });
 
 test('each promise is seen to be broken', () => {
   // Symptom: a run that should fail passes. Sequence: a check compares the wrong sides. Cause: it
-  // was never shown a story that breaks its promise.
+  // was never shown a record that breaks its promise.
   const cases: readonly (readonly [string, ICase])[] = [
     ['at most once', { arrivals: [{}, {}] }],
     ['refused means not run', { reply: { status: 429, stamp: undefined } }],
@@ -102,17 +102,17 @@
     ['answers come by the route’s timeout', { reply: { endMs: 12_600 } }],
     [
       'requests of callers that left go no further',
-      { reply: { hasLeft: true, endMs: 10_020 }, arrivals: [{ atMs: 10_600 }] },
+      { reply: { hasDisconnected: true, endMs: 10_020 }, arrivals: [{ atMs: 10_600 }] },
     ],
     [
       'targets drop the work of callers that left',
-      { reply: { hasLeft: true, endMs: 10_020 }, workEndMs: 10_600 },
+      { reply: { hasDisconnected: true, endMs: 10_020 }, workEndMs: 10_600 },
     ],
     [
       'stops lose no request',
       {
         reply: { status: undefined },
-        evidence: { plannedStops: [{ node: 'node-0', life: 1, askedMs: 10_050 }] },
+        evidence: { plannedStops: [{ node: 'node-0', incarnation: 1, requestedMs: 10_050 }] },
       },
     ],
     [
@@ -120,35 +120,35 @@
       { evidence: { drains: [{ target: 'booking-1', acceptedMs: 8000 }] } },
     ],
   ];
-  for (const [name, given] of cases) assert.ok(listBroken(given).includes(name), name);
+  for (const [name, given] of cases) assert.ok(listFailedChecks(given).includes(name), name);
 });
 
 test('what a fault explains is no broken bound', () => {
   const disturbances = new DisturbanceLog();
   disturbances.record('node-0', 9000);
   const drains = [{ target: 'booking-1', acceptedMs: 8000 }];
-  assert.deepEqual(listBroken({ evidence: { disturbances, drains } }), []);
+  assert.deepEqual(listFailedChecks({ evidence: { disturbances, drains } }), []);
 });
 
 test('a process that goes back to an older configuration is found, a new process not', () => {
-  const probe = { node: 'node-0', life: 1, sentMs: 1, isFound: true };
+  const probe = { node: 'node-0', incarnation: 1, sentMs: 1, isFound: true };
   const probes = [
     { ...probe, version: 2 },
     { ...probe, version: 1, sentMs: 2 },
   ];
-  assert.deepEqual(listBroken({ evidence: { probes } }), ['configurations never go back']);
+  assert.deepEqual(listFailedChecks({ evidence: { probes } }), ['configurations never go back']);
   const [first, second] = probes;
-  const restarted = [first!, { ...second!, life: 2 }];
-  assert.deepEqual(listBroken({ evidence: { probes: restarted } }), []);
+  const restarted = [first!, { ...second!, incarnation: 2 }];
+  assert.deepEqual(listFailedChecks({ evidence: { probes: restarted } }), []);
 });
 
 test('a configuration that is not in force in time is found', () => {
   const versions = [{ version: 3, acceptedMs: 1000 }];
-  const probe = { node: 'node-0', life: 1, version: 3, isFound: false };
+  const probe = { node: 'node-0', incarnation: 1, version: 3, isFound: false };
   const early = [{ ...probe, sentMs: 2900 }];
-  assert.deepEqual(listBroken({ evidence: { versions, probes: early } }), []);
+  assert.deepEqual(listFailedChecks({ evidence: { versions, probes: early } }), []);
   const late = [{ ...probe, sentMs: 3100 }];
-  assert.deepEqual(listBroken({ evidence: { versions, probes: late } }), [
+  assert.deepEqual(listFailedChecks({ evidence: { versions, probes: late } }), [
     'configurations are in force in time',
   ]);
 });
--- a/packages/lab/src/soak/common/safetyChecks.ts
+++ b/packages/lab/src/soak/common/safetyChecks.ts
@@ -1,9 +1,9 @@
 /** Promises that hold on a computer of any speed, checked on what callers and targets saw. */
 import type { Findings } from '../../prove/common/findings.js';
 import type { ISoakEvidence, IVersionProbe } from './soakEvidence.js';
-import type { ISoakArrival, ISoakStory } from './soakLedger.js';
+import type { ISoakArrival, ISoakRequestRecord } from './soakLedger.js';
 import { BOOKING_SERVICE, LISTING_SERVICE, MAX_ATTEMPTS, SOAK_BOUNDS } from './soakLayout.js';
-import { describeArrival, describeStory, formatAnswerBody } from './storyText.js';
+import { describeArrival, describeRequestRecord, formatResponseBody } from './requestText.js';
 
 const MS_PER_S = 1000;
 const FIRST_FAILURE = 300;
@@ -13,19 +13,19 @@
 
 /** Checks that hold however slow the computer is. */
 export function checkSafety(evidence: ISoakEvidence, findings: Findings): void {
-  for (const story of evidence.ledger.listStories()) checkStory(story, findings);
-  const unasked = evidence.ledger.listUnasked();
+  for (const record of evidence.ledger.listRequestRecords()) checkRequest(record, findings);
+  const unasked = evidence.ledger.listUnsolicited();
   findings.check('targets get only what callers sent', unasked.length === 0, () => {
     return describeArrival(unasked[0]);
   });
   checkRetries(evidence, findings);
-  checkRegress(evidence.probes, findings);
+  checkConfigRegression(evidence.probes, findings);
 }
 
-function checkStory(story: ISoakStory, findings: Findings): void {
-  const { arrivals, reply, request } = story;
+function checkRequest(record: ISoakRequestRecord, findings: Findings): void {
+  const { arrivals, reply, request } = record;
   const ran = arrivals.filter(({ hasRun }) => hasRun);
-  const describe = () => describeStory(story);
+  const describe = () => describeRequestRecord(record);
   for (const arrival of arrivals) {
     const isSame =
       arrival.method === request.method &&
@@ -40,16 +40,20 @@
   findings.check('attempts stay within the route', targets.size <= MAX_ATTEMPTS, describe);
   if (request.kind === 'booking') findings.check('at most once', ran.length <= 1, describe);
   if (reply?.status === undefined) return;
-  checkReply(story, ran, findings);
+  checkReply(record, ran, findings);
 }
 
-function checkReply(story: ISoakStory, ran: readonly ISoakArrival[], findings: Findings): void {
-  const { reply, request } = story;
-  const describe = () => describeStory(story);
+function checkReply(
+  record: ISoakRequestRecord,
+  ran: readonly ISoakArrival[],
+  findings: Findings,
+): void {
+  const { reply, request } = record;
+  const describe = () => describeRequestRecord(record);
   if (reply?.status === undefined) return;
   const { body, stamp, status } = reply;
   if (status < FIRST_FAILURE) {
-    const isOwn = ran.some(({ target }) => body === formatAnswerBody(request.id, target));
+    const isOwn = ran.some(({ target }) => body === formatResponseBody(request.id, target));
     findings.check(
       'successes are whole and the target’s own',
       isOwn && stamp !== undefined,
@@ -71,9 +75,9 @@
 
 /** The fleet's repeats of each service, in every window that ends with a repeat. */
 function checkRetries(evidence: ISoakEvidence, findings: Findings): void {
-  const stories = evidence.ledger.listStories();
+  const records = evidence.ledger.listRequestRecords();
   for (const service of [BOOKING_SERVICE, LISTING_SERVICE]) {
-    const own = stories.filter(({ request }) => {
+    const own = records.filter(({ request }) => {
       return (request.kind === 'booking') === (service === BOOKING_SERVICE);
     });
     const sent = own.map(({ request }) => request.sentMs);
@@ -114,15 +118,15 @@
 }
 
 /** A process that has served by a version handles nothing by an older one that was sent later. */
-function checkRegress(probes: readonly IVersionProbe[], findings: Findings): void {
+function checkConfigRegression(probes: readonly IVersionProbe[], findings: Findings): void {
   const newest = new Map<string, number>();
   for (const probe of [...probes].sort((left, right) => left.sentMs - right.sentMs)) {
     if (!probe.isFound) continue;
-    const life = `${probe.node}/${probe.life}`;
-    const known = newest.get(life) ?? 0;
+    const incarnation = `${probe.node}/${probe.incarnation}`;
+    const known = newest.get(incarnation) ?? 0;
     findings.check('configurations never go back', probe.version >= known, () => {
-      return `${life} answered by ${probe.version} after ${known}`;
+      return `${incarnation} answered by ${probe.version} after ${known}`;
     });
-    newest.set(life, Math.max(known, probe.version));
+    newest.set(incarnation, Math.max(known, probe.version));
   }
 }
--- a/packages/lab/src/soak/common/soakEvidence.ts
+++ b/packages/lab/src/soak/common/soakEvidence.ts
@@ -13,14 +13,14 @@
 /** A node that was asked to stop. */
 export interface IPlannedStop {
   readonly node: string;
-  readonly life: number;
-  readonly askedMs: number;
+  readonly incarnation: number;
+  readonly requestedMs: number;
 }
 
 /** A probe of the configuration that a node has in force. */
 export interface IVersionProbe {
   readonly node: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly version: number;
   readonly sentMs: number;
   readonly isFound: boolean;
--- a/packages/lab/src/soak/common/soakLedger.ts
+++ b/packages/lab/src/soak/common/soakLedger.ts
@@ -13,7 +13,7 @@
   /** Name of the node that took it. */
   readonly node: string;
   /** Number of the node's process, counted from its first start. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly sentMs: number;
 }
 
@@ -26,13 +26,13 @@
   readonly retryAfter: string | undefined;
   readonly endMs: number;
   /** The caller closed its connection itself. */
-  readonly hasLeft: boolean;
+  readonly hasDisconnected: boolean;
   /** The node closed the connection without having read the request, as far as a caller can tell. */
   readonly isUnread: boolean;
 }
 
 /** A limit of requests that a target names for a while. */
-export interface INamedLimit {
+export interface IAdvertisedLimit {
   readonly ratePerS: number;
   /** When it began to name it, in ms of the run. */
   readonly sinceMs: number;
@@ -52,9 +52,9 @@
   /** Status that the target answered with, or would have. */
   readonly status: number;
   /** Whether the answer says that the target leaves. */
-  readonly tellsDrain: boolean;
+  readonly isAnnouncingDrain: boolean;
   /** The limit that the target named then. */
-  readonly limit?: INamedLimit | undefined;
+  readonly limit?: IAdvertisedLimit | undefined;
   /** When the target started, in ms of Unix time: it may start again under its identifier. */
   readonly bornMs: number;
 }
@@ -66,7 +66,7 @@
 }
 
 /** A request with all that is known of it. */
-export interface ISoakStory {
+export interface ISoakRequestRecord {
   readonly request: ISoakRequest;
   readonly reply: ISoakReply | undefined;
   readonly arrivals: readonly ISoakWork[];
@@ -100,7 +100,7 @@
     };
   }
 
-  listStories(): readonly ISoakStory[] {
+  listRequestRecords(): readonly ISoakRequestRecord[] {
     const byId = new Map<string, ISoakWork[]>();
     for (const arrival of this.arrivals) {
       const known = byId.get(arrival.id);
@@ -115,7 +115,7 @@
   }
 
   /** Arrivals of requests that no caller sent. */
-  listUnasked(): readonly ISoakArrival[] {
+  listUnsolicited(): readonly ISoakArrival[] {
     return this.arrivals.filter(({ id }) => !this.requests.has(id));
   }
 
--- a/packages/lab/src/soak/node/main.ts
+++ b/packages/lab/src/soak/node/main.ts
@@ -78,7 +78,7 @@
     schedule,
     nodeCount: Number(values.nodes),
     targetsPerService: Number(values.targets),
-    checksBounds: true,
+    isCheckingBounds: true,
     storeLogs: (logs) => {
       storeLogs(seed, logs);
     },
--- a/packages/lab/src/soak/node/soak.test.ts
+++ b/packages/lab/src/soak/node/soak.test.ts
@@ -22,7 +22,7 @@
     schedule,
     nodeCount: 4,
     targetsPerService: 4,
-    checksBounds: false,
+    isCheckingBounds: false,
   });
   return findings
     .list()
--- a/packages/lab/src/soak/node/soakCaller.ts
+++ b/packages/lab/src/soak/node/soakCaller.ts
@@ -15,12 +15,12 @@
 /** The caller's deadline, in ms: beyond the route's timeout, which has to end the request. */
 const CALLER_TIMEOUT_MS = 4000;
 /** After this nothing is waited for any more, in ms. */
-const GIVE_UP_MS = 8000;
+const REPLY_TIMEOUT_MS = 8000;
 const BOOKING_SHARE = 0.6;
 /** Share of the callers that leave before they have an answer. */
-const LEAVING_SHARE = 0.06;
+const DISCONNECT_SHARE = 0.06;
 /** Callers that leave do so within this time, in ms: most requests take less. */
-const LONGEST_PATIENCE_MS = 150;
+const MAX_DISCONNECT_DELAY_MS = 150;
 
 /** Options of a {@link SoakCaller}. */
 export interface ISoakCallerOptions {
@@ -74,14 +74,14 @@
       path: `${isBooking ? BOOKING_PREFIX : LISTING_PREFIX}${id}`,
       body: isBooking ? `order of ${id}` : '',
       node: node.name,
-      life: node.life,
+      incarnation: node.incarnation,
       sentMs: performance.now(),
     };
     ledger.recordRequest(sent);
-    const leavesAfterMs =
-      random.getFloat() < LEAVING_SHARE ? random.getFloat() * LONGEST_PATIENCE_MS : Infinity;
+    const disconnectAfterMs =
+      random.getFloat() < DISCONNECT_SHARE ? random.getFloat() * MAX_DISCONNECT_DELAY_MS : Infinity;
     const agent = this.agent;
-    ledger.recordReply(id, await sendRequest(node.front, sent, { agent, leavesAfterMs }));
+    ledger.recordReply(id, await sendRequest(node.front, sent, { agent, disconnectAfterMs }));
   }
 }
 
@@ -99,12 +99,12 @@
     path: `${formatVersionPrefix(version)}${id}`,
     body: '',
     node: node.name,
-    life: node.life,
+    incarnation: node.incarnation,
     sentMs: performance.now(),
   };
   ledger.recordRequest(sent);
   const agent = new Agent({ keepAlive: false });
-  const reply = await sendRequest(node.front, sent, { agent, leavesAfterMs: Infinity });
+  const reply = await sendRequest(node.front, sent, { agent, disconnectAfterMs: Infinity });
   ledger.recordReply(id, reply);
   if (reply.status === undefined) return undefined;
   if (reply.status === 404) return false;
@@ -126,20 +126,20 @@
     path,
     body: '',
     node: node.name,
-    life: node.life,
+    incarnation: node.incarnation,
     sentMs,
   };
   ledger.recordRequest(sent);
   const agent = new Agent({ keepAlive: false });
   ledger.recordReply(
     sent.id,
-    await sendRequest(node.front, sent, { agent, leavesAfterMs: Infinity }),
+    await sendRequest(node.front, sent, { agent, disconnectAfterMs: Infinity }),
   );
 }
 
 interface ISendOptions {
   readonly agent: Agent;
-  readonly leavesAfterMs: number;
+  readonly disconnectAfterMs: number;
 }
 
 /** Never rejects: every way to end is a reply. */
@@ -148,10 +148,10 @@
   sent: ISoakRequest,
   options: ISendOptions,
 ): Promise<ISoakReply> {
-  const { agent, leavesAfterMs } = options;
+  const { agent, disconnectAfterMs } = options;
   const [host = '', port = '0'] = address.split(':');
   return new Promise((resolve) => {
-    let hasLeft = false;
+    let hasDisconnected = false;
     let socket: Socket | undefined;
     const end = (part: Partial<ISoakReply>) => {
       clearTimeout(timer);
@@ -162,7 +162,7 @@
         retryAfter: undefined,
         isUnread: socket === undefined || socket.bytesWritten === 0,
         ...part,
-        hasLeft,
+        hasDisconnected,
         endMs: performance.now(),
       });
     };
@@ -181,10 +181,10 @@
     });
     const timer = setTimeout(
       () => {
-        hasLeft = leavesAfterMs !== Infinity;
+        hasDisconnected = disconnectAfterMs !== Infinity;
         outgoing.destroy();
       },
-      Math.min(leavesAfterMs, GIVE_UP_MS),
+      Math.min(disconnectAfterMs, REPLY_TIMEOUT_MS),
     );
     outgoing.once('socket', (taken) => {
       socket = taken;
@@ -194,13 +194,13 @@
       end({ isUnread: outgoing.reusedSocket || socket?.bytesWritten === 0 });
     });
     outgoing.once('response', (response) => {
-      void readAnswer(response).then(end);
+      void readResponse(response).then(end);
     });
     outgoing.end(sent.body);
   });
 }
 
-async function readAnswer(response: IncomingMessage): Promise<Partial<ISoakReply>> {
+async function readResponse(response: IncomingMessage): Promise<Partial<ISoakReply>> {
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of response) chunks.push(chunk as Buffer);
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -14,27 +14,27 @@
 
 const MS_PER_S = 1000;
 /** Fewer usable nodes or targets of a service than this are left alone. */
-const LEAST_NODES = 2;
-const LEAST_TARGETS = 2;
+const MIN_NODES = 2;
+const MIN_TARGETS = 2;
 /** Longest delay of a link in one direction, in ms. */
-const LONGEST_DELAY_MS = 400;
+const MAX_DELAY_MS = 400;
 const STORM_PAUSE_MS = 150;
 /** Pause between two copies of a request that crashes targets, in ms. */
 const CRASHING_PAUSE_MS = 250;
 /** A process that was killed is started again after this, in ms. */
-const RESTART_MS = 300;
+const RESTART_DELAY_MS = 300;
 /** An address goes to another target this long after the former one's entry went, in ms. */
-const REUSE_MS = 1500;
+const REUSE_DELAY_MS = 1500;
 /** A leaving target serves a little longer than nodes may send to it, in ms. */
-const LEAVE_MS = SOAK_BOUNDS.drain_s * MS_PER_S + 1000;
+const DRAINING_MS = SOAK_BOUNDS.drain_s * MS_PER_S + 1000;
 
 /** The store is away for this long before it comes back older, in ms; then others write again. */
-const STORE_AWAY_MS = 400;
-const REWRITE_MS = 600;
+const STORE_OUTAGE_MS = 400;
+const REWRITE_DELAY_MS = 600;
 const LOST_WRITES = 10;
 /** A target names a limit for this long, in ms, and how many requests a second it may be. */
 const LIMIT_MS = 9000;
-const LEAST_LIMIT_PER_S = 0.5;
+const MIN_LIMIT_PER_S = 0.5;
 const LIMIT_RANGE_PER_S = 2;
 
 type Step = IFaultStep<SoakFaultKind>;
@@ -87,11 +87,11 @@
     case SoakFaultKind.CrashingRequest:
       return Promise.resolve(startCrashingRequest(step, world));
     case SoakFaultKind.TargetTellsDrain:
-      return withTarget(step, world, (target) => startToldDrain(target, world));
+      return withTarget(step, world, (target) => startAnnouncedDrain(target, world));
     case SoakFaultKind.StoreRestore:
       return Promise.resolve(startStoreRestore(world));
     case SoakFaultKind.TargetNamesLimit:
-      return withTarget(step, world, (target) => startNamedLimit(target, step));
+      return withTarget(step, world, (target) => startAdvertisedLimit(target, step));
   }
 }
 
@@ -101,7 +101,7 @@
   act: (node: SoakNode) => Promise<Injection>,
 ): Promise<Injection> {
   const usable = world.nodes.filter((node) => node.isUsable());
-  const node = usable.length > LEAST_NODES ? pickElement(usable, step.pick) : undefined;
+  const node = usable.length > MIN_NODES ? pickElement(usable, step.pick) : undefined;
   return node === undefined ? Promise.resolve('skipped') : act(node);
 }
 
@@ -114,7 +114,7 @@
   const siblings = world.targets.filter(({ options }) => {
     return options.service === target?.options.service;
   });
-  if (target === undefined || siblings.length <= LEAST_TARGETS) return Promise.resolve('skipped');
+  if (target === undefined || siblings.length <= MIN_TARGETS) return Promise.resolve('skipped');
   return act(target);
 }
 
@@ -146,8 +146,8 @@
 }
 
 function startTermination(node: SoakNode, world: SoakWorld): Promise<EndFault> {
-  const askedMs = performance.now();
-  world.plannedStops.push({ node: node.name, life: node.life, askedMs });
+  const requestedMs = performance.now();
+  world.plannedStops.push({ node: node.name, incarnation: node.incarnation, requestedMs });
   node.sendSignal('SIGTERM');
   const graceMs = SOAK_BOUNDS.grace_s * MS_PER_S;
   const killer = setTimeout(() => {
@@ -155,12 +155,12 @@
   }, graceMs);
   void node.waitForEnd().then(() => {
     clearTimeout(killer);
-    const tookMs = performance.now() - askedMs;
-    const wasCalm = world.disturbances.isCalm([node.name], askedMs, askedMs + tookMs);
+    const tookMs = performance.now() - requestedMs;
+    const wasCalm = world.disturbances.isCalm([node.name], requestedMs, requestedMs + tookMs);
     world.findings.check('stops end within the grace time', !wasCalm || tookMs < graceMs, () => {
       return `${node.name} took ${Math.round(tookMs)} ms`;
     });
-    setTimeout(() => void world.ensureRunning(node), RESTART_MS);
+    setTimeout(() => void world.ensureRunning(node), RESTART_DELAY_MS);
   });
   return Promise.resolve(endNothing);
 }
@@ -204,12 +204,12 @@
   return async () => {
     const endDisturbance = markDisturbed(STORE_SCOPE, world);
     world.store.fault = MetadataFault.Reset;
-    await new Promise((resolve) => setTimeout(resolve, STORE_AWAY_MS));
+    await new Promise((resolve) => setTimeout(resolve, STORE_OUTAGE_MS));
     world.store.restore(copy);
     world.store.fault = MetadataFault.None;
     endDisturbance();
-    await new Promise((resolve) => setTimeout(resolve, REWRITE_MS));
-    world.writeAgain();
+    await new Promise((resolve) => setTimeout(resolve, REWRITE_DELAY_MS));
+    world.restoreLostWrites();
   };
 }
 
@@ -232,7 +232,7 @@
       await link.setFaults({ cutForward: true, cutBackward: true });
       break;
     case 'delay':
-      await link.setFaults({ delayMs: LONGEST_DELAY_MS * step.size });
+      await link.setFaults({ delayMs: MAX_DELAY_MS * step.size });
       break;
     case 'reset':
       link.resetConnections();
@@ -255,11 +255,11 @@
 
 function startTargetFault(target: SoakTarget, step: Step, world: SoakWorld): Promise<EndFault> {
   const endDisturbance = markDisturbed(target.options.id, world);
-  const modes = TARGET_MODES.filter((mode) => mode !== TargetMode.Well);
+  const modes = TARGET_MODES.filter((mode) => mode !== TargetMode.Healthy);
   target.mode = pickElement(modes, step.pick) ?? TargetMode.Failing;
   target.share = step.size;
   return Promise.resolve(() => {
-    target.mode = TargetMode.Well;
+    target.mode = TargetMode.Healthy;
     endDisturbance();
     return Promise.resolve();
   });
@@ -273,7 +273,7 @@
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), LEAVE_MS);
+  setTimeout(() => void leave(), DRAINING_MS);
   return endNothing;
 }
 
@@ -290,10 +290,10 @@
   const services = [...new Set(world.targets.map(({ options }) => options.service))];
   const service = pickElement(services, Math.floor(step.pick / 7)) ?? target.options.service;
   markDisturbed(target.options.id, world);
-  const place = await target.releasePlace();
+  const endpoint = await target.releaseEndpoint();
   world.removeTarget(target);
-  await new Promise((resolve) => setTimeout(resolve, REUSE_MS));
-  await world.openTarget(service, place);
+  await new Promise((resolve) => setTimeout(resolve, REUSE_DELAY_MS));
+  await world.openTarget(service, endpoint);
   return endNothing;
 }
 
@@ -332,20 +332,20 @@
   };
 }
 
-async function startToldDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
+async function startAnnouncedDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
   await world.openTarget(target.options.service);
-  target.tellsDrain = true;
+  target.isAnnouncingDrain = true;
   const leave = async () => {
     world.removeTarget(target);
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), 2 * LEAVE_MS);
+  setTimeout(() => void leave(), 2 * DRAINING_MS);
   return endNothing;
 }
 
-function startNamedLimit(target: SoakTarget, step: Step): Promise<EndFault> {
-  const ratePerS = LEAST_LIMIT_PER_S + step.size * LIMIT_RANGE_PER_S;
+function startAdvertisedLimit(target: SoakTarget, step: Step): Promise<EndFault> {
+  const ratePerS = MIN_LIMIT_PER_S + step.size * LIMIT_RANGE_PER_S;
   target.limit = { ratePerS, sinceMs: performance.now() };
   setTimeout(() => {
     target.limit = undefined;
--- a/packages/lab/src/soak/node/soakNode.ts
+++ b/packages/lab/src/soak/node/soakNode.ts
@@ -14,7 +14,7 @@
 import { SOAK_BOUNDS, SOAK_FAILURE_DOMAINS } from '../common/soakLayout.js';
 
 /** Ports that a node may use besides those that callers know. */
-const FREE_PORTS = 16;
+const PORT_RANGE_SIZE = 16;
 const READY_TIMEOUT_MS = 900;
 /** Hosts of one run begin here, within 127.0.0.0/8; the run's process id keeps two runs apart. */
 const FIRST_HOST = 11;
@@ -28,8 +28,8 @@
   readonly storeAddress: string;
   /** Module that the node loads first, and that turns a mechanism off in it. */
   readonly breakModule: string | undefined;
-  /** Called when a process ends; `isAsked` tells whether the soak had ended it. */
-  readonly onDidEnd: (node: SoakNode, end: IProcessEnd, isAsked: boolean) => void;
+  /** Called when a process ends; `isRequested` tells whether the soak had ended it. */
+  readonly onDidEnd: (node: SoakNode, end: IProcessEnd, isRequested: boolean) => void;
 }
 
 /** How a settings file is to be written. */
@@ -44,10 +44,10 @@
   readonly name: string;
   readonly host: string;
   /** Processes started so far. */
-  life = 0;
+  incarnation = 0;
   private child: ManagedProcess | undefined;
-  private readonly formerLines: string[] = [];
-  private isEndAsked = false;
+  private readonly previousLines: string[] = [];
+  private isEndRequested = false;
   private isStarting = false;
   private ports: readonly number[] = [];
   private storeLink: FaultyLink | undefined;
@@ -73,7 +73,7 @@
 
   /** Whether it runs, is not stopped by a signal and was not asked to end. */
   isUsable(): boolean {
-    return this.isRunning() && this.child?.isStopped() !== true && !this.isEndAsked;
+    return this.isRunning() && this.child?.isStopped() !== true && !this.isEndRequested;
   }
 
   /** Whether SIGHUP would be handled: the runtime itself takes some time until it can be. */
@@ -103,9 +103,9 @@
   }
 
   private startProcess(): void {
-    this.formerLines.push(...this.getOwnLines(), `end of life ${this.life}`);
-    this.life += 1;
-    this.isEndAsked = false;
+    this.previousLines.push(...this.getCurrentLines(), `end of incarnation ${this.incarnation}`);
+    this.incarnation += 1;
+    this.isEndRequested = false;
     const { breakModule, fleet } = this.options;
     const child = fleet.start({
       name: this.name,
@@ -115,13 +115,13 @@
     });
     this.child = child;
     void child.waitForEnd().then((end) => {
-      this.options.onDidEnd(this, end, this.isEndAsked);
+      this.options.onDidEnd(this, end, this.isEndRequested);
     });
   }
 
   /** Sends a signal; SIGTERM and SIGKILL count as asked. */
   sendSignal(signal: NodeJS.Signals): void {
-    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.isEndAsked = true;
+    if (signal === 'SIGTERM' || signal === 'SIGKILL') this.isEndRequested = true;
     this.child?.sendSignal(signal);
   }
 
@@ -131,7 +131,7 @@
 
   /** What all its processes wrote, oldest first. */
   getLogLines(): readonly string[] {
-    return [...this.formerLines, ...this.getOwnLines()];
+    return [...this.previousLines, ...this.getCurrentLines()];
   }
 
   async isReady(): Promise<boolean> {
@@ -160,7 +160,7 @@
     this.storeLink?.dispose();
   }
 
-  private getOwnLines(): readonly string[] {
+  private getCurrentLines(): readonly string[] {
     return [...(this.child?.getOutputLines() ?? []), ...(this.child?.getErrorLines() ?? [])];
   }
 
@@ -181,7 +181,7 @@
       zone: SOAK_FAILURE_DOMAINS[index % SOAK_FAILURE_DOMAINS.length],
       ip: this.host,
       listen: { front: `${this.host}:${front}`, ready: `${this.host}:${ready}` },
-      port_range: [first, (first ?? 0) + FREE_PORTS - 1],
+      port_range: [first, (first ?? 0) + PORT_RANGE_SIZE - 1],
       seeds: seeds.map(({ host }) => `${host}:1`),
       bootstrap: isFirstStart,
       bounds: { ...SOAK_BOUNDS, retry_burst },
@@ -197,7 +197,7 @@
   const ports = servers.map((server) => (server.address() as AddressInfo).port);
   await Promise.all(servers.map((server) => once(server.close(), 'close')));
   const [front = 0, ready = 0, first = 0] = ports;
-  const isApart = [front, ready].every((port) => port < first || port >= first + FREE_PORTS);
-  const fits = first + FREE_PORTS < 65_536;
+  const isApart = [front, ready].every((port) => port < first || port >= first + PORT_RANGE_SIZE);
+  const fits = first + PORT_RANGE_SIZE < 65_536;
   return isApart && fits ? ports : listFreePorts(host, count);
 }
--- a/packages/lab/src/soak/node/soakRun.ts
+++ b/packages/lab/src/soak/node/soakRun.ts
@@ -23,20 +23,20 @@
 /** Late work of targets comes to its end, in ms. */
 const REST_MS = 2500;
 const READY_POLL_MS = 500;
-const PROBE_EVERY_MS = 250;
+const PROBE_INTERVAL_MS = 250;
 const CALLERS_PER_NODE = 8;
 const PAUSE_MS = 150;
 /** Share of the requests that has to be served when nothing is wrong any more. */
-const LEAST_SHARE_RECOVERED = 0.95;
+const MIN_RECOVERED_SHARE = 0.95;
 /** The callers' random numbers are apart from those of the world. */
-const CALLER_SEED = 1000;
+const CALLER_SEED_FACTOR = 1000;
 
 /** Options of {@link runSoak}. */
 export interface ISoakOptions extends ISoakWorldOptions {
   readonly seconds: number;
   readonly schedule: readonly IFaultStep<SoakFaultKind>[];
   /** Check bounds of time too; a computer that is busy with other work breaks them by itself. */
-  readonly checksBounds: boolean;
+  readonly isCheckingBounds: boolean;
   /** Called when a check fails, with the logs of all nodes. */
   readonly storeLogs?: (logs: ReadonlyMap<string, readonly string[]>) => void;
 }
@@ -76,7 +76,7 @@
     runEvery(READY_POLL_MS, stopped.signal, () => {
       pollReady(world, ready);
     }),
-    runEvery(PROBE_EVERY_MS, stopped.signal, () => {
+    runEvery(PROBE_INTERVAL_MS, stopped.signal, () => {
       probeNodes(world, ready, probes);
     }),
     ...makeCallers(options, world, ready).map((caller) => caller.run(stopped.signal)),
@@ -96,7 +96,7 @@
   const { crashes, disturbances, drains, ledger, plannedStops, versions } = world;
   const evidence = { crashes, disturbances, drains, ledger, plannedStops, probes, versions };
   checkSafety(evidence, world.findings);
-  if (options.checksBounds) {
+  if (options.isCheckingBounds) {
     checkBounds(evidence, world.findings);
     checkNotices(evidence, world.findings);
   }
@@ -105,10 +105,10 @@
 }
 
 function summarizeRun(options: ISoakOptions, world: SoakWorld): ISoakResult {
-  const stories = world.ledger.listStories();
+  const records = world.ledger.listRequestRecords();
   const statuses = new Map<string, number>();
-  for (const { reply, request } of stories) {
-    const outcome = reply?.hasLeft === true ? 'left' : String(reply?.status ?? 'no answer');
+  for (const { reply, request } of records) {
+    const outcome = reply?.hasDisconnected === true ? 'left' : String(reply?.status ?? 'no answer');
     const key = `${request.kind} ${outcome}`;
     statuses.set(key, (statuses.get(key) ?? 0) + 1);
   }
@@ -118,8 +118,8 @@
   if (world.findings.hasViolations()) {
     options.storeLogs?.(new Map(world.nodes.map((node) => [node.name, node.getLogLines()])));
   }
-  const served = stories.filter(({ reply }) => reply?.status === 200).length;
-  return { findings: world.findings, requests: stories.length, served };
+  const served = records.filter(({ reply }) => reply?.status === 200).length;
+  return { findings: world.findings, requests: records.length, served };
 }
 
 function makeCallers(
@@ -129,7 +129,7 @@
 ): readonly SoakCaller[] {
   const count = CALLERS_PER_NODE * options.nodeCount;
   return Array.from({ length: count }, (_, index) => {
-    const random = new SeededRandom(options.seed * CALLER_SEED + index);
+    const random = new SeededRandom(options.seed * CALLER_SEED_FACTOR + index);
     return new SoakCaller({
       name: `c${index}`,
       random,
@@ -155,24 +155,24 @@
   const newest = world.versions[world.versions.length - 1]?.version ?? 1;
   for (const node of ready) {
     for (const version of [newest, Math.max(1, newest - 1)]) {
-      const { life } = node;
+      const { incarnation } = node;
       const sentMs = performance.now();
       const id = `probe-${node.name}-${version}-${Math.round(sentMs * 10)}`;
       void probeVersion(node, version, id, world.ledger).then((isFound) => {
         if (isFound === undefined) return;
-        probes.push({ node: node.name, life, version, sentMs, isFound });
+        probes.push({ node: node.name, incarnation, version, sentMs, isFound });
       });
     }
   }
 }
 
 function checkRecovery(world: SoakWorld, sinceMs: number): void {
-  const late = world.ledger.listStories().filter(({ reply, request }) => {
+  const late = world.ledger.listRequestRecords().filter(({ reply, request }) => {
     const isCounted = request.kind !== 'probe' && request.kind !== 'crash';
-    return isCounted && request.sentMs >= sinceMs && reply?.hasLeft !== true;
+    return isCounted && request.sentMs >= sinceMs && reply?.hasDisconnected !== true;
   });
   const served = late.filter(({ reply }) => reply?.status === 200).length;
-  const isServed = late.length > 0 && served >= late.length * LEAST_SHARE_RECOVERED;
+  const isServed = late.length > 0 && served >= late.length * MIN_RECOVERED_SHARE;
   world.findings.check('all is served again after the faults', isServed, () => {
     return `${served} of ${late.length} requests`;
   });
--- a/packages/lab/src/soak/node/soakTarget.ts
+++ b/packages/lab/src/soak/node/soakTarget.ts
@@ -3,12 +3,12 @@
 import type { IDisposable, RandomSource } from '@parsleymux/base';
 import { FaultyLink, LoopbackServer } from '@parsleymux/standins';
 import { CRASH_PREFIX } from '../common/soakLayout.js';
-import { formatAnswerBody } from '../common/storyText.js';
-import type { INamedLimit, ISoakArrival } from '../common/soakLedger.js';
+import { formatResponseBody } from '../common/requestText.js';
+import type { IAdvertisedLimit, ISoakArrival } from '../common/soakLedger.js';
 
 /** What a target does wrong with part of its requests. */
 export const TargetMode = {
-  Well: 'well',
+  Healthy: 'well',
   /** Runs the request and answers 500. */
   Failing: 'failing',
   /** Runs the request and never answers. */
@@ -25,7 +25,7 @@
   Shedding: 'shedding',
   Slow: 'slow',
   /** Resets idle connections when the next request arrives on them. */
-  Forgetful: 'forgetful',
+  ResettingIdle: 'forgetful',
 } as const;
 
 export type TargetMode = (typeof TargetMode)[keyof typeof TargetMode];
@@ -39,7 +39,7 @@
 const MEAN_WORK_MS = 60;
 const SLOW_FACTOR = 8;
 /** A connection that was idle for longer is forgotten, in ms. */
-const FORGOTTEN_AFTER_MS = 100;
+const MAX_IDLE_MS = 100;
 
 /** Options of a {@link SoakTarget}. */
 export interface ISoakTargetOptions {
@@ -56,24 +56,24 @@
   /** A request that crashes it has run. */
   readonly onCrash: (target: SoakTarget, path: string) => void;
   /** What a former target left at its address. Default: an address of its own. */
-  readonly place?: ITargetPlace;
+  readonly endpoint?: ITargetEndpoint;
 }
 
 /** Where a target listens. */
-export interface ITargetPlace {
+export interface ITargetEndpoint {
   readonly link: FaultyLink;
   readonly port: number;
 }
 
 /** One incarnation. */
 export class SoakTarget implements IDisposable {
-  mode: TargetMode = TargetMode.Well;
+  mode: TargetMode = TargetMode.Healthy;
   /** Share of the requests that the mode touches, from 0 to 1. */
   share = 1;
   /** Whether its answers say that it leaves. */
-  tellsDrain = false;
+  isAnnouncingDrain = false;
   /** The limit that its answers name. */
-  limit: INamedLimit | undefined;
+  limit: IAdvertisedLimit | undefined;
   private running = 0;
   private readonly idleSinceMs = new WeakMap<object, number>();
   private readonly server: LoopbackServer;
@@ -81,10 +81,10 @@
 
   constructor(readonly options: ISoakTargetOptions) {
     this.server = new LoopbackServer({
-      port: options.place?.port ?? 0,
+      port: options.endpoint?.port ?? 0,
       handle: (request, response) => this.handle(request, response),
     });
-    this.openedLink = options.place?.link;
+    this.openedLink = options.endpoint?.link;
   }
 
   async open(): Promise<void> {
@@ -95,7 +95,7 @@
   }
 
   /** Crashes, and leaves the address to another target. */
-  async releasePlace(): Promise<ITargetPlace> {
+  async releaseEndpoint(): Promise<ITargetEndpoint> {
     const port = Number(this.server.getAddress().split(':')[1]);
     await this.server.close();
     return { link: this.link, port };
@@ -120,8 +120,8 @@
       return;
     }
     const isTouched = this.options.random.getFloat() < this.share;
-    const mode = isTouched ? this.mode : TargetMode.Well;
-    if (mode === TargetMode.Forgetful && this.isForgotten(request)) {
+    const mode = isTouched ? this.mode : TargetMode.Healthy;
+    if (mode === TargetMode.ResettingIdle && this.isIdleTooLong(request)) {
       request.socket.resetAndDestroy();
       return;
     }
@@ -133,9 +133,9 @@
     this.idleSinceMs.set(request.socket, performance.now());
   }
 
-  private isForgotten(request: IncomingMessage): boolean {
+  private isIdleTooLong(request: IncomingMessage): boolean {
     const sinceMs = this.idleSinceMs.get(request.socket);
-    return sinceMs !== undefined && performance.now() - sinceMs > FORGOTTEN_AFTER_MS;
+    return sinceMs !== undefined && performance.now() - sinceMs > MAX_IDLE_MS;
   }
 
   private async run(
@@ -162,18 +162,18 @@
       });
     } else recordEnd(performance.now());
     if (request.socket.destroyed) return;
-    this.sendAnswer(request, response, { id, status, mode });
+    this.sendResponse(request, response, { id, status, mode });
   }
 
-  private sendAnswer(
+  private sendResponse(
     request: IncomingMessage,
     response: ServerResponse,
     answer: { readonly id: string; readonly status: number; readonly mode: TargetMode },
   ): void {
     const { id, mode, status } = answer;
-    const text = formatAnswerBody(id, this.options.id);
+    const text = formatResponseBody(id, this.options.id);
     const stamp = `${this.options.id}.${id}`;
-    const told = this.tellsDrain ? { 'server-leaving': '1' } : {};
+    const told = this.isAnnouncingDrain ? { 'server-leaving': '1' } : {};
     const headers = {
       'request-id': id,
       'server-stamp': stamp,
@@ -233,7 +233,7 @@
       service: this.options.service,
       method: request.method ?? '',
       path: request.url ?? '',
-      tellsDrain: this.tellsDrain,
+      isAnnouncingDrain: this.isAnnouncingDrain,
       limit: this.limit,
       bornMs: this.options.bornMs,
       atMs: performance.now(),
--- a/packages/lab/src/soak/node/soakWorld.ts
+++ b/packages/lab/src/soak/node/soakWorld.ts
@@ -18,7 +18,7 @@
   makeSoakConfig,
 } from '../common/soakLayout.js';
 import { SoakNode } from './soakNode.js';
-import type { ITargetPlace } from './soakTarget.js';
+import type { ITargetEndpoint } from './soakTarget.js';
 import { SoakTarget, TargetMode } from './soakTarget.js';
 
 const CONFIG_TABLE = 'op';
@@ -32,7 +32,7 @@
 const MAX_SEEDS = 3;
 
 /** A target that a request has crashed stays away for this long, in ms. */
-const CRASHED_FOR_MS = 2000;
+const REPLACEMENT_DELAY_MS = 2000;
 
 /** Options of a {@link SoakWorld}. */
 export interface ISoakWorldOptions {
@@ -58,11 +58,11 @@
   readonly nodes: SoakNode[] = [];
   readonly targets: SoakTarget[] = [];
   private readonly fleet = new ProcessFleet({ graceMs: GRACE_MS, handleSignals: false });
-  private readonly gone: SoakTarget[] = [];
+  private readonly formerTargets: SoakTarget[] = [];
   /** Targets that have written that they leave, and are still there. */
-  private readonly leaving = new Set<SoakTarget>();
+  private readonly draining = new Set<SoakTarget>();
   /** Identifiers of targets whose entries were removed. */
-  private readonly removed = new Set<string>();
+  private readonly removedIds = new Set<string>();
   private openedStore: MetadataStandIn | undefined;
   private targetCount = 0;
   private isEnding = false;
@@ -110,30 +110,30 @@
   }
 
   /** Operator and targets write again what a store has lost that came back older. */
-  writeAgain(): void {
+  restoreLostWrites(): void {
     const newest = this.versions[this.versions.length - 1];
     if (newest !== undefined) {
       this.store.put(CONFIG_TABLE, 'config', makeSoakConfig(newest.version));
     }
     this.writeTargets();
     const present = new Set(this.targets.map(({ options }) => options.id));
-    for (const { options } of this.gone) {
-      if (this.removed.has(options.id) && !present.has(options.id)) {
+    for (const { options } of this.formerTargets) {
+      if (this.removedIds.has(options.id) && !present.has(options.id)) {
         this.store.remove(TARGET_TABLE, options.id);
       }
     }
-    for (const target of this.leaving) this.register(target, true);
+    for (const target of this.draining) this.register(target, true);
   }
 
-  /** Opens and registers a target, at a former one's place or at its own. */
-  async openTarget(service: string, place?: ITargetPlace): Promise<void> {
+  /** Opens and registers a target, at a former one's endpoint or at its own. */
+  async openTarget(service: string, endpoint?: ITargetEndpoint): Promise<void> {
     this.targetCount += 1;
-    await this.openAs(`${service}-${this.targetCount}`, service, place);
+    await this.openWithId(`${service}-${this.targetCount}`, service, endpoint);
   }
 
   /** Starts a target that has crashed again under its identifier, at an address of its own. */
   async startTargetAgain({ options: { id, service } }: SoakTarget): Promise<void> {
-    await this.openAs(id, service);
+    await this.openWithId(id, service);
   }
 
   /** Overwrites a target's entry as another writer might; the result makes it good again. */
@@ -146,7 +146,7 @@
     };
   }
 
-  private async openAs(id: string, service: string, place?: ITargetPlace): Promise<void> {
+  private async openWithId(id: string, service: string, endpoint?: ITargetEndpoint): Promise<void> {
     if (this.isEnding) return;
     const target = new SoakTarget({
       id,
@@ -156,8 +156,8 @@
       random: this.random,
       isStrict: this.options.hasLaxTargets !== true,
       recordArrival: (arrival) => this.ledger.recordArrival(arrival),
-      onCrash: (crashed, path) => void this.endTarget(crashed, path),
-      ...(place === undefined ? {} : { place }),
+      onCrash: (crashed, path) => void this.handleTargetCrash(crashed, path),
+      ...(endpoint === undefined ? {} : { endpoint }),
     });
     await target.open();
     this.targets.push(target);
@@ -167,8 +167,8 @@
   /** Writes that a target leaves; it goes on serving. */
   retireTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
-    this.gone.push(target);
-    this.leaving.add(target);
+    this.formerTargets.push(target);
+    this.draining.add(target);
     this.register(target, true);
     this.drains.push({ target: target.options.id, acceptedMs: performance.now() });
   }
@@ -176,17 +176,17 @@
   /** Takes a target that has crashed from the list; its entry stays. */
   releaseTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
-    this.gone.push(target);
+    this.formerTargets.push(target);
   }
 
   /** A request has crashed a target: it is back some seconds later, as another one. */
-  private async endTarget(target: SoakTarget, path: string): Promise<void> {
+  private async handleTargetCrash(target: SoakTarget, path: string): Promise<void> {
     if (!this.targets.includes(target)) return;
     this.crashes.push({ path, atMs: performance.now() });
     this.disturbances.start(target.options.id, performance.now());
     this.releaseTarget(target);
     await target.dispose();
-    await new Promise((resolve) => setTimeout(resolve, CRASHED_FOR_MS));
+    await new Promise((resolve) => setTimeout(resolve, REPLACEMENT_DELAY_MS));
     this.removeTarget(target);
     await this.openTarget(target.options.service);
   }
@@ -195,9 +195,9 @@
   removeTarget(target: SoakTarget): void {
     const index = this.targets.indexOf(target);
     if (index !== -1) this.targets.splice(index, 1);
-    if (!this.gone.includes(target)) this.gone.push(target);
-    this.leaving.delete(target);
-    this.removed.add(target.options.id);
+    if (!this.formerTargets.includes(target)) this.formerTargets.push(target);
+    this.draining.delete(target);
+    this.removedIds.add(target.options.id);
     this.store.remove(TARGET_TABLE, target.options.id);
   }
 
@@ -215,7 +215,7 @@
     this.store.fault = MetadataFault.None;
     const noFaults = { cutForward: false, cutBackward: false, refuse: false, delayMs: 0 };
     for (const target of this.targets) {
-      target.mode = TargetMode.Well;
+      target.mode = TargetMode.Healthy;
       await target.link.setFaults(noFaults);
       // What a cut has swallowed never comes: such connections are dead, as after a real one.
       target.link.resetConnections();
@@ -249,7 +249,7 @@
     for (const node of this.nodes) node.sendSignal('SIGTERM');
     await this.fleet.dispose();
     for (const node of this.nodes) node.dispose();
-    await Promise.all([...this.targets, ...this.gone].map((target) => target.dispose()));
+    await Promise.all([...this.targets, ...this.formerTargets].map((target) => target.dispose()));
     await this.openedStore?.dispose();
     rmSync(this.directory, { recursive: true, force: true });
   }
@@ -263,8 +263,8 @@
         directory: this.directory,
         storeAddress: this.store.address,
         breakModule,
-        onDidEnd: (ended, end, isAsked) => {
-          this.findings.check('processes end only when asked', isAsked || this.isEnding, () => {
+        onDidEnd: (ended, end, isRequested) => {
+          this.findings.check('processes end only when asked', isRequested || this.isEnding, () => {
             const lines = ended.getLogLines().slice(-5).join('\n');
             return `${ended.name} ended with ${end.code ?? end.signal ?? '?'}:\n${lines}`;
           });
--- a/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
+++ b/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
@@ -44,12 +44,13 @@
   const load = store.add(new LoadGenerator({ workloads: makeWorkloads(), balancer, seed: SEED }));
   await waitUntilServing(world, load);
 
-  for (const place of world.getPlaces()) {
-    await world.getGroup(place).setFaults(place, { truncateShare: 0.3 });
+  for (const target of world.getTargets()) {
+    await world.getGroup(target).setFaults(target, { truncateShare: 0.3 });
   }
   await sleep(PHASE_MS);
   await world.clearTargetFaults();
-  for (const place of world.getPlaces()) await world.getGroup(place).markConnectionsSilent(place);
+  for (const target of world.getTargets())
+    await world.getGroup(target).markConnectionsSilent(target);
   await sleep(PHASE_MS);
   await load.stop();
   await sleep(REST_MS);
