--- a/packages/lab/src/atMostOnce/node/bookingRun.test.ts
+++ b/packages/lab/src/atMostOnce/node/bookingRun.test.ts
@@ -2,12 +2,11 @@
 import { test } from 'node:test';
 import { runBookings } from './bookingRun.js';
 
-test('bookings over nodes that are killed and paused run at most once, and refusals are true', async () => {
-  // Symptom: a second resin truck drove to the same street. Sequence: the node that made the
-  // booking was killed or stood still, the caller asked again through another node. Cause: a
-  // node that took the silence of another for proof that nothing had run.
+test('bookings run at most once while nodes are killed and paused, and refusals are truthful', async () => {
+  // A booking runs twice if its node is killed or paused, the caller retries through another node, and
+  // that node concludes from the missing response that the booking has not run.
   const report = await runBookings({ seed: 8, seconds: 4 });
-  const { kills, pauses, lostAnswers } = report.disturbances;
+  const { kills, pauses, lostResponses } = report.disturbances;
   assert.deepEqual(report.findings, []);
-  assert.ok(report.bookings > 0 && kills + pauses + lostAnswers > 0);
+  assert.ok(report.bookings > 0 && kills + pauses + lostResponses > 0);
 });
--- a/packages/lab/src/atMostOnce/node/bookingRun.ts
+++ b/packages/lab/src/atMostOnce/node/bookingRun.ts
@@ -1,4 +1,4 @@
-/** Bookings over real processes that die and stand still, compared with what the targets executed. */
+/** Sends bookings while nodes are killed and paused, and compares them with the targets' executions. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { DisposableStore, ResultCode, SeededRandom } from '@parsleymux/base';
 import type { IRequestRecord } from '../../load/common/requestRecord.js';
@@ -13,9 +13,11 @@
 import type { IDisturbances } from './disturber.js';
 import { Disturber } from './disturber.js';
 
+/** Pause before the load starts and before the final requests, in ms. */
 const REST_MS = 1500;
-/** Bookings that were answered and are asked for once more at the end. */
+/** Number of answered bookings that are sent again at the end. */
 const MAX_REPLAYS = 100;
+/** Number of unknown outcomes that are settled by command. */
 const MAX_SETTLED = 10;
 const CODE_NAMES = new Map<number, string>(
   Object.entries(ResultCode).map(([name, code]) => [code, name]),
@@ -27,31 +29,31 @@
   readonly seconds: number;
   /** Default 4. */
   readonly nodeCount?: number;
-  /** Bookings a second, as a multiple of the layout's 24. Default 3. */
+  /** Factor on the layout's rate of 24 bookings per second. Default 3. */
   readonly loadFactor?: number;
-  /** The store ignores the conditions of transactions: the run must find double executions. */
+  /** Whether the store ignores the conditions of transactions; the run must then find double executions. */
   readonly ignoreConditions?: boolean;
 }
 
-/** What a run came to. Anything in `findings` is a broken promise. */
+/** Result of a run. Every entry of `findings` is a violated guarantee. */
 export interface IBookingReport {
   readonly bookings: number;
   readonly executions: number;
   readonly notRunChecked: number;
   readonly disturbances: IDisturbances;
-  /** Last attempts by outcome. */
+  /** Number of bookings by the outcome of the last attempt. */
   readonly outcomes: ReadonlyMap<string, number>;
-  /** Answered bookings that were asked for once more, by outcome. */
+  /** Answered bookings that were sent again, by outcome. */
   readonly replays: ReadonlyMap<string, number>;
-  /** Bookings without an answer that were asked for once more, by outcome. */
-  readonly lateAsks: ReadonlyMap<string, number>;
-  /** Bookings of unknown outcome that an operator settled by what the targets had executed. */
+  /** Unanswered bookings that were sent again, by outcome. */
+  readonly unansweredRetries: ReadonlyMap<string, number>;
+  /** Bookings of unknown outcome that an operator settled according to the targets' executions. */
   readonly settled: ReadonlyMap<string, number>;
   readonly findings: readonly IFinding[];
 }
 
 /**
- * Runs and compares.
+ * Makes a run and compares the bookings with the targets' executions.
  *
  * @example
  * const report = await runBookings({ seed: 1, seconds: 20 });
@@ -87,35 +89,35 @@
   await load.stop();
   await Promise.all(world.getNodes().map((node) => node.waitUntilReady()));
   await sleep(REST_MS);
-  const look: IFinalCheckContext = { world, caller: store.add(new Caller()), balancer };
-  return { ...(await makeReport(load.getRecords(), look)), disturbances: disturber.getCounts() };
+  const context: IFinalCheckContext = { world, caller: store.add(new Caller()), balancer };
+  return { ...(await makeReport(load.getRecords(), context)), disturbances: disturber.getCounts() };
 }
 
-/** Asks for every booking once more, settles what stays unknown, and compares. */
+/** Sends bookings again, settles those that remain unknown, and compares all with the executions. */
 async function makeReport(
   records: readonly IRequestRecord[],
-  look: IFinalCheckContext,
+  context: IFinalCheckContext,
 ): Promise<Omit<IBookingReport, 'disturbances'>> {
   const answered = records.filter(isAnswered).slice(0, MAX_REPLAYS);
-  const replays = await sendAgain(answered, look);
+  const replays = await sendAgain(answered, context);
   const unanswered = records.filter((record) => !isAnswered(record));
-  const lateAsks = await sendAgain(unanswered, look);
-  const settled = await settleUnknown(lateAsks, look);
-  const all = [...records, ...replays, ...lateAsks];
-  const verdict = compareOutcomes(joinAttempts(all), await look.world.fetchExecutions());
+  const unansweredRetries = await sendAgain(unanswered, context);
+  const settled = await settleUnknown(unansweredRetries, context);
+  const all = [...records, ...replays, ...unansweredRetries];
+  const verdict = compareOutcomes(joinAttempts(all), await context.world.fetchExecutions());
   return {
     bookings: records.length,
     executions: verdict.executions,
     notRunChecked: verdict.notRunChecked,
     outcomes: countOutcomes(records),
     replays: countOutcomes(replays),
-    lateAsks: countOutcomes(lateAsks),
+    unansweredRetries: countOutcomes(unansweredRetries),
     settled,
     findings: verdict.findings,
   };
 }
 
-/** What it takes to ask again once the disturbances are over. */
+/** What the final requests need, once the disturbances are over. */
 interface IFinalCheckContext {
   readonly world: LabWorld;
   readonly caller: Caller;
@@ -123,16 +125,16 @@
 }
 
 /**
- * Settles unknown outcomes by command, as the truth is, and asks once more. "Not run" of a claim
- * this young must be refused, for its claimer may be paused.
+ * Settles unknown outcomes by command, according to the targets' executions, and sends the requests again.
+ * Settling a claim as "not run" this early must be rejected, since its owner may be paused.
  */
 async function settleUnknown(
-  lateAsks: readonly IRequestRecord[],
-  look: IFinalCheckContext,
+  unansweredRetries: readonly IRequestRecord[],
+  context: IFinalCheckContext,
 ): Promise<ReadonlyMap<string, number>> {
-  const { world, caller, balancer } = look;
+  const { world, caller, balancer } = context;
   const executed = new Set((await world.fetchExecutions()).map(({ key }) => key));
-  const unknown = lateAsks.filter(({ attempts }) => {
+  const unknown = unansweredRetries.filter(({ attempts }) => {
     return attempts[0]?.code === ResultCode.OutcomeUnknown;
   });
   const counts = new Map<string, number>();
@@ -161,12 +163,12 @@
   return again;
 }
 
-/** One record for each request, with the attempts of all its records in order. */
+/** Merges the records of each request into one, with all attempts in order. */
 function joinAttempts(records: readonly IRequestRecord[]): readonly IRequestRecord[] {
   const joined = new Map<string, IRequestRecord>();
   for (const record of records) {
-    const known = joined.get(record.request.requestId);
-    const attempts = [...(known?.attempts ?? []), ...record.attempts];
+    const previous = joined.get(record.request.requestId);
+    const attempts = [...(previous?.attempts ?? []), ...record.attempts];
     joined.set(record.request.requestId, { request: record.request, attempts });
   }
   return [...joined.values()];
--- a/packages/lab/src/atMostOnce/node/disturber.ts
+++ b/packages/lab/src/atMostOnce/node/disturber.ts
@@ -1,4 +1,4 @@
-/** Kills and pauses nodes, and loses answers of the platform, at random instants. */
+/** Kills and pauses nodes and drops responses of the platform at random times. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { RandomSource } from '@parsleymux/base';
 import type { LabWorld } from '../../processes/node/labWorld.js';
@@ -6,19 +6,21 @@
 
 /** Mean time between two disturbances, in ms. */
 const SPACING_MS = 500;
-/** Pauses end before and after requests' deadlines of 4 s. */
+/** Durations of pauses, in ms; some end before and some after the requests' deadlines of 4 s. */
 const PAUSES_MS: readonly number[] = [50, 400, 1500, 5000];
+/** Share of the disturbances that kill a node. */
 const KILL_SHARE = 0.3;
+/** Share of the disturbances that kill or pause a node; the others drop responses. */
 const PAUSE_SHARE = 0.8;
 const MAX_LOST_RESPONSES = 4;
-/** With fewer running nodes nothing would be under test. */
+/** Nodes are not disturbed when fewer than this run, so that a fleet remains under test. */
 const MIN_NODES = 3;
 
-/** What was done. */
+/** Numbers of disturbances by kind. */
 export interface IDisturbances {
   readonly kills: number;
   readonly pauses: number;
-  readonly lostAnswers: number;
+  readonly lostResponses: number;
 }
 
 /**
@@ -35,7 +37,7 @@
   private loop: Promise<void> = Promise.resolve();
   private kills = 0;
   private pauses = 0;
-  private lostAnswers = 0;
+  private lostResponses = 0;
 
   constructor(
     private readonly world: LabWorld,
@@ -55,8 +57,8 @@
   }
 
   getCounts(): IDisturbances {
-    const { kills, pauses, lostAnswers } = this;
-    return { kills, pauses, lostAnswers };
+    const { kills, pauses, lostResponses } = this;
+    return { kills, pauses, lostResponses };
   }
 
   private async runUntilStopped(): Promise<void> {
@@ -84,7 +86,7 @@
     if (node === undefined) return;
     this.kills += 1;
     await this.world.endNode(node);
-    // Not waited for: it may be killed in turn before it is ready.
+    // Doesn't wait until the node is ready: it may be killed before that.
     await this.world.startNextNode();
   }
 
@@ -100,7 +102,7 @@
 
   private async startResponseLoss(): Promise<void> {
     const loseNextAnswers = 1 + this.random.getInteger(MAX_LOST_RESPONSES);
-    this.lostAnswers += loseNextAnswers;
+    this.lostResponses += loseNextAnswers;
     await this.world.platform.setFaults({ loseNextAnswers });
   }
 }
--- a/packages/lab/src/atMostOnce/node/main.ts
+++ b/packages/lab/src/atMostOnce/node/main.ts
@@ -1,8 +1,8 @@
 /**
- * `node packages/lab/dist/atMostOnce/node/main.js --seed N --seconds S [--runs R]`: bookings while
- * nodes are killed (SIGKILL) and paused (SIGSTOP) at random instants and answers of the store are
- * lost. Seeds N, N+1 and so on. Exits 1 when a key ran twice or a refusal was false. With
- * `--ignore-conditions` the store breaks its word, and the run must fail.
+ * `node packages/lab/dist/atMostOnce/node/main.js --seed N --seconds S [--runs R]`: sends bookings while
+ * nodes are killed (SIGKILL) and paused (SIGSTOP) at random times and responses of the store are lost.
+ * Uses seeds N, N+1 and so on. Exits 1 when a key ran twice or a refusal was false. With
+ * `--ignore-conditions` the store ignores the conditions of transactions, and the run must fail.
  */
 import { parseArgs } from 'node:util';
 import type { IBookingReport } from './bookingRun.js';
@@ -25,19 +25,21 @@
 }
 
 function printReport(seed: number, report: IBookingReport): void {
-  const { kills, pauses, lostAnswers } = report.disturbances;
-  console.log(`seed ${seed}: ${kills} kills, ${pauses} pauses, ${lostAnswers} store answers lost`);
+  const { kills, pauses, lostResponses } = report.disturbances;
+  console.log(
+    `seed ${seed}: ${kills} kills, ${pauses} pauses, ${lostResponses} store responses lost`,
+  );
   console.log(`  ${report.bookings} bookings, ${report.executions} executions`);
   console.log(`  ${report.notRunChecked} refused as not run and compared`);
   printCounts('last attempts', report.outcomes);
-  printCounts('answered ones asked once more', report.replays);
-  printCounts('unanswered ones asked once more', report.lateAsks);
-  printCounts('settled by command, and asked once more', report.settled);
+  printCounts('answered bookings, sent again', report.replays);
+  printCounts('unanswered bookings, sent again', report.unansweredRetries);
+  printCounts('settled by command, then sent again', report.settled);
   console.log(`  ${report.findings.length} broken promises`);
   for (const finding of report.findings) console.log(`    ${JSON.stringify(finding)}`);
 }
 
-let broken = 0;
+let violations = 0;
 for (let run = 0; run < Number(values.runs); run += 1) {
   const seed = Number(values.seed) + run;
   const report = await runBookings({
@@ -46,6 +48,6 @@
     ignoreConditions: values['ignore-conditions'],
   });
   printReport(seed, report);
-  broken += report.findings.length;
+  violations += report.findings.length;
 }
-process.exit(broken === 0 ? 0 : 1);
+process.exit(violations === 0 ? 0 : 1);
--- a/packages/lab/src/atMostOnce/node/silentTarget.test.ts
+++ b/packages/lab/src/atMostOnce/node/silentTarget.test.ts
@@ -9,15 +9,14 @@
 import { LabWorld } from '../../processes/node/labWorld.js';
 
 const SERVICE = 'booking';
-/** A service of the same member that is not broken here. */
+/** A service of the same member without faults. */
 const OTHER_SERVICE = 'survey';
 const POLL_MS = 50;
 const MAX_POLLS = 400;
 
-test('targets that execute and fall silent leave an outcome that their look-up settles', async () => {
-  // Symptom: a booking that was made stayed "may have run" for ever. Sequence: the targets made
-  // it and were not heard of again; the caller asked once more when they were. Cause: nobody
-  // asked the targets, who knew.
+test('a look-up settles the outcome of a request that a target ran without responding', async () => {
+  // A booking stays "may have run" permanently if a target runs it without responding and a later retry does
+  // not look up the outcome at the targets, which have recorded it.
   const store = new DisposableStore();
   try {
     const world = store.add(new LabWorld({ seed: 3, nodeCount: 3 }));
@@ -55,7 +54,7 @@
   return workload;
 }
 
-/** The member's configuration has reached the node when it serves another of its services. */
+/** Waits until the node serves another service of the member, which shows that it has the configuration. */
 async function waitForConfig(caller: Caller, node: string): Promise<void> {
   const workload = findWorkload(OTHER_SERVICE);
   const request = { workload, path: '/survey', body: Buffer.from(''), twinAfterMs: undefined };
--- a/packages/lab/src/processes/common/worldLayout.ts
+++ b/packages/lab/src/processes/common/worldLayout.ts
@@ -1,14 +1,14 @@
-/** The small world that demo and prove run: two members, six services, three failure domains. */
+/** The deployment that demo and prove run: two members, six services, three failure domains. */
 import type { Intent, RouteSchema, ServiceSchema } from '@parsleymux/schema';
 import { DetectionPreference, IntentSchema, TargetState } from '@parsleymux/schema';
 import type { JsonValue, MessageInitShape } from '@bufbuild/protobuf';
 import { create, toJson } from '@bufbuild/protobuf';
 import type { IWorkload } from '../../load/common/workload.js';
 
-/** The failure domains of every world. */
+/** The failure domains of every lab deployment. */
 export const FAILURE_DOMAINS = ['north', 'middle', 'south'] as const;
 
-/** One service and the load on it. */
+/** One service with its targets and its load. */
 export interface IServiceLayout {
   readonly member: string;
   readonly name: string;
@@ -21,20 +21,21 @@
   readonly perSecond: number;
 }
 
-/** Where a target stand-in listens. */
+/** A target stand-in and the addresses that it listens on. */
 export interface ILabTarget {
   readonly member: string;
   readonly service: string;
   readonly failureDomain: string;
-  /** Address that nodes use; a faulty link may stand there before the target itself. */
+  /** Address that nodes use; it may be that of a faulty link in front of the target. */
   readonly address: string;
+  /** Address of the control interface. */
   readonly control: string;
 }
 
 const RELINIERI = { member: 'relinieri', slots: 4, maxConnections: 400 };
 const DONAUTAL = { member: 'donautal', slots: 3, maxConnections: 350 };
 
-/** 24 targets in all. */
+/** Services of all members, with 24 targets in total. */
 export const SERVICES: readonly IServiceLayout[] = [
   {
     ...RELINIERI,
@@ -92,11 +93,11 @@
   },
 ];
 
-/** The members of every world. */
+/** The members of every lab deployment. */
 export const MEMBERS: readonly string[] = [RELINIERI.member, DONAUTAL.member];
 
 /**
- * Host name of a service's route.
+ * Returns the host name of a service's route.
  *
  * @example
  * formatHost(service); // 'booking.relinieri.example'
@@ -106,7 +107,7 @@
 }
 
 /**
- * What callers ask of every service, at `factor` times the layout's rate.
+ * Returns the workload of every service, at `factor` times the rate in the layout.
  *
  * @example
  * const load = new LoadGenerator({ workloads: makeWorkloads(2), balancer, seed });
@@ -127,19 +128,19 @@
   }));
 }
 
-/** How an intent differs from the member's usual one. */
+/** Differences of an intent from the member's default one. */
 export interface IIntentChange {
   readonly note?: string;
-  /** Added to every service's floor, which stays at 0 or above. */
+  /** Added to every service's floor of slots; the result is at least 0. */
   readonly floorChange?: number;
-  /** Take the host names of this member. */
+  /** Member whose host names the routes use. Default: the member's own. */
   readonly hostsOf?: string;
-  /** States of targets other than serving, by address. */
+  /** States of targets that differ from serving, by address. */
   readonly states?: ReadonlyMap<string, TargetState>;
 }
 
 /**
- * A member's intent over the targets that are there.
+ * Builds a member's intent for the given targets.
  *
  * @example
  * const drained = new Map([[address, TargetState.DRAINING]]);
@@ -198,7 +199,7 @@
 }
 
 /**
- * An intent as the JSON that operators write.
+ * Converts an intent to the JSON form that operators write.
  *
  * @example
  * await writeFile(file, JSON.stringify(toIntentJson(intent)));
--- a/packages/lab/src/processes/node/caughtSignals.ts
+++ b/packages/lab/src/processes/node/caughtSignals.ts
@@ -1,11 +1,11 @@
-/** Which signals a process handles, as the kernel tells. */
+/** Reads from /proc which signals a process handles. */
 import { readFileSync } from 'node:fs';
 
 /** Number of SIGHUP. */
 const SIGHUP = 1;
 
 /**
- * Whether a process has a handler for SIGHUP; without one, the signal ends it.
+ * Whether a process has installed a handler for SIGHUP. Without one, the signal ends the process.
  *
  * @example
  * if (isReloadCaught(child.pid)) child.sendSignal('SIGHUP');
--- a/packages/lab/src/processes/node/interrupt.ts
+++ b/packages/lab/src/processes/node/interrupt.ts
@@ -1,13 +1,13 @@
-/** Ctrl-C for the lab's programs. */
+/** Handles SIGINT and SIGTERM in the lab's programs. */
 import type { IDisposable } from '@parsleymux/base';
 
 /** Exit code of a program ended by SIGINT, by the shell's convention. */
 const INTERRUPTED = 130;
 
 /**
- * Disposes of `owner` on the first SIGINT or SIGTERM, and exits; a second one exits at once.
- * Returns a function that tells whether that has begun: work that fails because its world is
- * being taken down must then leave the exit to us, or children would be killed half-way.
+ * Disposes of `owner` on the first SIGINT or SIGTERM and then exits; a second signal exits immediately.
+ * Returns a function that reports whether this has begun. A caller whose work fails because `owner` is
+ * being disposed of must not exit by itself, since that would kill children during their shutdown.
  *
  * @example
  * const isInterrupted = disposeOnInterrupt(world);
--- a/packages/lab/src/processes/node/jsonRequest.ts
+++ b/packages/lab/src/processes/node/jsonRequest.ts
@@ -1,4 +1,4 @@
-/** Requests to control interfaces of the lab's own processes. */
+/** HTTP requests to the control interfaces of the lab's processes. */
 import { request } from 'undici';
 import VError from 'verror';
 
@@ -6,7 +6,7 @@
 const TIMEOUT_MS = 5000;
 
 /**
- * Sends a request to `address` and returns the JSON answer; rejects on an error status.
+ * Sends a request to `address` and returns the JSON response; rejects on an error status.
  *
  * @example
  * await requestJson(control, 'POST', '/control/faults', { failShare: 0.3 });
@@ -17,20 +17,20 @@
   path: string,
   body?: unknown,
 ): Promise<unknown> {
-  const answer = await request(`http://${address}${path}`, {
+  const response = await request(`http://${address}${path}`, {
     method,
     body: body === undefined ? null : JSON.stringify(body),
     signal: AbortSignal.timeout(TIMEOUT_MS),
   });
-  const text = await answer.body.text();
-  if (answer.statusCode >= FIRST_ERROR_STATUS) {
-    throw new VError('%s %s answered %d: %s', method, path, answer.statusCode, text);
+  const text = await response.body.text();
+  if (response.statusCode >= FIRST_ERROR_STATUS) {
+    throw new VError('%s %s responded %d: %s', method, path, response.statusCode, text);
   }
   return JSON.parse(text) as unknown;
 }
 
 /**
- * The text of a GET, or undefined when it fails in any way or takes longer than `timeoutMs`.
+ * Returns the body of a GET as text, or undefined when it fails in any way or takes longer than `timeoutMs`.
  *
  * @example
  * const page = await tryFetchText(status, '/metrics');
@@ -42,9 +42,9 @@
 ): Promise<string | undefined> {
   try {
     const signal = AbortSignal.timeout(timeoutMs);
-    const answer = await request(`http://${address}${path}`, { signal });
-    const text = await answer.body.text();
-    return answer.statusCode < FIRST_ERROR_STATUS ? text : undefined;
+    const response = await request(`http://${address}${path}`, { signal });
+    const text = await response.body.text();
+    return response.statusCode < FIRST_ERROR_STATUS ? text : undefined;
   } catch {
     return undefined;
   }
--- a/packages/lab/src/processes/node/labWorld.ts
+++ b/packages/lab/src/processes/node/labWorld.ts
@@ -1,4 +1,4 @@
-/** Platform, targets and nodes together, each in processes of its own. */
+/** Runs a platform stand-in, targets and nodes as separate processes. */
 import { rmSync } from 'node:fs';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -30,28 +30,29 @@
   readonly seed: number;
   /** Default 5. */
   readonly nodeCount?: number;
-  /** Replace single values of every node's settings. */
+  /** Overrides of values in the timing section of every node's settings. */
   readonly nodeTiming?: Readonly<Record<string, number>>;
+  /** Overrides of values in the limits section of every node's settings. */
   readonly nodeLimits?: Readonly<Record<string, number>>;
   /** The security section of every node's settings. */
   readonly nodeSecurity?: object;
-  /** File with the authority of the administration API's certificates. Absent: plain HTTP. */
+  /** CA file for the certificates of the administration API. Absent: plain HTTP. */
   readonly adminAuthorityFile?: string;
-  /** Options of Node itself, for every node of the fleet. */
+  /** Options of the Node.js runtime, for every node of the fleet. */
   readonly nodeOptions?: readonly string[];
-  /** The platform's address as node number `index` is to use it. Default: the platform's own. */
-  readonly choosePlatformAddress?: (own: string, index: number) => Promise<string>;
-  /** The address that the intent names for a target. Default: the target's own. */
+  /** Chooses the platform's address for node number `index`. Default: the address that it listens on. */
+  readonly choosePlatformAddress?: (address: string, index: number) => Promise<string>;
+  /** Chooses a target's address in the intent. Default: the address that the target listens on. */
   readonly chooseTargetAddress?: (target: ILabTarget) => Promise<string>;
 }
 
 const DEFAULT_NODE_COUNT = 5;
-/** Longer than the time that the lab's nodes may take to shut down. */
+/** Longer than the shutdown limit of the lab's nodes. */
 const GRACE_MS = 12_000;
 const FIRST_NODE_HOST = 11;
 
 /**
- * A running world.
+ * A fleet with its platform and targets.
  *
  * @example
  * const world = new LabWorld({ seed: 1 });
@@ -106,12 +107,13 @@
     return node;
   }
 
-  /** Starts one more node, in the next failure domain, without waiting until it is ready. */
+  /** Starts one more node, in the next failure domain; the node may not be ready on return. */
   async startNextNode(): Promise<NodeProcess> {
     const index = this.nodesStarted;
     this.nodesStarted += 1;
-    const own = this.platform.address;
-    const platformAddress = (await this.options.choosePlatformAddress?.(own, index)) ?? own;
+    const directAddress = this.platform.address;
+    const platformAddress =
+      (await this.options.choosePlatformAddress?.(directAddress, index)) ?? directAddress;
     const node = await startNode(this.fleet, {
       name: `node-${index}`,
       host: `127.0.0.${FIRST_NODE_HOST + index}`,
@@ -133,17 +135,17 @@
     return node;
   }
 
-  /** Nodes whose processes run. */
+  /** Returns the nodes whose processes are running. */
   getNodes(): readonly NodeProcess[] {
     return this.nodes.filter(({ child }) => child.isRunning());
   }
 
-  /** Every node that ever ran. */
+  /** Returns every node that was started, including those that have ended. */
   getAllNodes(): readonly NodeProcess[] {
     return this.nodes;
   }
 
-  /** Targets, with the addresses that the intents name. */
+  /** Returns the targets with their addresses in the intents. */
   getTargets(): readonly ILabTarget[] {
     return this.targets;
   }
@@ -156,7 +158,7 @@
     return found;
   }
 
-  /** The operator of a member, at the administration address of some running node. */
+  /** Returns an operator of the member that uses the administration address of a running node. */
   getOperator(member: string, nodeIndex = 0): OperatorCommand {
     const nodes = this.getNodes();
     const node = nodes[nodeIndex % nodes.length];
@@ -192,14 +194,14 @@
     return ids;
   }
 
-  /** Ends a node at once, as a VM that fails does, and takes it off the platform's list. */
+  /** Kills a node as if its VM had failed, and removes it from the platform's list. */
   async endNode(node: NodeProcess): Promise<void> {
     node.child.sendSignal('SIGKILL');
     await node.child.waitForEnd();
     await this.platform.removeVm(node.addresses.peer);
   }
 
-  /** Marks a node as leaving on the platform's list. */
+  /** Marks a node as shutting down on the platform's list. */
   async markShuttingDown(node: NodeProcess): Promise<void> {
     const { failureDomain } = node.options;
     const { peer } = node.addresses;
@@ -211,7 +213,7 @@
     await Promise.all(this.groups.map((group) => group.clearFaults()));
   }
 
-  /** A target's own address, be there a link before it or not. */
+  /** Returns the address that a target listens on, which may be behind a faulty link. */
   getDirectAddress(control: string): string {
     const targets = this.groups.flatMap((group) => group.targets);
     return targets.find((target) => target.control === control)?.address ?? '';
@@ -222,14 +224,14 @@
     return lists.flat();
   }
 
-  /** Nodes go first: they finish what is in flight, which needs targets and platform. */
+  /** Stops the nodes first, since they need targets and platform to finish requests in flight. */
   async dispose(): Promise<void> {
     await Promise.all(this.getNodes().map(({ child }) => child.stop(GRACE_MS)));
     await this.fleet.dispose();
     if (this.directory !== undefined) await rm(this.directory, { recursive: true, force: true });
   }
 
-  /** Each member gets one key, as the fleet's operators would give it out. */
+  /** Creates one operator key for each member, as the operators of the fleet do. */
   private async createOperatorKeys(platformAddress: string): Promise<void> {
     const platform = openHttpPlatform({ url: `http://${platformAddress}` });
     const random = new SeededRandom(this.options.seed);
@@ -243,9 +245,9 @@
 
   private async chooseTargetAddresses(): Promise<void> {
     const choose = this.options.chooseTargetAddress;
-    const own = this.groups.flatMap(({ targets }) => targets);
+    const direct = this.groups.flatMap(({ targets }) => targets);
     this.targets = await Promise.all(
-      own.map(async (target) => {
+      direct.map(async (target) => {
         return choose === undefined ? target : { ...target, address: await choose(target) };
       }),
     );
--- a/packages/lab/src/processes/node/managedProcess.ts
+++ b/packages/lab/src/processes/node/managedProcess.ts
@@ -1,23 +1,23 @@
-/** One child process of the lab, from its start to the proof that it is gone. */
+/** One child process of the lab, from its start to its confirmed exit. */
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import VError from 'verror';
 
 const READY_TIMEOUT_MS = 20_000;
-/** Lines of standard error that are kept to explain a failure. */
+/** Last lines of standard error that are kept for error messages. */
 const MAX_ERROR_LINES = 200;
 
 /** Options of a {@link ManagedProcess}. */
 export interface IManagedProcessOptions {
-  /** For messages. */
+  /** Name in error messages. */
   readonly name: string;
   /** Path of the JavaScript file that Node runs. */
   readonly script: string;
   readonly args?: readonly string[];
-  /** Variables added to the environment. */
+  /** Variables that are added to the inherited environment. */
   readonly env?: Readonly<Record<string, string>>;
-  /** Options of Node itself, such as a limit on its heap. */
+  /** Options of the Node.js runtime, such as a heap limit. */
   readonly nodeOptions?: readonly string[];
 }
 
@@ -28,7 +28,8 @@
 }
 
 /**
- * A running child. Its standard input is a pipe, whose end tells a stand-in that we are gone.
+ * A running child process. Its standard input is a pipe; stand-ins exit when it closes, so that they
+ * don't outlive the lab.
  *
  * @example
  * const child = new ManagedProcess({ name: 'platform', script: 'main.js' });
@@ -53,7 +54,7 @@
       stdio: ['pipe', 'pipe', 'pipe'],
       env: { ...process.env, ...options.env },
     });
-    // A child that is killed breaks our end of the pipe; that is no error of ours.
+    // Killing a child breaks the pipe to its standard input; this EPIPE is expected.
     this.child.stdin?.on('error', () => undefined);
     this.ended = new Promise((resolve) => {
       this.child.once('close', (code, signal) => {
@@ -70,7 +71,7 @@
     return this.child.pid ?? -1;
   }
 
-  /** The JSON value of the first line on standard output. Rejects when the process ends first. */
+  /** Resolves with the JSON value of the first line of standard output; rejects if the process ends first. */
   waitForReady(): Promise<unknown> {
     return this.ready;
   }
@@ -83,12 +84,12 @@
     return this.end === undefined;
   }
 
-  /** Stopped by SIGSTOP and not yet resumed. */
+  /** Whether the process was stopped by SIGSTOP and not yet resumed. */
   isStopped(): boolean {
     return this.stopped;
   }
 
-  /** Sends a signal to this very process, if it still runs. */
+  /** Sends a signal to the process if it is still running. */
   sendSignal(signal: NodeJS.Signals): void {
     if (!this.isRunning()) return;
     if (signal === 'SIGSTOP') this.stopped = true;
@@ -96,7 +97,7 @@
     this.child.kill(signal);
   }
 
-  /** Ends the process: asks first, and kills it when it has not ended after `graceMs`. */
+  /** Sends SIGTERM, and SIGKILL when the process has not ended after `graceMs`. */
   async stop(graceMs: number): Promise<IProcessEnd> {
     this.sendSignal('SIGCONT');
     this.sendSignal('SIGTERM');
@@ -108,12 +109,12 @@
     return end;
   }
 
-  /** The last lines that it wrote to standard error. */
+  /** Returns the last lines that the process wrote to standard error. */
   getErrorLines(): readonly string[] {
     return this.errorLines;
   }
 
-  /** All standard output so far. */
+  /** Returns all lines of standard output so far. */
   getOutputLines(): readonly string[] {
     return this.outputLines;
   }
--- a/packages/lab/src/processes/node/nodeMetrics.ts
+++ b/packages/lab/src/processes/node/nodeMetrics.ts
@@ -1,4 +1,4 @@
-/** Reads the invariants' counters from the nodes' metrics. */
+/** Parses the nodes' metrics pages, in particular the counters of invariants. */
 import type { NodeProcess } from './nodeProcess.js';
 
 const VIOLATION_LINE = /^parsleymux_invariant_violations_total\{([^}]*)\}\s+([0-9.e+]+)/;
@@ -12,7 +12,7 @@
 }
 
 /**
- * Counters of one metrics page.
+ * Parses the invariant counters of one metrics page.
  *
  * @example
  * const violations = parseInvariantCounts(page, 'violations');
@@ -30,10 +30,10 @@
 }
 
 /**
- * Sum of a counter over all its labels; 0 when the page has none of that name.
+ * Returns a counter's sum over all its labels, or 0 when the page has no counter of this name.
  *
  * @example
- * const refused = parseCounter(page, 'parsleymux_config_dropped_total');
+ * const dropped = parseCounter(page, 'parsleymux_config_dropped_total');
  */
 export function parseCounter(page: string, name: string): number {
   const lines = page.split('\n').filter((line) => {
@@ -43,7 +43,7 @@
 }
 
 /**
- * Counts by name, added up.
+ * Sums counts by name.
  *
  * @example
  * const totals = mergeCounts([countsOfOneNode, countsOfAnother]);
@@ -55,7 +55,7 @@
 }
 
 /**
- * Violations over the nodes that answer.
+ * Returns the violations by invariant, summed over the nodes that respond.
  *
  * @example
  * const violations = await readViolations(world.getNodes());
--- a/packages/lab/src/processes/node/nodeProcess.ts
+++ b/packages/lab/src/processes/node/nodeProcess.ts
@@ -1,4 +1,4 @@
-/** One node of the fleet as a process. */
+/** Starts one node of the fleet in a child process. */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -19,19 +19,19 @@
   readonly host: string;
   readonly failureDomain: string;
   readonly platformUrl: string;
-  /** Where the settings file goes. */
+  /** Directory that the settings file is written to. */
   readonly directory: string;
-  /** Replaces single values of the settings' timing section. */
+  /** Overrides of values in the settings' timing section. */
   readonly timing?: Readonly<Record<string, number>>;
-  /** Replaces single values of the settings' limits section. */
+  /** Overrides of values in the settings' limits section. */
   readonly limits?: Readonly<Record<string, number>>;
   /** The settings' security section. */
   readonly security?: object;
-  /** Options of Node itself, such as a limit on its heap. */
+  /** Options of the Node.js runtime, such as a heap limit. */
   readonly nodeOptions?: readonly string[];
 }
 
-/** Where a node listens: IP numbers and ports. */
+/** Addresses that a node listens on, as `ip:port`. */
 export interface INodeAddresses {
   readonly caller: string;
   readonly peer: string;
@@ -40,7 +40,7 @@
 }
 
 /**
- * A started node.
+ * A node that was started.
  *
  * @example
  * const node = await startNode(fleet, options);
@@ -75,7 +75,7 @@
 }
 
 /**
- * Starts a node on ports that the operating system chooses. It is not yet ready.
+ * Starts a node on ports that the operating system chooses. The node is not yet ready on return.
  *
  * @example
  * const node = await startNode(fleet, options);
--- a/packages/lab/src/processes/node/operatorCommand.ts
+++ b/packages/lab/src/processes/node/operatorCommand.ts
@@ -6,17 +6,17 @@
 /** Options of an {@link OperatorCommand}. */
 export interface IOperatorCommandOptions {
   readonly fleet: ProcessFleet;
-  /** Administration address of any node. */
+  /** Administration address of a node. */
   readonly admin: string;
   readonly key: string;
-  /** File with the authority of the administration API's certificate. Absent: plain HTTP. */
+  /** CA file for the certificate of the administration API. Absent: plain HTTP. */
   readonly authorityFile?: string | undefined;
 }
 
-/** What a run of the command gave. */
+/** Result of one run of the command. */
 export interface ICommandResult {
   readonly exitCode: number | null;
-  /** The JSON on standard output, or undefined when there was none. */
+  /** The JSON on standard output, or undefined when the output is not JSON. */
   readonly output: unknown;
   readonly errors: string;
 }
@@ -31,7 +31,7 @@
 export class OperatorCommand {
   constructor(private readonly options: IOperatorCommandOptions) {}
 
-  /** Runs one command to its end, whatever its exit code. */
+  /** Runs one command to its end. Does not throw on a nonzero exit code. */
   async run(args: readonly string[]): Promise<ICommandResult> {
     const { fleet, admin, key, authorityFile } = this.options;
     const access =
@@ -48,7 +48,7 @@
     return { exitCode: code, output, errors: child.getErrorLines().join('\n') };
   }
 
-  /** Submits an intent file and confirms the plan that it gets; returns the plan's id. */
+  /** Submits an intent file, confirms the resulting plan and returns the plan's id. */
   async applyIntent(file: string): Promise<string> {
     const plan = (await this.runOrThrow(['intent', 'submit', file])) as { readonly id: string };
     await this.runOrThrow(['plan', 'confirm', plan.id]);
--- a/packages/lab/src/processes/node/platformProcess.ts
+++ b/packages/lab/src/processes/node/platformProcess.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in as a process. */
+/** Starts and controls the platform stand-in in a child process. */
 import type { IPlatformCounters, IPlatformFaults } from '@parsleymux/standins';
 import type { IVm } from '@parsleymux/store';
 import { requestJson } from './jsonRequest.js';
@@ -11,7 +11,7 @@
 }
 
 /**
- * Controls a platform stand-in.
+ * Client of a platform stand-in's control interface.
  *
  * @example
  * const platform = await startPlatform(fleet, { vmLagMs: 1000 });
@@ -46,7 +46,7 @@
 }
 
 /**
- * Starts the platform stand-in with faults in force from the start.
+ * Starts the platform stand-in with `faults` active from the start.
  *
  * @example
  * const platform = await startPlatform(fleet, { vmLagMs: 1000 });
--- a/packages/lab/src/processes/node/processFleet.test.ts
+++ b/packages/lab/src/processes/node/processFleet.test.ts
@@ -13,7 +13,7 @@
   }
 }
 
-test('a stand-in runs as a process, takes control requests, and is gone after dispose', async () => {
+test('a stand-in process accepts control requests and has ended after dispose', async () => {
   const fleet = new ProcessFleet();
   const platform = await startPlatform(fleet, { vmLagMs: 0 });
   assert.ok(platform instanceof PlatformProcess);
@@ -25,8 +25,8 @@
   assert.deepEqual(pids.filter(isAlive), []);
 });
 
-// Symptom: a process stays behind after a run that paused it. Sequence: SIGSTOP, then the end of
-// the run sends SIGTERM. Cause: a stopped process handles no signal but SIGKILL and SIGCONT.
+// A process that a run paused with SIGSTOP must not stay behind: a stopped process handles no signal
+// but SIGKILL and SIGCONT, so the SIGTERM at the end of the run is not enough.
 test('a paused child ends with the fleet', async () => {
   const fleet = new ProcessFleet();
   await startPlatform(fleet, {});
@@ -38,7 +38,7 @@
   assert.equal(isAlive(child.pid), false);
 });
 
-test('a child that ends before it is ready says why', async () => {
+test('waiting for a child that ends before it is ready rejects with its error output', async () => {
   const fleet = new ProcessFleet();
   const child = fleet.start({
     name: 'platform',
--- a/packages/lab/src/processes/node/processFleet.ts
+++ b/packages/lab/src/processes/node/processFleet.ts
@@ -1,4 +1,4 @@
-/** The lab's children together: none outlives the lab, however it ends. */
+/** Manages the lab's child processes, none of which outlives the lab process, however that ends. */
 import type { IDisposable } from '@parsleymux/base';
 import type { IManagedProcessOptions } from './managedProcess.js';
 import { ManagedProcess } from './managedProcess.js';
@@ -9,14 +9,14 @@
 
 /** Options of a {@link ProcessFleet}. */
 export interface IProcessFleetOptions {
-  /** Time that children get to end by themselves, in ms. Default 5000. */
+  /** Time that children get to exit after SIGTERM, in ms. Default 5000. */
   readonly graceMs?: number;
-  /** End the children and the lab on SIGINT and SIGTERM. Default true; else the owner does it. */
+  /** End the children and the lab on SIGINT and SIGTERM. Default true. When false, the owner must do it. */
   readonly handleSignals?: boolean;
 }
 
 /**
- * Starts children and ends them all.
+ * Starts child processes and ends all of them when disposed.
  *
  * @example
  * const fleet = new ProcessFleet();
@@ -37,8 +37,8 @@
 
   constructor(options: IProcessFleetOptions = {}) {
     this.graceMs = options.graceMs ?? DEFAULT_GRACE_MS;
-    // A child that is stopped by SIGSTOP ignores SIGTERM and would stay for ever, so the last
-    // resort at exit is SIGKILL, by process id.
+    // A child that is stopped by SIGSTOP doesn't handle SIGTERM and would never end, so children that
+    // are left at exit are killed with SIGKILL.
     process.once('exit', this.onExit);
     if (options.handleSignals === false) return;
     process.once('SIGINT', this.onSignal);
@@ -52,7 +52,7 @@
     return child;
   }
 
-  /** Children that still run. */
+  /** Lists the children that are still running. */
   getRunning(): readonly ManagedProcess[] {
     return [...this.children];
   }
--- a/packages/lab/src/processes/node/programs.ts
+++ b/packages/lab/src/processes/node/programs.ts
@@ -1,4 +1,4 @@
-/** Where the programs are that the lab starts. */
+/** Paths of the programs that the lab starts. */
 import { fileURLToPath } from 'node:url';
 
 const PACKAGES = new URL('../../../../', import.meta.url);
@@ -7,14 +7,14 @@
   return fileURLToPath(new URL(relative, PACKAGES));
 }
 
-/** Paths of the programs, each run by Node. */
+/** Paths of the programs; all are run by Node.js. */
 export const Program = {
   Platform: toPath('standins/dist/platform/node/main.js'),
   Target: toPath('standins/dist/target/node/main.js'),
   Node: toPath('node/bin/parsleymux.js'),
   Ctl: toPath('ctl/bin/parsleyctl.js'),
-  /** The node on the users' platform, joined in one file as it is deployed. */
+  /** The node for the users' platform, bundled in one file as it is deployed. */
   PlatformNode: toPath('../target/parsleymux-platform.mjs'),
-  /** The same in modules, of which single ones can be replaced. */
+  /** The same program as separate modules, so that breaks can replace methods in them. */
   PlatformModules: toPath('../platform/dist/app/main.js'),
 } as const;
--- a/packages/lab/src/processes/node/readyBalancer.ts
+++ b/packages/lab/src/processes/node/readyBalancer.ts
@@ -1,4 +1,4 @@
-/** The platform's balancer in small: sends callers to nodes that say they are ready. */
+/** A small model of the platform's load balancer: sends callers to nodes that report readiness. */
 import type { IDisposable } from '@parsleymux/base';
 import { Balancer } from '../../load/node/loadGenerator.js';
 import type { NodeProcess } from './nodeProcess.js';
@@ -6,7 +6,7 @@
 const POLL_MS = 300;
 
 /**
- * Takes nodes in turn. It lags: a node that died or is leaving gets callers until the next poll.
+ * Round-robin balancer. A node that crashed or is shutting down receives callers until the next poll.
  *
  * @example
  * const balancer = new ReadyBalancer(() => world.getNodes());
@@ -28,7 +28,7 @@
     return nodes[this.turn % nodes.length];
   }
 
-  /** Asks every node now, except those that still owe their last answer. */
+  /** Polls every node now, except those whose previous poll has no response yet. */
   async poll(): Promise<void> {
     await Promise.all(this.getNodes().map((node) => this.pollNode(node)));
   }
@@ -45,7 +45,7 @@
     return [...this.ready].filter(([, isReady]) => isReady).map(([caller]) => caller);
   }
 
-  /** Each node by itself: waiting for a paused one must not keep the others' state stale. */
+  /** Polls nodes independently, so that a paused one does not delay the state of the others. */
   private async pollNode(node: NodeProcess): Promise<void> {
     const { caller } = node.addresses;
     if (this.polling.has(caller)) return;
--- a/packages/lab/src/processes/node/targetGroup.ts
+++ b/packages/lab/src/processes/node/targetGroup.ts
@@ -1,4 +1,4 @@
-/** The target stand-ins of one service, in one process. */
+/** Starts the target stand-ins of one service in one child process. */
 import type { IExecution, IExecutionsBody, ITargetFaults } from '@parsleymux/standins';
 import type { IServiceLayout, ILabTarget } from '../common/worldLayout.js';
 import { FAILURE_DOMAINS } from '../common/worldLayout.js';
@@ -11,7 +11,7 @@
 }
 
 /**
- * Targets that are started together and share their record of executions.
+ * Targets that run in one process and share one record of executions.
  *
  * @example
  * const group = await startTargetGroup(fleet, service, 1);
@@ -42,7 +42,7 @@
 }
 
 /**
- * Starts the targets of a service, the same number in each failure domain.
+ * Starts the targets of a service, with the same number in each failure domain.
  *
  * @example
  * const group = await startTargetGroup(fleet, service, 1);
--- a/packages/lab/src/prove/breaks/node/claimProof.ts
+++ b/packages/lab/src/prove/breaks/node/claimProof.ts
@@ -1,4 +1,4 @@
-/** A claim is taken for won although the store never proved it. */
+/** A claim counts as won although the store did not confirm it. */
 import { wrapMethod } from './wrapMethod.js';
 
 const MODULE = 'claims/dist/attempt/common/attemptRegistry.js';
--- a/packages/lab/src/prove/breaks/node/claims.ts
+++ b/packages/lab/src/prove/breaks/node/claims.ts
@@ -1,4 +1,4 @@
-/** Without claims: a request that is not idempotent is dispatched by whoever gets it. */
+/** Disables claims: every node that receives a request that is not idempotent dispatches it. */
 import type { LooseObject } from './wrapMethod.js';
 import { executeLoose, wrapMethod } from './wrapMethod.js';
 
--- a/packages/lab/src/prove/breaks/node/floorRule.ts
+++ b/packages/lab/src/prove/breaks/node/floorRule.ts
@@ -1,4 +1,4 @@
-/** Ejections are granted below the floor too. */
+/** Ejections are granted even if they violate the capacity floor. */
 import { executeLoose, wrapMethod } from './wrapMethod.js';
 
 const MODULE = 'routing/dist/ledger/common/tableEjectionLedger.js';
--- a/packages/lab/src/prove/breaks/node/framing.ts
+++ b/packages/lab/src/prove/breaks/node/framing.ts
@@ -1,4 +1,4 @@
-/** An answer whose connection broke is taken for whole. */
+/** A response whose connection is lost counts as complete. */
 import { executeLoose, wrapMethod } from './wrapMethod.js';
 
 await wrapMethod('routing/dist/transport/node/exchange.js', 'Exchange', 'onResponseError', () => {
--- a/packages/lab/src/prove/breaks/node/leavingRule.ts
+++ b/packages/lab/src/prove/breaks/node/leavingRule.ts
@@ -1,4 +1,4 @@
-/** Targets that the configuration drains go on getting work. */
+/** Targets that the configuration drains continue to receive work. */
 import { wrapMethod } from './wrapMethod.js';
 
 await wrapMethod('routing/dist/target/common/targetHandle.js', 'TargetHandle', 'isUsable', () => {
--- a/packages/lab/src/prove/breaks/node/memberFilter.ts
+++ b/packages/lab/src/prove/breaks/node/memberFilter.ts
@@ -1,4 +1,4 @@
-/** Status is collected for every member, whoever asks. */
+/** Status covers every member, whichever member requests it. */
 import { wrapMethod } from './wrapMethod.js';
 
 const MODULE = 'node/dist/admin/node/peerStatusProvider.js';
--- a/packages/lab/src/prove/breaks/node/retryRule.ts
+++ b/packages/lab/src/prove/breaks/node/retryRule.ts
@@ -1,4 +1,4 @@
-/** Retries although the attempt may have run and the request is not idempotent. */
+/** Requests that are not idempotent are retried although the attempt may have run. */
 import { wrapMethod } from './wrapMethod.js';
 
 const MODULE = 'routing/dist/home/common/serviceHome.js';
--- a/packages/lab/src/prove/breaks/node/revisionOrder.ts
+++ b/packages/lab/src/prove/breaks/node/revisionOrder.ts
@@ -4,11 +4,11 @@
 const MODULE = 'config/dist/distribution/common/appliedConfig.js';
 
 await wrapMethod(MODULE, 'AppliedConfig', 'isNewer', () => (config, known) => {
-  const offered = config as { readonly memberRevision: bigint };
+  const received = config as { readonly memberRevision: bigint };
   const current = known as { readonly memberRevision: bigint } | undefined;
-  return offered.memberRevision !== current?.memberRevision;
+  return received.memberRevision !== current?.memberRevision;
 });
-await wrapMethod(MODULE, 'AppliedConfig', 'chooseRevision', () => (_current, offered) => offered);
+await wrapMethod(MODULE, 'AppliedConfig', 'chooseRevision', () => (_current, received) => received);
 
 const DISTRIBUTOR = 'config/dist/distribution/common/configDistributor.js';
 
@@ -17,7 +17,7 @@
   fetchAfter(after: number, head: number, known: unknown, signal: unknown): Promise<unknown>;
 }
 
-// The distributor drops a lower head before anything is fetched; this takes whatever is read.
+// The distributor ignores a lower head before it fetches anything; this applies whatever is read.
 await wrapMethod(DISTRIBUTOR, 'ConfigDistributor', 'fetchFromStore', () => {
   return async function (signal) {
     const reader = this.reader as IStoreReader;
--- a/packages/lab/src/prove/breaks/node/sentBytes.ts
+++ b/packages/lab/src/prove/breaks/node/sentBytes.ts
@@ -1,4 +1,4 @@
-/** A failure after bytes were sent is taken for one before: "not run" although it may have. */
+/** A failure after bytes were sent is reported as "not run", although the request may have run. */
 import { wrapMethod } from './wrapMethod.js';
 
 await wrapMethod('routing/dist/transport/node/exchange.js', 'Exchange', 'end', (original) => {
--- a/packages/lab/src/prove/breaks/node/shutdownWait.ts
+++ b/packages/lab/src/prove/breaks/node/shutdownWait.ts
@@ -1,4 +1,4 @@
-/** A node that is asked to leave does not wait for what is in flight. */
+/** A node that is shutting down does not wait for requests in flight. */
 import { wrapMethod } from './wrapMethod.js';
 
 await wrapMethod('node/dist/app/common/nodeState.js', 'NodeState', 'waitUntilIdle', () => {
--- a/packages/lab/src/prove/breaks/node/wrapMethod.ts
+++ b/packages/lab/src/prove/breaks/node/wrapMethod.ts
@@ -1,19 +1,19 @@
 /**
- * Replaces one method of a class of the product, from outside. A broken variant of a mechanism
- * is needed to see that a run can fail; kept here, none of it can ever ship.
+ * Replaces a method of a class in the shipped packages from outside. Runs need variants with a disabled
+ * mechanism to show that their checks can fail; defining these here keeps them out of the shipped code.
  */
 
-/** A method whose types are not known here. */
+/** A method without static types. */
 export type LooseMethod = (this: LooseObject, ...args: readonly unknown[]) => unknown;
 
-/** An object of the product as a broken variant sees it. */
+/** An object of a shipped class without static types. */
 export type LooseObject = Record<string, unknown>;
 
 const PACKAGES = new URL('../../../../../', import.meta.url);
 
 /**
- * Replaces a method. Throws when there is none of that name: after a renaming the break would
- * otherwise do nothing, and a run that should fail would pass.
+ * Replaces a method. Throws when there is no method of that name; otherwise a break would have no effect
+ * after a rename, and a run that should fail would pass.
  *
  * @example
  * await wrapMethod('claims/dist/guard/common/claimGuard.js', 'ClaimGuard', 'execute', (original) => ...);
@@ -36,7 +36,7 @@
   prototype[methodName] = make(original);
 }
 
-/** Calls a method of an object of the product. */
+/** Calls a method of an object by name. */
 export function executeLoose(object: LooseObject, name: string, ...args: unknown[]): unknown {
   return (object[name] as LooseMethod).apply(object, args);
 }
--- a/packages/lab/src/prove/common/faultKindList.ts
+++ b/packages/lab/src/prove/common/faultKindList.ts
@@ -1,7 +1,7 @@
-/** The kinds of fault that a command line names. */
+/** Parses the kinds of faults on a command line. */
 
 /**
- * Kinds from a list with commas; all of them for an empty text. Throws on a name that is none.
+ * Parses a comma-separated list of kinds; an empty text selects all. Throws on an unknown name.
  *
  * @example
  * const kinds = parseFaultKinds('node-kill,node-pause', FAULT_KINDS);
--- a/packages/lab/src/prove/common/faultSchedule.test.ts
+++ b/packages/lab/src/prove/common/faultSchedule.test.ts
@@ -3,7 +3,7 @@
 import { parseFaultKinds } from './faultKindList.js';
 import { FAULT_KINDS, makeSchedule } from './faultSchedule.js';
 
-test('a seed gives the same schedule each time, in order, and another seed another', () => {
+test('a seed always gives the same ordered schedule, and different seeds give different ones', () => {
   const schedule = makeSchedule({ seed: 7, seconds: 60, kinds: FAULT_KINDS });
   assert.deepEqual(makeSchedule({ seed: 7, seconds: 60, kinds: FAULT_KINDS }), schedule);
   assert.notDeepEqual(makeSchedule({ seed: 8, seconds: 60, kinds: FAULT_KINDS }), schedule);
@@ -15,7 +15,7 @@
   );
 });
 
-test('long schedules contain every kind, and a choice of kinds only those', () => {
+test('long schedules contain every kind, and a selection of kinds only these', () => {
   const kinds = new Set(
     makeSchedule({ seed: 1, seconds: 600, kinds: FAULT_KINDS }).map(({ kind }) => kind),
   );
@@ -24,7 +24,7 @@
   assert.deepEqual([...new Set(chosen.map(({ kind }) => kind))], ['node-kill']);
 });
 
-test('a command line names kinds, or all with nothing, and none that do not exist', () => {
+test('a list selects kinds, an empty list selects all, and unknown names are rejected', () => {
   assert.deepEqual(parseFaultKinds('node-pause,node-kill', FAULT_KINDS), [
     'node-kill',
     'node-pause',
--- a/packages/lab/src/prove/common/faultSchedule.ts
+++ b/packages/lab/src/prove/common/faultSchedule.ts
@@ -1,7 +1,7 @@
-/** A schedule of faults, generated from a seed, so that a run that failed can be made again. */
+/** Generates a schedule of faults from a seed, so that a failed run can be repeated. */
 import fc from 'fast-check';
 
-/** Kinds of fault, as reports and `--only` name them. */
+/** Kinds of faults, with their names in reports and in `--only`. */
 export const FaultKind = {
   NodeKill: 'node-kill',
   NodePause: 'node-pause',
@@ -28,15 +28,15 @@
 
 export const FAULT_KINDS: readonly FaultKind[] = Object.values(FaultKind);
 
-/** One fault. What `pick` and `size` choose depends on the kind and on what runs at the time. */
+/** One fault. The effect of `pick` and `size` depends on the kind and on what runs at the time. */
 export interface IFaultStep<K extends string = FaultKind> {
   readonly kind: K;
-  /** From the start of the traffic. */
+  /** Time since the start of the traffic, in ms. */
   readonly atMs: number;
   readonly durationMs: number;
-  /** Which node, target or direction; taken modulo what there is. */
+  /** Selects a node, target or direction, modulo their number. */
   readonly pick: number;
-  /** How bad, in (0, 1]. */
+  /** Severity, in (0, 1]. */
   readonly size: number;
 }
 
@@ -55,7 +55,7 @@
 const MAX_DURATION_MS = 9000;
 
 /**
- * The faults of one run in the order of time. The same options give the same schedule.
+ * Generates the faults of one run, ordered by time. The same options give the same schedule.
  *
  * @example
  * const steps = makeSchedule({ seed: 7, seconds: 60, kinds: FAULT_KINDS });
@@ -72,8 +72,8 @@
     pick: fc.nat({ max: 1_000_000 }),
     size: fc.double({ min: 0.1, max: 1, noNaN: true }),
   });
-  // Without noBias, the first sample favours the ends of each range: most faults would come at
-  // the start, with the least size, and whole kinds would never be seen together.
+  // Without noBias, the first sample favours the ends of each range: most faults would come at the
+  // start with the smallest size, and some kinds would never occur together.
   const steps = fc.noBias(fc.array(step, { minLength: count, maxLength: count }));
   const [schedule = []] = fc.sample(steps, { seed: options.seed, numRuns: 1 });
   return [...schedule].sort((left, right) => left.atMs - right.atMs);
--- a/packages/lab/src/prove/common/findings.ts
+++ b/packages/lab/src/prove/common/findings.ts
@@ -1,8 +1,9 @@
-/** Checks that a run makes from outside, by name, with the first few that failed. */
+/** Results of the checks that a run makes from outside the nodes, by name. */
 
+/** Number of violations of a check whose details are kept. */
 const MAX_DETAILS = 5;
 
-/** One check's count. */
+/** Counts of one check, with details of its first violations. */
 export interface ICheckCount {
   readonly name: string;
   readonly checks: number;
@@ -17,7 +18,7 @@
 }
 
 /**
- * Counts checks and violations.
+ * Counts checks and violations by name.
  *
  * @example
  * findings.check('recovers', share > 0.9, () => `only ${share}`);
--- a/packages/lab/src/prove/node/brokenWorld.ts
+++ b/packages/lab/src/prove/node/brokenWorld.ts
@@ -1,16 +1,16 @@
 /**
- * Ways to break what the nodes rely on, so that the checks from outside can be seen to fail:
- * a check that no fault can trip proves nothing.
+ * Violations of assumptions that the nodes rely on. They show that the checks from outside can fail: a check
+ * that no fault can fail proves nothing.
  */
 import type { ITargetFaults } from '@parsleymux/standins';
 import type { ProveWorld } from './proveWorld.js';
 
 export const OutsideBreak = {
-  /** The platform ignores the conditions of transactions: double executions must show. */
+  /** The platform ignores the conditions of transactions: double executions must be found. */
   Conditions: 'platform-conditions',
-  /** Targets run requests and say they did not: double executions or false refusals must show. */
+  /** Targets run requests and report them as not run: double executions or false refusals must be found. */
   FalseNotRun: 'target-false-not-run',
-  /** Targets give some callers the answer to the request before: foreign answers must show. */
+  /** Targets respond to some requests with the previous response: foreign answers must be found. */
   ForeignAnswers: 'target-foreign-answers',
 } as const;
 
@@ -18,14 +18,15 @@
 
 export const OUTSIDE_BREAKS: readonly OutsideBreak[] = Object.values(OutsideBreak);
 
+/** Share of the requests that a target mishandles. */
 const SHARE = 0.05;
 
-/** Tells a break outside the nodes from the name of a mechanism inside them. */
+/** Returns the break outside the nodes of this name, or undefined when there is none. */
 export function parseOutsideBreak(name: string): OutsideBreak | undefined {
   return OUTSIDE_BREAKS.find((value) => value === name);
 }
 
-/** Breaks the assumption for the whole run. */
+/** Violates the assumption for the whole run. */
 export async function applyOutsideBreak(world: ProveWorld, name: OutsideBreak): Promise<void> {
   switch (name) {
     case OutsideBreak.Conditions:
--- a/packages/lab/src/prove/node/drainedTargets.test.ts
+++ b/packages/lab/src/prove/node/drainedTargets.test.ts
@@ -4,7 +4,7 @@
 import { Findings } from '../common/findings.js';
 import { DrainedTargets } from './drainedTargets.js';
 
-const PLACE: ILabTarget = {
+const TARGET: ILabTarget = {
   member: 'm',
   service: 's',
   failureDomain: 'north',
@@ -12,7 +12,7 @@
   control: 'control',
 };
 
-function countViolations(leaving: DrainedTargets, startedAtMs: number): number {
+function countViolations(drained: DrainedTargets, startedAtMs: number): number {
   const findings = new Findings();
   const execution = {
     target: 't',
@@ -21,27 +21,26 @@
     state: 'finished',
     startedAtMs,
   } as const;
-  leaving.checkAll([execution], () => 't', findings);
+  drained.checkAll([execution], () => 't', findings);
   return findings.list().reduce((sum, { violations }) => sum + violations, 0);
 }
 
-test('work counts after the grace and before the next plan of the member', () => {
-  const leaving = new DrainedTargets();
-  leaving.open(PLACE, leaving.startConfirmation('m', 0), 0);
-  leaving.startConfirmation('other', 7000);
-  assert.equal(countViolations(leaving, 5000), 0);
-  assert.equal(countViolations(leaving, 8000), 1);
-  leaving.startConfirmation('m', 7500);
-  assert.equal(countViolations(leaving, 8000), 0);
+test('new work violates a drain after the grace time and before the next plan of the member', () => {
+  const drained = new DrainedTargets();
+  drained.open(TARGET, drained.startConfirmation('m', 0), 0);
+  drained.startConfirmation('other', 7000);
+  assert.equal(countViolations(drained, 5000), 0);
+  assert.equal(countViolations(drained, 8000), 1);
+  drained.startConfirmation('m', 7500);
+  assert.equal(countViolations(drained, 8000), 0);
 });
 
-// Symptom: the run blames the nodes for work at a target that an operator had given back.
-// Sequence: a drain takes effect, another plan starts to be confirmed, and only then the first
-// command returns. Cause: the span was opened although a later plan might have ended the drain.
-test('a drain that is known only after a later confirmation began opens no span', () => {
-  const leaving = new DrainedTargets();
-  const confirmation = leaving.startConfirmation('m', 0);
-  leaving.startConfirmation('m', 100);
-  leaving.open(PLACE, confirmation, 200);
-  assert.equal(countViolations(leaving, 9000), 0);
+// A later plan may end a drain before the command that confirmed the drain returns. A span that is
+// opened then would report the nodes for correct work at the target.
+test('a drain whose confirmation returns after a later one has started opens no span', () => {
+  const drained = new DrainedTargets();
+  const confirmation = drained.startConfirmation('m', 0);
+  drained.startConfirmation('m', 100);
+  drained.open(TARGET, confirmation, 200);
+  assert.equal(countViolations(drained, 9000), 0);
 });
--- a/packages/lab/src/prove/node/drainedTargets.ts
+++ b/packages/lab/src/prove/node/drainedTargets.ts
@@ -1,11 +1,12 @@
-/** Times during which targets were to see no new work. */
+/** Checks that drained targets get no new work. */
 import type { IExecution } from '@parsleymux/standins';
 import type { ILabTarget } from '../../processes/common/worldLayout.js';
 import type { Findings } from '../common/findings.js';
 
 /**
- * The promise is "after a few seconds". A node that hears from neither store nor peers works on
- * with what it knows until its isolation limit, 5 s in the lab; a second more is for the plan.
+ * Time after the confirmation in which new work is allowed, in ms. A node that reaches neither store nor
+ * peers continues with its last configuration until its isolation limit, 5 s in the lab; the plan may take
+ * another second.
  */
 const GRACE_MS = 6000;
 
@@ -16,26 +17,26 @@
   untilMs: number;
 }
 
-/** One confirmation among those of its member. */
+/** One confirmation of a plan, numbered per member. */
 export interface IConfirmation {
   readonly member: string;
   readonly count: number;
 }
 
 /**
- * Remembers spans and compares them with executions.
+ * Records the time spans in which targets are drained and compares them with executions.
  *
  * @example
- * const confirmation = leaving.startConfirmation(target.member, Date.now());
- * leaving.open(target, confirmation, Date.now());
+ * const confirmation = drained.startConfirmation(target.member, Date.now());
+ * drained.open(target, confirmation, Date.now());
  */
 export class DrainedTargets {
   private readonly spans: ISpan[] = [];
   private readonly confirmations = new Map<string, number>();
 
   /**
-   * Call it right before any plan of the member is confirmed: an intent replaces the former one
-   * whole, and with it the drain. Ends the member's open spans.
+   * Ends the member's open spans. Call it before any plan of the member is confirmed, since an intent
+   * replaces the previous one and may end its drains.
    */
   startConfirmation(member: string, nowMs: number): IConfirmation {
     for (const span of this.spans) {
@@ -47,8 +48,8 @@
   }
 
   /**
-   * Begins the span of a target that a confirmation drained, unless another was started since:
-   * that one may have taken the drain back before we came to know that ours took effect.
+   * Starts the span of a target that a confirmation drained, unless a later confirmation was started. That
+   * one may have ended the drain before the result of this one was known.
    */
   open(target: ILabTarget, confirmation: IConfirmation, sinceMs: number): void {
     const { member, control } = target;
@@ -56,7 +57,7 @@
     this.spans.push({ member, control, sinceMs, untilMs: Infinity });
   }
 
-  /** Compares with all executions; `findTarget` gives a target's own address. */
+  /** Compares all spans with all executions; `findTarget` returns the address that a target listens on. */
   checkAll(
     executions: readonly IExecution[],
     findTarget: (control: string) => string,
--- a/packages/lab/src/prove/node/faultInjector.ts
+++ b/packages/lab/src/prove/node/faultInjector.ts
@@ -1,25 +1,25 @@
-/** How faults are brought about. */
+/** Base types of the fault injectors. */
 import type { FaultKind, IFaultStep } from '../common/faultSchedule.js';
 import type { ProveWorld } from './proveWorld.js';
 
-/** Ends a fault that was injected. */
+/** Ends an injected fault. */
 export type EndFault = () => Promise<void>;
 
-/** What became of a step. */
+/** Result of injecting a step: how to end the fault, or that the step was skipped. */
 export type Injection = EndFault | 'skipped';
 
-/** Brings about faults of one kind. */
+/** Injects faults of one kind. */
 export abstract class FaultInjector {
   abstract readonly kind: FaultKind;
 
-  /** Injects the fault; the result ends it after the step's duration. */
+  /** Injects the fault. The runner calls the result after the step's duration. */
   abstract start(step: IFaultStep, world: ProveWorld): Promise<Injection>;
 }
 
-/** Ends a fault that ends by itself. */
+/** For faults that end by themselves. */
 export const endNothing: EndFault = () => Promise.resolve();
 
-/** The element that a step's pick chooses, or undefined when there is none. */
+/** Returns the element that a step's pick selects, or undefined when the list is empty. */
 export function pickElement<T>(elements: readonly T[], pick: number): T | undefined {
   return elements[pick % elements.length];
 }
--- a/packages/lab/src/prove/node/faultRunner.ts
+++ b/packages/lab/src/prove/node/faultRunner.ts
@@ -1,19 +1,19 @@
-/** Injects the faults of a schedule at their times, and ends them. */
+/** Injects the faults of a schedule at their times and ends them. */
 import type { IDisposable } from '@parsleymux/base';
 import type { FaultKind, IFaultStep } from '../common/faultSchedule.js';
 import type { Injection } from './faultInjector.js';
 
-/** What became of the steps of one kind. */
+/** Results of the steps of one kind. */
 export interface IFaultCount {
   readonly kind: string;
   readonly injected: number;
   readonly skipped: number;
-  /** The lab itself could not inject or end it. */
+  /** Steps that the lab itself failed to inject or to end. */
   readonly failed: number;
 }
 
 /**
- * Runs a schedule.
+ * Runs a schedule of faults.
  *
  * @example
  * const runner = new FaultRunner((step) => startFault(step, world));
@@ -36,7 +36,7 @@
     for (const step of schedule) this.startTimer(step.atMs, () => this.startStep(step));
   }
 
-  /** Starts no more faults and ends those that are open. */
+  /** Starts no further faults and ends the active ones. */
   async finish(): Promise<void> {
     this.dispose();
     await Promise.all(this.pending);
@@ -47,7 +47,7 @@
     return [...this.counts].map(([kind, count]) => ({ kind, ...count }));
   }
 
-  /** Why the lab failed to inject or end faults. */
+  /** Returns the errors with which the lab failed to inject or end faults. */
   getErrors(): readonly string[] {
     return this.errors;
   }
--- a/packages/lab/src/prove/node/gracefulShutdowns.ts
+++ b/packages/lab/src/prove/node/gracefulShutdowns.ts
@@ -1,12 +1,12 @@
-/** Nodes that were asked to leave, compared with what happened to requests that they held. */
+/** Checks that nodes which are requested to shut down complete their requests and exit cleanly. */
 import type { IProcessEnd } from '../../processes/node/managedProcess.js';
 import type { IRequestRecord } from '../../load/common/requestRecord.js';
 import { AttemptOutcome } from '../../load/common/requestRecord.js';
 import type { Findings } from '../common/findings.js';
 
 /**
- * Remembers when nodes were asked to leave. A node that was also paused or killed is left out:
- * what it cut is that fault's doing.
+ * Records when nodes were requested to shut down. A node that was also paused or killed is not checked,
+ * since that fault may have interrupted its requests.
  *
  * @example
  * shutdowns.record('127.0.0.11:4000', Date.now(), child.waitForEnd());
@@ -16,7 +16,7 @@
   private readonly ends = new Map<string, Promise<IProcessEnd>>();
   private readonly disturbed = new Set<string>();
 
-  /** `node` is a caller address. */
+  /** Records a request to shut down; `node` is the node's caller address. */
   record(node: string, nowMs: number, end: Promise<IProcessEnd>): void {
     this.requestedAtMs.set(node, nowMs);
     this.ends.set(node, end);
@@ -30,20 +30,20 @@
     this.disturbed.add(node);
   }
 
-  /** Waits for the nodes to end: one that was asked must end, and say that it cut nothing. */
+  /** Waits for the nodes to end. Each must exit with code 0 and must not have interrupted a request. */
   async checkAll(records: readonly IRequestRecord[], findings: Findings): Promise<void> {
     const attempts = records.flatMap((record) => record.attempts);
     for (const [node, requestedAtMs] of this.requestedAtMs) {
       if (this.disturbed.has(node)) continue;
-      const cut = attempts.filter((attempt) => {
+      const interrupted = attempts.filter((attempt) => {
         const isInFlight = attempt.endedAtMs >= requestedAtMs;
-        const isCut =
+        const isInterrupted =
           attempt.outcome === AttemptOutcome.Broken || attempt.outcome === AttemptOutcome.TimedOut;
-        return attempt.node === node && isInFlight && isCut;
+        return attempt.node === node && isInFlight && isInterrupted;
       });
-      findings.check('no request cut by a graceful shutdown', cut.length === 0, () => {
-        const delaysMs = cut.map(({ sentAtMs }) => sentAtMs - requestedAtMs);
-        return `${node} cut ${cut.length} requests, sent ${delaysMs.join(', ')} ms after it was asked`;
+      findings.check('no request cut by a graceful shutdown', interrupted.length === 0, () => {
+        const delaysMs = interrupted.map(({ sentAtMs }) => sentAtMs - requestedAtMs);
+        return `${node} interrupted ${interrupted.length} requests, sent ${delaysMs.join(', ')} ms after the request to shut down`;
       });
       const end = await this.ends.get(node);
       findings.check('a node that was asked to leave ends well', end?.code === 0, () => {
--- a/packages/lab/src/prove/node/main.ts
+++ b/packages/lab/src/prove/node/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run prove -- --seed N --seconds S`: a long randomised run over real processes. Exits 1 on
- * any violation, with the command that makes the same schedule again.
+ * `npm run prove -- --seed N --seconds S`: makes a long randomised run over real processes. Exits 1 on
+ * any violation and prints the command that repeats the same schedule.
  */
 import { parseArgs } from 'node:util';
 import { parseFaultKinds } from '../common/faultKindList.js';
--- a/packages/lab/src/prove/node/metricsWatcher.ts
+++ b/packages/lab/src/prove/node/metricsWatcher.ts
@@ -1,7 +1,6 @@
 /**
- * Keeps the last invariant counters that each node showed. Counters live in the node's memory
- * and are gone when it is killed, so reading them only at the end would miss what a killed node
- * had counted.
+ * Keeps the last metrics page of each node. Counters are lost when a node is killed, so reading them only
+ * at the end would miss the counts of killed nodes.
  */
 import type { IDisposable } from '@parsleymux/base';
 import type { NodeProcess } from '../../processes/node/nodeProcess.js';
@@ -14,7 +13,7 @@
 
 const INTERVAL_MS = 500;
 
-/** Polls every node until it is disposed of. */
+/** Polls the metrics of every node until it is disposed of. */
 export class MetricsWatcher implements IDisposable {
   private readonly pages = new Map<string, string>();
   private readonly timer: NodeJS.Timeout;
@@ -32,18 +31,18 @@
     );
   }
 
-  /** Totals over every node that ever answered. */
+  /** Returns the totals over every node that responded at least once. */
   getCounts(kind: 'checks' | 'violations'): readonly IInvariantCount[] {
     const pages = [...this.pages.values()];
     return mergeCounts(pages.map((page) => parseInvariantCounts(page, kind)));
   }
 
-  /** A counter's total over every node that ever answered. */
+  /** Returns a counter's total over every node that responded at least once. */
   getTotal(counter: string): number {
     return [...this.pages.values()].reduce((sum, page) => sum + parseCounter(page, counter), 0);
   }
 
-  /** Nodes whose counters were seen. */
+  /** Returns the number of nodes that responded at least once. */
   getNodeCount(): number {
     return this.pages.size;
   }
--- a/packages/lab/src/prove/node/nodeFaults.ts
+++ b/packages/lab/src/prove/node/nodeFaults.ts
@@ -1,4 +1,4 @@
-/** Nodes that die, freeze, or are asked to leave. A replacement follows, as the platform's would. */
+/** Kills, pauses or terminates nodes. Killed and terminated nodes are replaced, as on the platform. */
 import type { NodeProcess } from '../../processes/node/nodeProcess.js';
 import type { IFaultStep } from '../common/faultSchedule.js';
 import { FaultKind } from '../common/faultSchedule.js';
@@ -6,11 +6,11 @@
 import { FaultInjector, pickElement } from './faultInjector.js';
 import type { ProveWorld } from './proveWorld.js';
 
-/** Fewer than this many running nodes are left alone, or nothing would be under test. */
+/** Faults are skipped when fewer nodes than this run, so that a fleet remains under test. */
 const MIN_NODES = 3;
 
 function pickNode(step: IFaultStep, world: ProveWorld): NodeProcess | undefined {
-  // A node that was asked to leave is left alone: a second SIGTERM ends it at once, by design.
+  // Excludes nodes that are shutting down: a second SIGTERM ends them immediately, by design.
   const nodes = world.lab.getNodes().filter(({ child, addresses }) => {
     return !child.isStopped() && !world.shutdowns.isRequested(addresses.caller);
   });
--- a/packages/lab/src/prove/node/operatorFaults.ts
+++ b/packages/lab/src/prove/node/operatorFaults.ts
@@ -1,7 +1,6 @@
 /**
- * Operators who change things at the same moment. What they are told is checked on the spot:
- * of two plans from the same base only one may be confirmed, and a member can't take a rival's
- * host name.
+ * Concurrent changes by operators. Their results are checked immediately: of two plans from the same
+ * base only one may be confirmed, and a member can't take a host name of a competing member.
  */
 import { TargetState } from '@parsleymux/schema';
 import type { ICommandResult } from '../../processes/node/operatorCommand.js';
@@ -12,7 +11,7 @@
 import { FaultInjector, endNothing, pickElement } from './faultInjector.js';
 import type { ProveWorld } from './proveWorld.js';
 
-/** Long enough to see work that comes after the few seconds that a drain may take. */
+/** Long enough to detect new work after the few seconds that a drain may take. */
 const MIN_DRAIN_MS = 10_000;
 
 function getPlanId(result: ICommandResult): string | undefined {
@@ -24,15 +23,15 @@
   return pickElement(MEMBERS, pick) ?? '';
 }
 
-/** A member's status says nothing of another's targets. */
+/** Checks that a member's status shows no target of another member. */
 async function checkStatus(step: IFaultStep, world: ProveWorld, member: string): Promise<void> {
   const result = await world.lab.getOperator(member, step.pick).run(['status']);
   if (result.exitCode !== 0) return;
   const text = JSON.stringify(result.output);
-  const others = world.lab.getTargets().filter((target) => target.member !== member);
-  const seen = others.filter(({ address }) => text.includes(`"${address}"`));
-  world.findings.check("a member's status shows its own alone", seen.length === 0, () => {
-    return `${member} saw ${seen.map(({ address }) => address).join(', ')}`;
+  const foreignTargets = world.lab.getTargets().filter((target) => target.member !== member);
+  const shown = foreignTargets.filter(({ address }) => text.includes(`"${address}"`));
+  world.findings.check("a member's status shows its own alone", shown.length === 0, () => {
+    return `${member} saw ${shown.map(({ address }) => address).join(', ')}`;
   });
 }
 
@@ -47,7 +46,7 @@
     });
     const operators = [0, 1].map((index) => world.lab.getOperator(member, step.pick + index));
     const submitted = await Promise.all(
-      operators.map((one) => one.run(['intent', 'submit', file])),
+      operators.map((submitter) => submitter.run(['intent', 'submit', file])),
     );
     const ids = submitted.map(getPlanId);
     world.drainedTargets.startConfirmation(member, Date.now());
@@ -57,9 +56,9 @@
         return id === undefined ? undefined : await operator.run(['plan', 'confirm', id]);
       }),
     );
-    const won = confirmed.filter((result) => result?.exitCode === 0).length;
-    // Each submission saw the same base only when no other change came between the two.
-    world.findings.check('one of two racing plans', won <= 1, () => {
+    const confirmedCount = confirmed.filter((result) => result?.exitCode === 0).length;
+    // Both plans have the same base unless another change came between the submissions.
+    world.findings.check('one of two racing plans', confirmedCount <= 1, () => {
       return `${member}: both ${ids.join(' and ')} were confirmed`;
     });
     await checkStatus(step, world, member);
@@ -72,20 +71,22 @@
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const member = pickMember(step.pick);
-    const rival = pickMember(step.pick + 1);
-    const file = await world.lab.writeIntent(member, world.lab.getTargets(), { hostsOf: rival });
+    const competitor = pickMember(step.pick + 1);
+    const file = await world.lab.writeIntent(member, world.lab.getTargets(), {
+      hostsOf: competitor,
+    });
     const operator = world.lab.getOperator(member, step.pick);
     const id = getPlanId(await operator.run(['intent', 'submit', file]));
     world.drainedTargets.startConfirmation(member, Date.now());
     const result = id === undefined ? undefined : await operator.run(['plan', 'confirm', id]);
     world.findings.check("no member takes a rival's host", result?.exitCode !== 0, () => {
-      return `${member} took the hosts of ${rival} by plan ${id ?? ''}`;
+      return `${member} took the hosts of ${competitor} by plan ${id ?? ''}`;
     });
     return endNothing;
   }
 }
 
-/** A confirmed plan drains a target; after it, the target must see no new work for long. */
+/** Drains a target by a confirmed plan; after that, the target must get no new work. */
 class OperatorDrain extends FaultInjector {
   override readonly kind = FaultKind.OperatorDrain;
 
--- a/packages/lab/src/prove/node/platformFaults.ts
+++ b/packages/lab/src/prove/node/platformFaults.ts
@@ -1,4 +1,4 @@
-/** A platform that is out, slow, stale, loses answers, or is cut off one way from one node. */
+/** Faults of the platform: unavailable, slow, stale, lost responses, or partitioned from one node one way. */
 import type { IPlatformFaults } from '@parsleymux/standins';
 import { NO_PLATFORM_FAULTS } from '@parsleymux/standins';
 import type { IFaultStep } from '../common/faultSchedule.js';
@@ -11,7 +11,7 @@
 const MAX_STALENESS_MS = 8000;
 const MAX_LOST_RESPONSES = 10;
 
-/** A fault that is a setting of the platform stand-in. */
+/** A fault that sets values of the platform stand-in and later resets them. */
 class PlatformSetting extends FaultInjector {
   constructor(
     override readonly kind: FaultKind,
--- a/packages/lab/src/prove/node/proveFaults.ts
+++ b/packages/lab/src/prove/node/proveFaults.ts
@@ -1,4 +1,4 @@
-/** The injectors of `prove`, by the kind of fault. */
+/** Selects the injector for the kind of a fault. */
 import type { IFaultStep } from '../common/faultSchedule.js';
 import type { FaultInjector, Injection } from './faultInjector.js';
 import { NODE_FAULTS } from './nodeFaults.js';
@@ -14,7 +14,7 @@
   ...OPERATOR_FAULTS,
 ];
 
-/** Injects a step; the result ends it. */
+/** Injects the fault of a step; the result ends it. */
 export function startProveFault(step: IFaultStep, world: ProveWorld): Promise<Injection> {
   const injector = INJECTORS.find(({ kind }) => kind === step.kind);
   return injector?.start(step, world) ?? Promise.resolve('skipped');
--- a/packages/lab/src/prove/node/proveReport.ts
+++ b/packages/lab/src/prove/node/proveReport.ts
@@ -1,4 +1,4 @@
-/** Prints what a run did and found. */
+/** Prints the report of a run. */
 import { InvariantName } from '@parsleymux/base';
 import type { IOutcomeSummary } from '../../load/node/loadGenerator.js';
 import type { NodeProcess } from '../../processes/node/nodeProcess.js';
@@ -15,7 +15,7 @@
   readonly message?: unknown;
   readonly cause?: unknown;
   readonly error?: unknown;
-  /** Of a violated invariant. */
+  /** Name of a violated invariant. */
   readonly name?: unknown;
 }
 
@@ -24,7 +24,7 @@
   for (const line of lines) console.log(`  ${line}`);
 }
 
-/** Faults that were injected, by kind. */
+/** Prints the numbers of injected faults by kind. */
 export function printFaults(counts: readonly IFaultCount[], errors: readonly string[]): void {
   const lines = counts.map(({ kind, injected, skipped, failed }) => {
     const counted = `${injected} injected, ${skipped} skipped, ${failed} failed in the lab`;
@@ -33,7 +33,7 @@
   printTable('faults', [...lines, ...errors.map((error) => `lab error: ${error}`)]);
 }
 
-/** Requests by the outcome of their last attempt. */
+/** Prints the numbers of requests by the outcome of their last attempt. */
 export function printOutcomes(summary: readonly IOutcomeSummary[]): void {
   const lines = summary.map(({ outcome, count, p50Ms, p99Ms }) => {
     return `${outcome.padEnd(NAME_WIDTH)} ${count} (p50 ${p50Ms} ms, p99 ${p99Ms} ms)`;
@@ -41,7 +41,7 @@
   printTable('requests by final outcome, latency with retries', lines);
 }
 
-/** Invariants inside the nodes; returns the number of violations. */
+/** Prints the nodes' invariant counters; returns the number of violations. */
 export function printInvariants(watcher: MetricsWatcher): number {
   const checks = new Map(watcher.getCounts('checks').map(({ name, count }) => [name, count]));
   const violations = new Map(
@@ -50,15 +50,15 @@
   const names = Object.values(InvariantName);
   const lines = names.map((name) => {
     const checked = checks.get(name);
-    const broken = violations.get(name);
-    const text = `${checked ?? 'no'} checks seen, ${broken ?? 'no count of'} violations`;
+    const violated = violations.get(name);
+    const text = `${checked ?? 'no'} checks seen, ${violated ?? 'no count of'} violations`;
     return `${name.padEnd(NAME_WIDTH)} ${text}`;
   });
   printTable(`invariants inside ${watcher.getNodeCount()} nodes`, lines);
   return [...violations.values()].reduce((sum, count) => sum + count, 0);
 }
 
-/** Checks from outside. */
+/** Prints the checks that the run made from outside the nodes. */
 export function printChecks(counts: readonly ICheckCount[]): void {
   const lines = counts.flatMap(({ name, checks, violations, details }) => [
     `${violations === 0 ? 'PASS' : 'FAIL'} ${name.padEnd(NAME_WIDTH)} ${checks} checks, ${violations} violations`,
@@ -67,7 +67,7 @@
   printTable('checks from outside', lines);
 }
 
-/** Errors and warnings that nodes logged, by message; what is kept of each log is its end. */
+/** Prints the errors and warnings of the nodes by message. Only the last lines of each log are available. */
 export function printNodeLogs(nodes: readonly NodeProcess[]): void {
   const counts = new Map<string, number>();
   for (const line of nodes.flatMap(({ child }) => child.getErrorLines())) {
@@ -78,13 +78,14 @@
   printTable('errors and warnings in the logs of nodes', lines);
 }
 
-/** What a log line says when it is an alarm; a line that is not JSON is one. */
+/** Returns the text of a log line that is an error, a warning or not JSON; otherwise undefined. */
 function parseAlarm(line: string): string | undefined {
   try {
     const entry = JSON.parse(line) as ILogEntry;
     const isAlarm = entry.level === 'error' || entry.level === 'warn';
-    const why = entry.cause ?? entry.error ?? entry.name;
-    const reason = why === undefined ? '' : ` (${JSON.stringify(why).slice(0, REASON_LENGTH)})`;
+    const detail = entry.cause ?? entry.error ?? entry.name;
+    const reason =
+      detail === undefined ? '' : ` (${JSON.stringify(detail).slice(0, REASON_LENGTH)})`;
     return isAlarm ? `${entry.level}: ${String(entry.message)}${reason}` : undefined;
   } catch {
     const isStack = line.startsWith('    at ');
--- a/packages/lab/src/prove/node/proveRun.ts
+++ b/packages/lab/src/prove/node/proveRun.ts
@@ -1,4 +1,4 @@
-/** One randomised run from start to verdict. */
+/** Makes one randomised run from start to result. */
 import { DisposableStore } from '@parsleymux/base';
 import type { IRequestRecord } from '../../load/common/requestRecord.js';
 import { AttemptOutcome, getFinalAttempt } from '../../load/common/requestRecord.js';
@@ -23,10 +23,13 @@
 } from './proveReport.js';
 import { ProveWorld } from './proveWorld.js';
 
-/** Time after the last fault in which the fleet may still suffer from it. */
+/** Time in which the fleet may still be affected by the last faults, in ms. */
 const RECOVERY_MS = 8000;
+/** Time after recovery in which requests must be served, in ms. */
 const WATCH_MS = 4000;
+/** Pause before the load starts and after it has stopped, in ms. */
 const REST_MS = 2000;
+/** Minimum share of requests that is served after recovery. */
 const MIN_RECOVERED_SHARE = 0.9;
 
 /** Options of {@link runProve}. */
@@ -34,15 +37,15 @@
   readonly seed: number;
   readonly seconds: number;
   readonly schedule: readonly IFaultStep[];
-  /** Requests a second, as a multiple of the layout's. */
+  /** Factor on the layout's request rate. */
   readonly loadFactor: number;
-  /** Module that nodes load first, and that breaks a mechanism in them. */
+  /** Module that nodes load first and that disables a mechanism in them. */
   readonly breakModule?: string;
-  /** Assumption that the world around the nodes breaks. */
+  /** Assumption of the nodes that platform or targets violate. */
   readonly outsideBreak?: OutsideBreak;
 }
 
-/** Runs, prints the report, and returns whether nothing was violated. */
+/** Makes a run, prints its report and returns whether nothing was violated. */
 export async function runProve(options: IProveRunOptions): Promise<boolean> {
   const store = new DisposableStore();
   disposeOnInterrupt(store);
@@ -92,7 +95,7 @@
   return violations === 0 && !world.findings.hasViolations();
 }
 
-/** A fleet that only ever refuses breaks no promise, and is of no use. */
+/** Checks availability: a fleet that rejects every request violates no other guarantee. */
 function checkRecovery(
   records: readonly IRequestRecord[],
   sinceMs: number,
@@ -122,15 +125,15 @@
 function recordGuarantee(
   world: ProveWorld,
   verdict: IVerdict,
-  promise: string,
+  guarantee: string,
   checks: number,
 ): void {
-  const broken = verdict.findings.filter((finding) => finding.promise === promise);
-  for (const { requestId, detail } of broken) {
-    world.findings.check(promise, false, () => `${requestId}: ${detail}`);
+  const violations = verdict.findings.filter((finding) => finding.promise === guarantee);
+  for (const { requestId, detail } of violations) {
+    world.findings.check(guarantee, false, () => `${requestId}: ${detail}`);
   }
-  for (let count = broken.length; count < checks; count += 1) {
-    world.findings.check(promise, true, () => '');
+  for (let count = violations.length; count < checks; count += 1) {
+    world.findings.check(guarantee, true, () => '');
   }
 }
 
--- a/packages/lab/src/prove/node/proveWorld.ts
+++ b/packages/lab/src/prove/node/proveWorld.ts
@@ -1,4 +1,4 @@
-/** The lab's world with faulty links before the platform and before every target. */
+/** The lab's world with faulty links in front of the platform and of every target. */
 import type { IDisposable } from '@parsleymux/base';
 import { DisposableStore } from '@parsleymux/base';
 import { FaultyLink } from '@parsleymux/standins';
@@ -10,12 +10,12 @@
 /** Options of a {@link ProveWorld}. */
 export interface IProveWorldOptions {
   readonly seed: number;
-  /** Module that nodes load first, and that breaks a mechanism in them. */
+  /** Module that nodes load first and that disables a mechanism in them. */
   readonly breakModule?: string;
 }
 
 /**
- * What fault injectors act on.
+ * The system under test, on which fault injectors act.
  *
  * @example
  * const world = new ProveWorld({ seed: 1 });
@@ -37,7 +37,7 @@
     this.lab = new LabWorld({
       seed: options.seed,
       nodeOptions: breakModule === undefined ? [] : ['--import', breakModule],
-      choosePlatformAddress: (own) => this.openLink(own, this.platformLinks),
+      choosePlatformAddress: (address) => this.openLink(address, this.platformLinks),
       chooseTargetAddress: (target) => this.openLink(target.address, this.targetLinks),
     });
   }
@@ -47,7 +47,7 @@
     await this.lab.applyIntents();
   }
 
-  /** One link for each node that was started, in that order. */
+  /** Returns the links between nodes and platform, in the order in which the nodes were started. */
   getPlatformLinks(): readonly FaultyLink[] {
     return this.platformLinks;
   }
@@ -56,12 +56,12 @@
     return this.targetLinks;
   }
 
-  /** Starts a replacement, unless the run is ending. It may come up during an outage. */
+  /** Starts a replacement node unless the run is ending. It may start during an outage. */
   async addNode(): Promise<void> {
     if (!this.isEnding) await this.lab.startNextNode();
   }
 
-  /** Submits and confirms the member's first intent again; an outage may keep it from that. */
+  /** Submits and confirms the member's default intent again; during an outage this may have no effect. */
   async restoreIntent(member: string): Promise<void> {
     const file = await this.lab.writeIntent(member, this.lab.getTargets());
     const operator = this.lab.getOperator(member);
@@ -72,7 +72,7 @@
     await operator.run(['plan', 'confirm', id]);
   }
 
-  /** Ends whatever fault is left. */
+  /** Ends all faults that are still active. */
   async clearFaults(): Promise<void> {
     this.isEnding = true;
     for (const { child } of this.lab.getNodes()) child.sendSignal('SIGCONT');
--- a/packages/lab/src/prove/node/targetFaults.ts
+++ b/packages/lab/src/prove/node/targetFaults.ts
@@ -1,4 +1,4 @@
-/** Targets that turn gray, drain, go down, or sit behind a faulty link. */
+/** Faults of targets: slow, failing, draining, down, or behind a faulty link. */
 import type { ITargetFaults } from '@parsleymux/standins';
 import { NO_TARGET_FAULTS } from '@parsleymux/standins';
 import type { IFaultStep } from '../common/faultSchedule.js';
@@ -9,7 +9,7 @@
 
 const MAX_SLOWDOWN = 30;
 
-/** A fault that is a setting of one target stand-in. */
+/** A fault that sets values of one target stand-in and later resets them. */
 class TargetSetting extends FaultInjector {
   constructor(
     override readonly kind: FaultKind,
--- a/packages/lab/src/shutdown/node/earlyReload.test.ts
+++ b/packages/lab/src/shutdown/node/earlyReload.test.ts
@@ -5,10 +5,9 @@
 import { isReloadCaught } from '../../processes/node/caughtSignals.js';
 import { Program } from '../../processes/node/programs.js';
 
-test('a reload that is asked for during the start does not end the process', async () => {
-  // Symptom: a process that was just started is gone, killed by SIGHUP. Sequence: the settings file
-  // changes while the process still loads its program and settings. Cause: the handler was
-  // installed only after the settings were read.
+test('SIGHUP during the start does not end the process', async () => {
+  // The settings file may change while a process still loads its program and settings. If the handler for
+  // SIGHUP is installed only after the settings are read, the signal to reload them kills the process.
   const child = spawn(process.execPath, [Program.PlatformNode, '/dev/stdin'], {
     stdio: ['pipe', 'ignore', 'ignore'],
   });
@@ -19,7 +18,7 @@
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
   child.kill('SIGHUP');
-  // Only a process that outlived it can be asked to end.
+  // Only a process that survives SIGHUP can be ended by SIGTERM.
   child.kill('SIGTERM');
   const [, signal] = await ended;
   assert.equal(signal, 'SIGTERM');
--- a/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
+++ b/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
@@ -10,16 +10,16 @@
 import { GracefulShutdowns } from '../../prove/node/gracefulShutdowns.js';
 
 const UNDER_LOAD_MS = 1500;
-/** The balancer goes on sending callers to a node that was asked to leave for this long. */
+/** Time that the balancer continues to send callers to a node that is shutting down, in ms. */
 const LAG_MS = 500;
-/** Far above the lag, so that a slow machine doesn't make the balancer lag by more. */
+/** Notice time of the node, in ms; far above the lag, so that it suffices on a slow machine too. */
 const NOTICE_MS = 2000;
-/** Answers take some 2 s, so that requests are in flight when the notice ends. */
+/** Makes responses take about 2 s, so that requests are in flight when the notice time ends. */
 const SLOW_FACTOR = 70;
-/** Keeps the slow targets below their slots. */
+/** Keeps the load of the slow targets below their slots. */
 const LOAD_FACTOR = 0.3;
 
-/** Sends callers to every node but those that it was told of. */
+/** Sends callers to the nodes in its list in turn. */
 class TestBalancer extends Balancer {
   private turn = 0;
 
@@ -39,10 +39,9 @@
   }
 }
 
-test('a node that is entry and home leaves under load: nothing is cut, bookings run once', async () => {
-  // Symptom: callers see resets whenever a VM is replaced, and a booking has no outcome.
-  // Sequence: SIGTERM to a node with requests in flight, while the balancer still sends more.
-  // Cause: the node closes before what it holds is finished, or before the balancer knows.
+test('a node that is entry and home shuts down under load without interrupting requests', async () => {
+  // A node that closes before its requests are finished, or before the balancer stops sending callers, resets
+  // connections whenever a VM is replaced and leaves bookings without an outcome. Bookings must run once.
   const timing = { shutdownNoticeMs: NOTICE_MS };
   const world = new LabWorld({ seed: 4, nodeCount: 3, nodeTiming: timing });
   try {
--- a/packages/lab/src/shutdown/node/unreadOutput.test.ts
+++ b/packages/lab/src/shutdown/node/unreadOutput.test.ts
@@ -5,7 +5,7 @@
 
 const LINE_SINK = new URL('../../../../dispatch/dist/log/node/lineSink.js', import.meta.url);
 
-/** Fills its standard output, which nobody reads, and says on standard error that it goes on. */
+/** Fills its unread standard output and reports on standard error how many lines were dropped. */
 const BLOCKED_WRITER = `
   import { LineSink } from ${JSON.stringify(LINE_SINK.href)};
   const clock = { getMonotonicTime: () => performance.now() };
@@ -17,16 +17,16 @@
   });
 `;
 
-test('a standard output that nobody reads stops neither the work nor the end of a process', async () => {
-  // Symptom: a node answers nobody. Sequence: the reader of its log hangs, the pipe fills up. Cause:
-  // a write to a full pipe waits, and the whole process with it.
+test('an unread standard output blocks neither the work nor the exit of a process', async () => {
+  // If the reader of a node's log hangs, the pipe fills up. A blocking write to the full pipe would then
+  // block the whole process, and the node would not respond to any request.
   const child = spawn(process.execPath, ['--input-type=module', '--eval', BLOCKED_WRITER], {
     stdio: ['ignore', 'pipe', 'pipe'],
   });
-  const said: string[] = [];
-  child.stderr.on('data', (chunk: Buffer) => said.push(chunk.toString()));
+  const errorOutput: string[] = [];
+  child.stderr.on('data', (chunk: Buffer) => errorOutput.push(chunk.toString()));
   const [code] = (await once(child, 'exit')) as [number | null];
   assert.equal(code, 0);
-  const { dropped } = JSON.parse(said.join('')) as { readonly dropped: number };
+  const { dropped } = JSON.parse(errorOutput.join('')) as { readonly dropped: number };
   assert.ok(dropped > 0);
 });
--- a/packages/lab/src/soak/breaks/node/deafToCallers.ts
+++ b/packages/lab/src/soak/breaks/node/deafToCallers.ts
@@ -1,4 +1,4 @@
-/** Requests of callers that left go on, and are sent again and again. */
+/** Requests continue, retries included, after their callers have disconnected. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/entry/common/requestRunner.js';
--- a/packages/lab/src/soak/breaks/node/deafToDrains.ts
+++ b/packages/lab/src/soak/breaks/node/deafToDrains.ts
@@ -1,4 +1,4 @@
-/** Targets that leave are taken for targets that stay. */
+/** Draining targets are scheduled like other targets. */
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
@@ -6,9 +6,9 @@
 
 await wrapMethod(MODULE, 'ServiceScheduler', 'setTargets', (original) => {
   return function (records) {
-    const staying = (records as readonly LooseObject[]).map((record) => {
+    const unmarked = (records as readonly LooseObject[]).map((record) => {
       return { ...record, isDraining: false };
     });
-    return original.call(this, staying);
+    return original.call(this, unmarked);
   };
 });
--- a/packages/lab/src/soak/breaks/node/deafToEras.ts
+++ b/packages/lab/src/soak/breaks/node/deafToEras.ts
@@ -1,4 +1,4 @@
-/** Versions of the store are compared whatever era they belong to. */
+/** Versions of the store are compared without regard to the store epoch. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 await wrapMethod('../platform/dist/store/storeClient.js', 'StoreClient', 'readEra', () => {
--- a/packages/lab/src/soak/breaks/node/deafToLimits.ts
+++ b/packages/lab/src/soak/breaks/node/deafToLimits.ts
@@ -1,4 +1,4 @@
-/** Limits that targets name are taken by no home. */
+/** Homes ignore the limits that targets advertise. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 await wrapMethod('dispatch/dist/home/common/targetRateLimit.js', 'TargetRateLimit', 'apply', () => {
--- a/packages/lab/src/soak/breaks/node/deafToNotices.ts
+++ b/packages/lab/src/soak/breaks/node/deafToNotices.ts
@@ -1,4 +1,4 @@
-/** What targets say of themselves in answers is not heeded, neither by entries nor by homes. */
+/** Entries and homes ignore the notices that targets send in their responses. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 await wrapMethod('dispatch/dist/entry/common/targetNotices.js', 'TargetNotices', 'record', () => {
--- a/packages/lab/src/soak/breaks/node/denials.ts
+++ b/packages/lab/src/soak/breaks/node/denials.ts
@@ -1,4 +1,4 @@
-/** One request in ten is told that its route is unknown. */
+/** One request in ten is rejected as having no route. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/catalog/common/routeTable.js';
--- a/packages/lab/src/soak/breaks/node/endlessRequests.ts
+++ b/packages/lab/src/soak/breaks/node/endlessRequests.ts
@@ -1,4 +1,4 @@
-/** Requests are given half a minute, whatever their route says. */
+/** Deadlines of requests are extended by half a minute beyond the route's timeout. */
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
@@ -8,7 +8,7 @@
 await wrapMethod(MODULE, 'RequestRunner', 'run', (original) => {
   return function (request, signal) {
     const { deadlineMs } = request as { readonly deadlineMs: number };
-    const patient = { ...(request as LooseObject), deadlineMs: deadlineMs + EXTRA_MS };
-    return original.call(this, patient, signal);
+    const extended = { ...(request as LooseObject), deadlineMs: deadlineMs + EXTRA_MS };
+    return original.call(this, extended, signal);
   };
 });
--- a/packages/lab/src/soak/breaks/node/endlessRetries.ts
+++ b/packages/lab/src/soak/breaks/node/endlessRetries.ts
@@ -1,4 +1,4 @@
-/** Repeats are sent however many there were. */
+/** The retry budget is not enforced. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/home/common/retryWindow.js';
--- a/packages/lab/src/soak/breaks/node/falseRefusals.ts
+++ b/packages/lab/src/soak/breaks/node/falseRefusals.ts
@@ -1,4 +1,4 @@
-/** A failure after which a request may have run is told as a refusal. */
+/** A failure after which the request may have run is reported as a rejection. */
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
@@ -7,7 +7,7 @@
 
 await wrapMethod(MODULE, 'RequestRunner', 'makeFailure', (original) => {
   return function (...args) {
-    const answer = original.call(this, ...args) as LooseObject;
-    return answer.runState === 'ran' ? answer : { ...answer, status: NOT_RUN };
+    const response = original.call(this, ...args) as LooseObject;
+    return response.runState === 'ran' ? response : { ...response, status: NOT_RUN };
   };
 });
--- a/packages/lab/src/soak/breaks/node/foreignAnswers.ts
+++ b/packages/lab/src/soak/breaks/node/foreignAnswers.ts
@@ -1,4 +1,4 @@
-/** Answers are taken for those of the request that waits, whatever identifier they bear. */
+/** Responses are matched to the waiting request without regard to their request identifier. */
 const MODULE = new URL(
   '../../../../../../platform/dist/app/deploymentProtocol.js',
   import.meta.url,
--- a/packages/lab/src/soak/breaks/node/hastyStops.ts
+++ b/packages/lab/src/soak/breaks/node/hastyStops.ts
@@ -1,4 +1,4 @@
-/** A node that is asked to stop ends at once. */
+/** A node that is requested to stop exits immediately. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/app/node/directNode.js';
--- a/packages/lab/src/soak/breaks/node/heldNever.ts
+++ b/packages/lab/src/soak/breaks/node/heldNever.ts
@@ -1,4 +1,4 @@
-/** Requests under which targets crash are sent on, whatever is known of them. */
+/** Requests that crash targets are not held back. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/quarantine/common/requestQuarantine.js';
--- a/packages/lab/src/soak/breaks/node/lateConfig.ts
+++ b/packages/lab/src/soak/breaks/node/lateConfig.ts
@@ -1,4 +1,4 @@
-/** Every second configuration is not taken. */
+/** Every second configuration is not applied. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/directory/common/nodeDirectory.js';
--- a/packages/lab/src/soak/breaks/node/repeatBookings.ts
+++ b/packages/lab/src/soak/breaks/node/repeatBookings.ts
@@ -1,4 +1,4 @@
-/** A request that may have run is sent again, though it can't be repeated. */
+/** A request that may have run is sent again, although it is not idempotent. */
 import type { LooseObject } from '../../../prove/breaks/node/wrapMethod.js';
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
--- a/packages/lab/src/soak/common/boundChecks.ts
+++ b/packages/lab/src/soak/common/boundChecks.ts
@@ -1,6 +1,6 @@
 /**
- * Promises with a bound of time. They judge only what nothing disturbed, and need a computer that
- * keeps up.
+ * Checks of guarantees with a time bound. They cover only what no fault affected, and need a machine that
+ * is not overloaded.
  */
 import type { Findings } from '../../prove/common/findings.js';
 import { STORE_SCOPE, formatLinkScope } from './disturbanceLog.js';
@@ -10,9 +10,9 @@
 import { describeArrival, describeRequestRecord } from './requestText.js';
 
 const MS_PER_S = 1000;
-/** How long after its route's timeout a request may still be unanswered, in ms. */
+/** How long after its route's timeout a response may still arrive, in ms. */
 const TIMEOUT_SLACK_MS = 500;
-/** How long after its caller left a request may still arrive or be worked on at a target, in ms. */
+/** How long after its caller disconnected a request may still arrive or run at a target, in ms. */
 const DISCONNECT_SLACK_MS = 500;
 
 export function checkBounds(evidence: ISoakEvidence, findings: Findings): void {
@@ -39,7 +39,7 @@
     const scopes = [probe.node, STORE_SCOPE];
     if (!disturbances.isCalm(scopes, accepted.acceptedMs, probe.sentMs)) continue;
     findings.check('configurations are in force in time', probe.isFound, () => {
-      return `${probe.node} lacks ${probe.version} ${Math.round(probe.sentMs - accepted.acceptedMs)} ms after it was accepted`;
+      return `${probe.node} lacks version ${probe.version} ${Math.round(probe.sentMs - accepted.acceptedMs)} ms after it was accepted`;
     });
   }
 }
@@ -70,12 +70,12 @@
     return node === request.node && incarnation === request.incarnation;
   });
   if (stop === undefined || reply === undefined || reply.hasDisconnected) return;
-  const isNear = reply.endMs >= stop.requestedMs;
+  const isAfterRequest = reply.endMs >= stop.requestedMs;
   const scopes = [
     request.node,
     ...arrivals.flatMap(({ target }) => [target, formatLinkScope(target)]),
   ];
-  if (!isNear || !evidence.disturbances.isCalm(scopes, request.sentMs, reply.endMs)) return;
+  if (!isAfterRequest || !evidence.disturbances.isCalm(scopes, request.sentMs, reply.endMs)) return;
   const isLost = reply.status === undefined && (arrivals.length > 0 || !reply.isUnread);
   findings.check('stops lose no request', !isLost, () => describeRequestRecord(record));
 }
@@ -109,6 +109,6 @@
   findings.check('requests of callers that left go no further', !isLate, describe);
   const links = arrivals.map(({ target }) => formatLinkScope(target));
   if (!evidence.disturbances.isCalm(links, request.sentMs, limitMs)) return;
-  const isWorkedOn = arrivals.some(({ workEndMs }) => (workEndMs ?? Infinity) > limitMs);
-  findings.check('targets drop the work of callers that left', !isWorkedOn, describe);
+  const isStillRunning = arrivals.some(({ workEndMs }) => (workEndMs ?? Infinity) > limitMs);
+  findings.check('targets drop the work of callers that left', !isStillRunning, describe);
 }
--- a/packages/lab/src/soak/common/checks.test.ts
+++ b/packages/lab/src/soak/common/checks.test.ts
@@ -50,7 +50,7 @@
   readonly evidence?: Partial<ISoakEvidence>;
 }
 
-/** Names of the checks that fail on one request. */
+/** Lists the names of the checks that fail on one request. */
 function listFailedChecks(given: ICase): readonly string[] {
   const ledger = new SoakLedger();
   ledger.recordRequest({ ...REQUEST, ...given.request });
@@ -77,13 +77,12 @@
     .map(({ name }) => name);
 }
 
-test('a request that is served breaks nothing', () => {
+test('a request that is served fails no check', () => {
   assert.deepEqual(listFailedChecks({}), []);
 });
 
-test('each promise is seen to be broken', () => {
-  // Symptom: a run that should fail passes. Sequence: a check compares the wrong sides. Cause: it
-  // was never shown a record that breaks its promise.
+test('each check fails on a record that violates it', () => {
+  // A check that compares the wrong values passes every run, so that a violation is not found.
   const cases: readonly (readonly [string, ICase])[] = [
     ['at most once', { arrivals: [{}, {}] }],
     ['refused means not run', { reply: { status: 429, stamp: undefined } }],
@@ -123,14 +122,14 @@
   for (const [name, given] of cases) assert.ok(listFailedChecks(given).includes(name), name);
 });
 
-test('what a fault explains is no broken bound', () => {
+test('time bounds are not checked during and shortly after a fault', () => {
   const disturbances = new DisturbanceLog();
   disturbances.record('node-0', 9000);
   const drains = [{ target: 'booking-1', acceptedMs: 8000 }];
   assert.deepEqual(listFailedChecks({ evidence: { disturbances, drains } }), []);
 });
 
-test('a process that goes back to an older configuration is found, a new process not', () => {
+test('a process that returns to an older configuration fails a check, a new process does not', () => {
   const probe = { node: 'node-0', incarnation: 1, sentMs: 1, isFound: true };
   const probes = [
     { ...probe, version: 2 },
@@ -142,7 +141,7 @@
   assert.deepEqual(listFailedChecks({ evidence: { probes: restarted } }), []);
 });
 
-test('a configuration that is not in force in time is found', () => {
+test('a configuration that is not applied in time fails a check', () => {
   const versions = [{ version: 3, acceptedMs: 1000 }];
   const probe = { node: 'node-0', incarnation: 1, version: 3, isFound: false };
   const early = [{ ...probe, sentMs: 2900 }];
@@ -153,7 +152,7 @@
   ]);
 });
 
-test('repeats beyond the budget are found', () => {
+test('retries beyond the budget fail a check', () => {
   const ledger = new SoakLedger();
   for (let index = 0; index < 30; index += 1) {
     const id = `r${index}`;
@@ -165,6 +164,6 @@
   const disturbances = new DisturbanceLog();
   const rest = { crashes: [], drains: [], plannedStops: [], probes: [], versions: [] };
   checkSafety({ ledger, disturbances, ...rest }, findings);
-  const broken = findings.list().find(({ name }) => name === 'repeats stay within the budget');
-  assert.ok((broken?.violations ?? 0) > 0);
+  const budgetCheck = findings.list().find(({ name }) => name === 'repeats stay within the budget');
+  assert.ok((budgetCheck?.violations ?? 0) > 0);
 });
--- a/packages/lab/src/soak/common/disturbanceLog.ts
+++ b/packages/lab/src/soak/common/disturbanceLog.ts
@@ -1,6 +1,6 @@
-/** What was disturbed when, so that checks with a time bound judge calm moments only. */
+/** Records which parts of the system faults affected, so that checks with a time bound skip those periods. */
 
-/** A node or target was well for this long before a time-bound promise is asked of it, in ms. */
+/** Time after a fault in which guarantees with a time bound are not checked, in ms. */
 const CALM_MS = 3000;
 
 interface IDisturbance {
@@ -12,13 +12,13 @@
 /** Scope of the metadata store itself. */
 export const STORE_SCOPE = 'store';
 
-/** Scope of the way to a target: a cut there keeps from it that nobody waits any more. */
+/** Scope of the link to a target. During a partition the target can't detect that a caller disconnected. */
 export function formatLinkScope(target: string): string {
   return `link of ${target}`;
 }
 
 /**
- * Intervals of faults, by what they touch.
+ * Intervals of faults by scope, such as a node, a target or the store.
  *
  * @example
  * const end = disturbances.start('node-2', nowMs);
@@ -27,7 +27,7 @@
 export class DisturbanceLog {
   private readonly entries: IDisturbance[] = [];
 
-  /** The result ends the disturbance. */
+  /** Records the start of a disturbance; the result records its end. */
   start(scope: string, startMs: number): (endMs: number) => void {
     const entry: IDisturbance = { scope, startMs, endMs: Infinity };
     this.entries.push(entry);
@@ -36,7 +36,7 @@
     };
   }
 
-  /** A disturbance that has no length, such as a reset. */
+  /** Records a disturbance without a duration, such as a reset. */
   record(scope: string, atMs: number): void {
     this.start(scope, atMs)(atMs);
   }
--- a/packages/lab/src/soak/common/noticeChecks.ts
+++ b/packages/lab/src/soak/common/noticeChecks.ts
@@ -1,4 +1,4 @@
-/** Promises about what targets tell by their answers, and by crashing. */
+/** Checks of guarantees about notices in targets' responses, and about requests that crash targets. */
 import type { Findings } from '../../prove/common/findings.js';
 import type { ISoakEvidence } from './soakEvidence.js';
 import type {
@@ -11,21 +11,24 @@
 import { describeArrival } from './requestText.js';
 
 const MS_PER_S = 1000;
-/** A request that has crashed this many targets is known to all nodes after the time below, in ms. */
+/** Number of crashes after which a request must be held back. */
 const KNOWN_CRASHES = 3;
+/** Time until all nodes know of these crashes, in ms. */
 const KNOWN_DELAY_MS = 3000;
-/** Times that such a request may be sent to targets after that. */
+/** How often such a request may still be sent to targets after that. */
 const MAX_SENT_AFTER_KNOWN = 3;
-/** Requests in this time, in ms, are at most so many times a named limit, and so many besides. */
+/** Window in which requests to a target are compared with its advertised limit, in ms. */
 const LIMIT_WINDOW_MS = 4000;
+/** Factor by which the requests in a window may exceed the limit. */
 const LIMIT_EXCESS = 1.5;
+/** Number of requests that are allowed in a window in addition. */
 const LIMIT_ALLOWANCE = 5;
-/** A target is judged from this long after it began to name its limit, in ms. */
+/** A target is checked from this long after it began to advertise its limit, in ms. */
 const LIMIT_SETTLED_MS = 3000;
-/** Requests of a node count from this long after it passed the limit on, in ms. */
+/** A node's requests are counted from this long after it first forwarded the limit, in ms. */
 const LIMIT_APPLY_MS = 500;
 
-/** Checks with a bound of time; they judge nodes that nothing disturbed. */
+/** Checks with a time bound; they cover only nodes that no fault affected. */
 export function checkNotices(evidence: ISoakEvidence, findings: Findings): void {
   const records = evidence.ledger.listRequestRecords();
   checkCrashes(records, evidence, findings);
@@ -60,18 +63,18 @@
   { disturbances }: ISoakEvidence,
   findings: Findings,
 ): void {
-  const toldMs = new Map<string, number>();
+  const announcedMs = new Map<string, number>();
   for (const record of records) {
-    const teller = findDrainAnnouncement(record);
-    if (teller === undefined || record.reply === undefined) continue;
-    const key = formatKey(record, teller);
-    toldMs.set(key, Math.min(toldMs.get(key) ?? Infinity, record.reply.endMs));
+    const announcer = findDrainAnnouncement(record);
+    if (announcer === undefined || record.reply === undefined) continue;
+    const key = formatKey(record, announcer);
+    announcedMs.set(key, Math.min(announcedMs.get(key) ?? Infinity, record.reply.endMs));
   }
   for (const record of records) {
     const { node, sentMs } = record.request;
     for (const arrival of record.arrivals) {
       const dueMs =
-        (toldMs.get(formatKey(record, arrival)) ?? Infinity) + SOAK_BOUNDS.drain_s * MS_PER_S;
+        (announcedMs.get(formatKey(record, arrival)) ?? Infinity) + SOAK_BOUNDS.drain_s * MS_PER_S;
       if (sentMs <= dueMs || !disturbances.isCalm([node], dueMs, arrival.atMs)) continue;
       findings.check('targets that say they leave get nothing new', false, () => {
         return `${describeArrival(arrival)} from ${node}, ${Math.round(sentMs - dueMs)} ms too late`;
@@ -87,21 +90,22 @@
   findings: Findings,
 ): void {
   const name = 'targets that name a limit get no more';
-  const namedMs = findAdvertisedTimes(records);
-  const arrivals = records.flatMap(({ arrivals: ofStory, request }) => {
-    return ofStory.flatMap((arrival) => {
+  const advertisedMs = findAdvertisedTimes(records);
+  const arrivals = records.flatMap(({ arrivals: recordArrivals, request }) => {
+    return recordArrivals.flatMap((arrival) => {
       const { atMs, limit } = arrival;
       if (limit === undefined) return [];
       const key = formatLimit(arrival, limit);
-      const countedMs = (namedMs.get(`${formatNode(request)} ${key}`) ?? Infinity) + LIMIT_APPLY_MS;
+      const countedMs =
+        (advertisedMs.get(`${formatNode(request)} ${key}`) ?? Infinity) + LIMIT_APPLY_MS;
       const isCalm = disturbances.isCalm([request.node], countedMs, atMs);
       return atMs >= countedMs && isCalm ? { atMs, key, limit } : [];
     });
   });
   for (const { atMs, key, limit } of arrivals) {
     if (atMs < limit.sinceMs + LIMIT_SETTLED_MS) continue;
-    const count = arrivals.filter((one) => {
-      return one.key === key && one.atMs > atMs - LIMIT_WINDOW_MS && one.atMs <= atMs;
+    const count = arrivals.filter((other) => {
+      return other.key === key && other.atMs > atMs - LIMIT_WINDOW_MS && other.atMs <= atMs;
     }).length;
     const allowed = (LIMIT_EXCESS * limit.ratePerS * LIMIT_WINDOW_MS) / MS_PER_S + LIMIT_ALLOWANCE;
     findings.check(name, count <= allowed, () => {
@@ -111,18 +115,18 @@
   findings.check(name, true, () => '');
 }
 
-/** When each node first passed on an answer that names a limit. */
+/** Finds when each node first forwarded a response that advertises a limit. */
 function findAdvertisedTimes(records: readonly ISoakRequestRecord[]): ReadonlyMap<string, number> {
-  const namedMs = new Map<string, number>();
+  const advertisedMs = new Map<string, number>();
   for (const { arrivals, reply, request } of records) {
     for (const arrival of arrivals) {
-      const isPassedOn = reply?.stamp === `${arrival.target}.${arrival.id}`;
-      if (arrival.limit === undefined || !isPassedOn) continue;
+      const isForwarded = reply?.stamp === `${arrival.target}.${arrival.id}`;
+      if (arrival.limit === undefined || !isForwarded) continue;
       const key = `${formatNode(request)} ${formatLimit(arrival, arrival.limit)}`;
-      namedMs.set(key, Math.min(namedMs.get(key) ?? Infinity, reply.endMs));
+      advertisedMs.set(key, Math.min(advertisedMs.get(key) ?? Infinity, reply.endMs));
     }
   }
-  return namedMs;
+  return advertisedMs;
 }
 
 function formatLimit({ bornMs, target }: ISoakWork, { sinceMs }: IAdvertisedLimit): string {
@@ -133,14 +137,14 @@
   return `${node}/${incarnation}`;
 }
 
-/** The arrival whose answer the node passed on, if that said that the target leaves. */
+/** Finds the arrival whose response the node forwarded, if that announced that the target is draining. */
 function findDrainAnnouncement({ arrivals, reply }: ISoakRequestRecord): ISoakWork | undefined {
   return arrivals.find(({ id, target, isAnnouncingDrain }) => {
     return isAnnouncingDrain && reply?.stamp === `${target}.${id}`;
   });
 }
 
-/** A target that has started again under its identifier is another one, which does not leave. */
+/** Includes the start time, since a target that restarts under the same identifier is not draining. */
 function formatKey({ request }: ISoakRequestRecord, { bornMs, target }: ISoakWork): string {
   return `${formatNode(request)} ${target}/${bornMs}`;
 }
--- a/packages/lab/src/soak/common/regressionSeeds.ts
+++ b/packages/lab/src/soak/common/regressionSeeds.ts
@@ -1,6 +1,6 @@
-/** Seeds that once showed a fault. Each is run again, unchanged, by `npm run soak -- --regressions`. */
+/** Seeds of runs that found a defect. `npm run soak -- --regressions` repeats each one unchanged. */
 
-/** A run that failed once. */
+/** A run that found a defect. */
 export interface IRegressionSeed {
   readonly seed: number;
   readonly seconds: number;
@@ -12,7 +12,7 @@
     seed: 107,
     seconds: 20,
     cause:
-      'the link of the stand-ins passed a reset on as an orderly end: half answers looked whole',
+      'the faulty link forwarded a reset as a regular close: truncated responses looked complete',
   },
   {
     seed: 115,
@@ -22,19 +22,18 @@
   {
     seed: 112,
     seconds: 20,
-    cause:
-      'SIGHUP during the start ended the process; so did a settings file that was half written then',
+    cause: 'SIGHUP during the start ended the process, and so did a partly written settings file',
   },
   {
     seed: 1010,
     seconds: 12,
     cause:
-      'the soak itself started two processes of one node at once, and one found its port taken',
+      'the soak started two processes of one node concurrently, and the port of one was in use',
   },
   {
     seed: 204,
     seconds: 20,
     cause:
-      'a repeated update brought the older of two changes of a target back: a leaving one was ready',
+      'a repeated update restored the older of two changes of a target: a draining one was ready',
   },
 ];
--- a/packages/lab/src/soak/common/requestText.ts
+++ b/packages/lab/src/soak/common/requestText.ts
@@ -1,25 +1,25 @@
-/** Requests and arrivals in words, and the bodies that targets answer with. */
+/** Descriptions of requests and arrivals for messages, and the response bodies of targets. */
 import type { ISoakArrival, ISoakRequestRecord } from './soakLedger.js';
 
-/** Of a body, for messages. */
+/** Number of bytes of a body that messages show. */
 const MAX_SHOWN_BYTES = 40;
 
-/** The body that a target answers a request with. */
+/** Formats the body of a target's response to a request. */
 export function formatResponseBody(id: string, target: string): string {
   return `${id} done by ${target};${'.'.repeat(BODY_FILLER_BYTES)}`;
 }
 
-/** Longer than one segment would be on some networks, so that answers can break in the middle. */
+/** Longer than one TCP segment on common networks, so that responses can be truncated. */
 const BODY_FILLER_BYTES = 3000;
 
-/** One line for an arrival. */
+/** Describes an arrival in one line. */
 export function describeArrival(arrival: ISoakArrival | undefined): string {
   if (arrival === undefined) return '';
   const { hasRun, id, path, status, target } = arrival;
   return `${id} ${path} at ${target}${hasRun ? '' : ' (not run)'} ${status}`;
 }
 
-/** One line for a request with all that is known of it. */
+/** Describes a request with its reply and its arrivals in one line. */
 export function describeRequestRecord({ arrivals, reply, request }: ISoakRequestRecord): string {
   const at = arrivals.map((arrival) => describeArrival(arrival)).join('; ');
   const tookMs = reply === undefined ? '-' : Math.round(reply.endMs - request.sentMs);
--- a/packages/lab/src/soak/common/safetyChecks.ts
+++ b/packages/lab/src/soak/common/safetyChecks.ts
@@ -1,4 +1,4 @@
-/** Promises that hold on a computer of any speed, checked on what callers and targets saw. */
+/** Checks of guarantees without a time bound, on the requests that callers and targets recorded. */
 import type { Findings } from '../../prove/common/findings.js';
 import type { ISoakEvidence, IVersionProbe } from './soakEvidence.js';
 import type { ISoakArrival, ISoakRequestRecord } from './soakLedger.js';
@@ -8,15 +8,15 @@
 const MS_PER_S = 1000;
 const FIRST_FAILURE = 300;
 const FIRST_SERVER_ERROR = 500;
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses which guarantee that the request has not run and never will. */
 const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
-/** Checks that hold however slow the computer is. */
+/** Checks that hold on a machine of any speed. */
 export function checkSafety(evidence: ISoakEvidence, findings: Findings): void {
   for (const record of evidence.ledger.listRequestRecords()) checkRequest(record, findings);
-  const unasked = evidence.ledger.listUnsolicited();
-  findings.check('targets get only what callers sent', unasked.length === 0, () => {
-    return describeArrival(unasked[0]);
+  const unsolicited = evidence.ledger.listUnsolicited();
+  findings.check('targets get only what callers sent', unsolicited.length === 0, () => {
+    return describeArrival(unsolicited[0]);
   });
   checkRetries(evidence, findings);
   checkConfigRegression(evidence.probes, findings);
@@ -53,35 +53,36 @@
   if (reply?.status === undefined) return;
   const { body, stamp, status } = reply;
   if (status < FIRST_FAILURE) {
-    const isOwn = ran.some(({ target }) => body === formatResponseBody(request.id, target));
+    const isFromTarget = ran.some(({ target }) => body === formatResponseBody(request.id, target));
     findings.check(
       'successes are whole and the target’s own',
-      isOwn && stamp !== undefined,
+      isFromTarget && stamp !== undefined,
       describe,
     );
   } else if (stamp !== undefined) {
-    const isOwn = ran.some((arrival) => arrival.status === status);
-    findings.check('failures keep the status of their target', isOwn, describe);
+    const isFromTarget = ran.some((arrival) => arrival.status === status);
+    findings.check('failures keep the status of their target', isFromTarget, describe);
   }
   if (request.kind === 'booking' && stamp === undefined && NOT_RUN_STATUSES.includes(status)) {
     findings.check('refused means not run', ran.length === 0, describe);
-    const hasTime = status !== 503 || reply.retryAfter !== undefined;
-    findings.check('refusals say when to come back', hasTime, describe);
+    const hasRetryAfter = status !== 503 || reply.retryAfter !== undefined;
+    findings.check('refusals say when to come back', hasRetryAfter, describe);
   }
-  const isOwnDenial = stamp === undefined && status < FIRST_SERVER_ERROR && status >= FIRST_FAILURE;
-  const isDenied = isOwnDenial && !NOT_RUN_STATUSES.includes(status) && request.kind !== 'probe';
+  const isLocalDenial =
+    stamp === undefined && status < FIRST_SERVER_ERROR && status >= FIRST_FAILURE;
+  const isDenied = isLocalDenial && !NOT_RUN_STATUSES.includes(status) && request.kind !== 'probe';
   findings.check('allowed requests are not denied', !isDenied, describe);
 }
 
-/** The fleet's repeats of each service, in every window that ends with a repeat. */
+/** Checks the retries of each service over the whole fleet, in every window that ends with a retry. */
 function checkRetries(evidence: ISoakEvidence, findings: Findings): void {
   const records = evidence.ledger.listRequestRecords();
   for (const service of [BOOKING_SERVICE, LISTING_SERVICE]) {
-    const own = records.filter(({ request }) => {
+    const serviceRecords = records.filter(({ request }) => {
       return (request.kind === 'booking') === (service === BOOKING_SERVICE);
     });
-    const sent = own.map(({ request }) => request.sentMs);
-    const repeats = own
+    const sent = serviceRecords.map(({ request }) => request.sentMs);
+    const retries = serviceRecords
       .flatMap(({ arrivals }) =>
         arrivals
           .map(({ atMs }) => atMs)
@@ -89,13 +90,13 @@
           .slice(1),
       )
       .sort(compareNumbers);
-    for (const endMs of repeats) checkRetryWindow(sent, repeats, endMs, findings);
+    for (const endMs of retries) checkRetryWindow(sent, retries, endMs, findings);
   }
 }
 
 function checkRetryWindow(
   sent: readonly number[],
-  repeats: readonly number[],
+  retries: readonly number[],
   endMs: number,
   findings: Findings,
 ): void {
@@ -107,9 +108,9 @@
     ...[0, windowMs / 2, windowMs].map((backMs) => countIn(sent, endMs - backMs)),
   );
   const allowed = SOAK_BOUNDS.retry_ratio * requests + SOAK_BOUNDS.retry_burst;
-  const used = countIn(repeats, endMs);
+  const used = countIn(retries, endMs);
   findings.check('repeats stay within the budget', used <= allowed, () => {
-    return `${used} repeats beside ${requests} requests in the window that ends at ${Math.round(endMs)}`;
+    return `${used} retries for ${requests} requests in the window that ends at ${Math.round(endMs)}`;
   });
 }
 
@@ -117,16 +118,16 @@
   return left - right;
 }
 
-/** A process that has served by a version handles nothing by an older one that was sent later. */
+/** A process that has handled a request by one version handles no later request by an older one. */
 function checkConfigRegression(probes: readonly IVersionProbe[], findings: Findings): void {
   const newest = new Map<string, number>();
   for (const probe of [...probes].sort((left, right) => left.sentMs - right.sentMs)) {
     if (!probe.isFound) continue;
     const incarnation = `${probe.node}/${probe.incarnation}`;
-    const known = newest.get(incarnation) ?? 0;
-    findings.check('configurations never go back', probe.version >= known, () => {
-      return `${incarnation} answered by ${probe.version} after ${known}`;
+    const newestVersion = newest.get(incarnation) ?? 0;
+    findings.check('configurations never go back', probe.version >= newestVersion, () => {
+      return `${incarnation} applied version ${probe.version} after ${newestVersion}`;
     });
-    newest.set(incarnation, Math.max(known, probe.version));
+    newest.set(incarnation, Math.max(newestVersion, probe.version));
   }
 }
--- a/packages/lab/src/soak/common/soakEvidence.ts
+++ b/packages/lab/src/soak/common/soakEvidence.ts
@@ -1,23 +1,23 @@
-/** All that a soak has seen, for its checks. */
+/** The evidence that a soak records for its checks. */
 import type { DisturbanceLog } from './disturbanceLog.js';
 import type { SoakLedger } from './soakLedger.js';
 
-/** A target that the store no longer names as one to use. */
+/** A period in which the store does not list a target as usable. */
 export interface IDrain {
   readonly target: string;
   readonly acceptedMs: number;
-  /** When it was named again; undefined while it is not. */
+  /** When it was listed as usable again; undefined until then. */
   endMs?: number;
 }
 
-/** A node that was asked to stop. */
+/** A node that was requested to stop. */
 export interface IPlannedStop {
   readonly node: string;
   readonly incarnation: number;
   readonly requestedMs: number;
 }
 
-/** A probe of the configuration that a node has in force. */
+/** A probe of the configuration that a node has applied. */
 export interface IVersionProbe {
   readonly node: string;
   readonly incarnation: number;
@@ -32,13 +32,13 @@
   readonly acceptedMs: number;
 }
 
-/** A target that crashed under a request. */
+/** A crash of a target, caused by a request. */
 export interface ISoakCrash {
   readonly path: string;
   readonly atMs: number;
 }
 
-/** All that a run has seen. */
+/** The evidence of one run. */
 export interface ISoakEvidence {
   readonly ledger: SoakLedger;
   readonly disturbances: DisturbanceLog;
--- a/packages/lab/src/soak/common/soakFaultKind.ts
+++ b/packages/lab/src/soak/common/soakFaultKind.ts
@@ -1,4 +1,4 @@
-/** Kinds of fault that the soak injects. */
+/** Kinds of faults that the soak injects. */
 export const SoakFaultKind = {
   NodeKill: 'node-kill',
   NodePause: 'node-pause',
@@ -15,17 +15,17 @@
   TargetReuse: 'target-reuse',
   /** A target crashes and starts again under its identifier, at another address. */
   TargetRestart: 'target-restart-same-id',
-  /** Another writer spoils a target's entry. */
+  /** Another writer overwrites a target's entry. */
   ForeignEntry: 'foreign-entry',
   ConfigChange: 'config-change',
   ConfigStorm: 'config-storm',
   /** A caller repeats a request that crashes the targets that run it. */
   CrashingRequest: 'crashing-request',
-  /** A target says in its answers that it leaves, and its entry does not. */
+  /** A target announces in its responses that it is draining, while its entry is unchanged. */
   TargetTellsDrain: 'target-tells-drain',
-  /** A target names in its answers how many requests a second it takes. */
+  /** A target advertises in its responses a limit of requests per second. */
   TargetNamesLimit: 'target-names-limit',
-  /** The store comes back from an older copy; what others wrote since is written again. */
+  /** The store is restored from an older copy; writers repeat what they wrote since. */
   StoreRestore: 'store-restore',
 } as const;
 
@@ -34,19 +34,19 @@
 export const SOAK_FAULT_KINDS: readonly SoakFaultKind[] = Object.values(SoakFaultKind);
 
 /**
- * Kinds that schedules were drawn from when earlier seeds failed: a kind more would make other schedules
- * of the same seeds.
+ * Older selections of kinds, to replay seeds that failed with them: the schedule of a seed depends on the
+ * kinds to choose from. This one lacks the two newest kinds.
  */
 export const THIRD_FAULT_KINDS: readonly SoakFaultKind[] = SOAK_FAULT_KINDS.filter((kind) => {
   return kind !== SoakFaultKind.TargetNamesLimit && kind !== SoakFaultKind.StoreRestore;
 });
 
-/** The same, before there were those. */
+/** The selection before {@link THIRD_FAULT_KINDS}. */
 export const SECOND_FAULT_KINDS: readonly SoakFaultKind[] = THIRD_FAULT_KINDS.filter((kind) => {
   return kind !== SoakFaultKind.CrashingRequest && kind !== SoakFaultKind.TargetTellsDrain;
 });
 
-/** The same for the regression seeds. */
+/** The oldest selection, which the regression seeds use. */
 export const FIRST_FAULT_KINDS: readonly SoakFaultKind[] = SECOND_FAULT_KINDS.filter((kind) => {
   return kind !== SoakFaultKind.TargetRestart && kind !== SoakFaultKind.ForeignEntry;
 });
--- a/packages/lab/src/soak/common/soakLayout.ts
+++ b/packages/lab/src/soak/common/soakLayout.ts
@@ -1,4 +1,4 @@
-/** The deployment that the soak runs: services, routes, and what they allow. */
+/** The deployment that the soak runs: services, routes and their limits. */
 import type { IMetadataRoute } from '@parsleymux/standins';
 import { makeConfigText } from '@parsleymux/standins';
 
@@ -9,14 +9,14 @@
 export const SOAK_FAILURE_DOMAINS = ['north', 'south', 'west'] as const;
 export const BOOKING_PREFIX = '/bookings/';
 export const LISTING_PREFIX = '/lists/';
-/** Listings below it crash the targets that run them. */
+/** Requests with this path prefix crash the targets that run them. */
 export const CRASH_PREFIX = `${LISTING_PREFIX}crash-`;
-/** Targets that one request may be sent to, at most. */
+/** Maximum number of targets that one request may be sent to. */
 export const MAX_ATTEMPTS = 2;
-/** Longest that a request may take, in s. */
+/** Timeout of every route, in s. */
 export const ROUTE_TIMEOUT_S = 2;
 
-/** Bounds of the deployment, with the names that the settings file gives them. */
+/** Bounds of the deployment, with their names in the settings file. */
 export const SOAK_BOUNDS = {
   drain_s: 2,
   grace_s: 6,
@@ -28,15 +28,15 @@
 } as const;
 
 /**
- * Only the configuration of this version has this prefix, so that one request tells whether a node
- * has it in force.
+ * Formats a path prefix that only the configuration of this version has, so that one request shows whether
+ * a node has applied it.
  */
 export function formatVersionPrefix(version: number): string {
   return `/at-${version}/`;
 }
 
 /**
- * The configuration of one version.
+ * Builds the configuration of one version.
  *
  * @example
  * store.put('op', 'config', makeSoakConfig(4));
--- a/packages/lab/src/soak/common/soakLedger.ts
+++ b/packages/lab/src/soak/common/soakLedger.ts
@@ -1,6 +1,6 @@
-/** What callers sent and got, and what targets ran: the outside view of one run. */
+/** Records what callers sent and received and what targets ran in one run. */
 
-/** Kinds of request that the soak's callers send. */
+/** Kinds of requests that the soak's callers send. */
 export type SoakRequestKind = 'booking' | 'list' | 'probe' | 'crash';
 
 /** One request of a caller. */
@@ -10,35 +10,35 @@
   readonly method: string;
   readonly path: string;
   readonly body: string;
-  /** Name of the node that took it. */
+  /** Name of the node that it was sent to. */
   readonly node: string;
-  /** Number of the node's process, counted from its first start. */
+  /** Number of the node's process, starting at 1. */
   readonly incarnation: number;
   readonly sentMs: number;
 }
 
-/** What came back. */
+/** What the caller received. */
 export interface ISoakReply {
-  /** Undefined when the connection ended without a whole answer. */
+  /** Undefined when the connection ended without a complete response. */
   readonly status: number | undefined;
   readonly body: string;
   readonly stamp: string | undefined;
   readonly retryAfter: string | undefined;
   readonly endMs: number;
-  /** The caller closed its connection itself. */
+  /** Whether the caller closed its connection before it had a response. */
   readonly hasDisconnected: boolean;
-  /** The node closed the connection without having read the request, as far as a caller can tell. */
+  /** Whether the node may have closed the connection without having read the request. */
   readonly isUnread: boolean;
 }
 
-/** A limit of requests that a target names for a while. */
+/** A rate limit that a target advertises for a while. */
 export interface IAdvertisedLimit {
   readonly ratePerS: number;
-  /** When it began to name it, in ms of the run. */
+  /** When it began to advertise the limit, in ms of the run. */
   readonly sinceMs: number;
 }
 
-/** One arrival at a target. */
+/** One arrival of a request at a target. */
 export interface ISoakArrival {
   readonly id: string;
   readonly target: string;
@@ -47,25 +47,25 @@
   readonly path: string;
   readonly body: string;
   readonly atMs: number;
-  /** False when the target refused it. */
+  /** False when the target rejected the request without running it. */
   readonly hasRun: boolean;
-  /** Status that the target answered with, or would have. */
+  /** Status of the target's response, even if the response was not sent. */
   readonly status: number;
-  /** Whether the answer says that the target leaves. */
+  /** Whether the response announces that the target is draining. */
   readonly isAnnouncingDrain: boolean;
-  /** The limit that the target named then. */
+  /** The limit that the target advertised at the time. */
   readonly limit?: IAdvertisedLimit | undefined;
-  /** When the target started, in ms of Unix time: it may start again under its identifier. */
+  /** Start time of the target, in ms of Unix time; differs when it restarts under the same identifier. */
   readonly bornMs: number;
 }
 
-/** An arrival with the end of its work. */
+/** An arrival with the end of the target's work on it. */
 export interface ISoakWork extends ISoakArrival {
-  /** Undefined while the target works on it, for ever if it hangs. */
+  /** Undefined until the target's work has ended; permanently if it hangs. */
   readonly workEndMs: number | undefined;
 }
 
-/** A request with all that is known of it. */
+/** A request with its reply and its arrivals at targets. */
 export interface ISoakRequestRecord {
   readonly request: ISoakRequest;
   readonly reply: ISoakReply | undefined;
@@ -73,7 +73,7 @@
 }
 
 /**
- * Collects both sides.
+ * Collects the records of callers and targets.
  *
  * @example
  * ledger.recordRequest(request);
@@ -92,7 +92,7 @@
     this.replies.set(id, reply);
   }
 
-  /** The result is to be called when the target's work on it has ended. */
+  /** Records an arrival. Call the result when the target's work on it has ended. */
   recordArrival(arrival: ISoakArrival): (endMs: number) => void {
     const index = this.arrivals.push({ ...arrival, workEndMs: undefined }) - 1;
     return (workEndMs) => {
@@ -103,9 +103,9 @@
   listRequestRecords(): readonly ISoakRequestRecord[] {
     const byId = new Map<string, ISoakWork[]>();
     for (const arrival of this.arrivals) {
-      const known = byId.get(arrival.id);
-      if (known === undefined) byId.set(arrival.id, [arrival]);
-      else known.push(arrival);
+      const list = byId.get(arrival.id);
+      if (list === undefined) byId.set(arrival.id, [arrival]);
+      else list.push(arrival);
     }
     return [...this.requests.values()].map((request) => ({
       request,
@@ -114,7 +114,7 @@
     }));
   }
 
-  /** Arrivals of requests that no caller sent. */
+  /** Lists arrivals of requests that no caller sent. */
   listUnsolicited(): readonly ISoakArrival[] {
     return this.arrivals.filter(({ id }) => !this.requests.has(id));
   }
--- a/packages/lab/src/soak/node/main.ts
+++ b/packages/lab/src/soak/node/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- --seed N --seconds S`: nodes of the users' platform as processes, with faults
- * from outside, against the promises of the users' pages. Exits 1 on any violation.
+ * `npm run soak -- --seed N --seconds S`: runs nodes for the users' platform as processes, injects
+ * faults from outside and checks the guarantees of the users' documentation. Exits 1 on any violation.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -19,12 +19,12 @@
 import { runSoak } from './soakRun.js';
 
 const BREAKS = new URL('../breaks/node/', import.meta.url);
-/** The break that is not inside the nodes. */
+/** The break that acts in the targets instead of the nodes. */
 const LAX_TARGETS = 'laxTargets';
 const USAGE = `npm run soak -- [--seed N] [--runs COUNT] [--seconds S] [--spacing MS] [--nodes COUNT]
   [--targets COUNT] [--only KIND,KIND] [--break NAME] [--logs DIRECTORY] [--regressions] [--second] [--third]
---third: without the kinds that came last, for seeds that failed before there were these; --second: without
-those before them either
+--third: without the newest fault kinds, to replay seeds that failed before these were added; --second: also
+without the kinds added before those
 kinds: ${SOAK_FAULT_KINDS.join(', ')}
 breaks: ${[LAX_TARGETS, ...listBreakModules(BREAKS)].join(', ')}`;
 
@@ -68,8 +68,8 @@
 }
 
 async function runSeed(seed: number, seconds: number): Promise<boolean> {
-  const known = getKinds();
-  const kinds = parseFaultKinds(values.only, known);
+  const allKinds = getKinds();
+  const kinds = parseFaultKinds(values.only, allKinds);
   const schedule = makeSchedule({ seed, seconds, spacingMs: Number(values.spacing), kinds });
   console.log(`\nseed ${seed}, ${seconds} s, ${schedule.length} faults`);
   const { findings, requests, served } = await runSoak({
@@ -84,8 +84,8 @@
     },
     ...makeBreakOptions(values.break),
   });
-  const verdict = findings.hasViolations() ? 'VIOLATIONS' : 'no violations';
-  console.log(`seed ${seed}: ${requests} requests, ${served} served, ${verdict}`);
+  const result = findings.hasViolations() ? 'VIOLATIONS' : 'no violations';
+  console.log(`seed ${seed}: ${requests} requests, ${served} served, ${result}`);
   return !findings.hasViolations();
 }
 
--- a/packages/lab/src/soak/node/soak.test.ts
+++ b/packages/lab/src/soak/node/soak.test.ts
@@ -8,7 +8,7 @@
 const BREAKS = new URL('../breaks/node/', import.meta.url);
 const SECONDS = 8;
 
-/** Checks that hold on a computer of any speed; those with a bound of time are run by hand. */
+/** Makes a run with the checks that hold on a machine of any speed, without those with time bounds. */
 async function listViolations(seed: number): Promise<readonly string[]> {
   const schedule = makeSchedule({
     seed,
@@ -30,13 +30,13 @@
     .map(({ name, details }) => `${name}: ${details.join('; ')}`);
 }
 
-test('a short run under faults keeps every promise', async () => {
+test('a short run under faults violates no guarantee', async () => {
   assert.deepEqual(await listViolations(1), []);
 });
 
-test('every break still finds what it turns off', async () => {
-  // Symptom: a run that should fail passes. Sequence: a method of the product is renamed, and the
-  // break that replaces it finds nothing to replace. Cause: breaks reach into the product by name.
+test('every break finds the method that it replaces', async () => {
+  // Breaks name the methods that they replace in strings. If a method is renamed without its break, a
+  // run that should fail passes.
   const names = listBreakModules(BREAKS);
   assert.ok(names.length >= 9);
   for (const name of names) await import(formatBreakModule(name, BREAKS));
--- a/packages/lab/src/soak/node/soakCaller.ts
+++ b/packages/lab/src/soak/node/soakCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that keeps its connection to a node for as long as the node keeps it. */
+/** A caller that reuses its connection to a node for as long as the node keeps it open. */
 import type { IncomingMessage } from 'node:http';
 import { Agent, request as openRequest } from 'node:http';
 import type { Socket } from 'node:net';
@@ -12,14 +12,14 @@
 import type { ISoakReply, ISoakRequest, SoakLedger } from '../common/soakLedger.js';
 import type { SoakNode } from './soakNode.js';
 
-/** The caller's deadline, in ms: beyond the route's timeout, which has to end the request. */
+/** The caller's deadline, in ms; longer than the route's timeout, which must end the request first. */
 const CALLER_TIMEOUT_MS = 4000;
-/** After this nothing is waited for any more, in ms. */
+/** Longest that the caller waits for a response, in ms. */
 const REPLY_TIMEOUT_MS = 8000;
 const BOOKING_SHARE = 0.6;
-/** Share of the callers that leave before they have an answer. */
+/** Share of the requests whose caller disconnects before it has a response. */
 const DISCONNECT_SHARE = 0.06;
-/** Callers that leave do so within this time, in ms: most requests take less. */
+/** Longest time until such a caller disconnects, in ms; most requests take less. */
 const MAX_DISCONNECT_DELAY_MS = 150;
 
 /** Options of a {@link SoakCaller}. */
@@ -27,13 +27,13 @@
   readonly name: string;
   readonly random: RandomSource;
   readonly ledger: SoakLedger;
-  /** A node that takes new connections; undefined when none does. */
+  /** Picks a node that accepts new connections; undefined when none does. */
   readonly pickNode: () => SoakNode | undefined;
-  /** Mean pause between an answer and the next request, in ms. */
+  /** Mean pause between a response and the next request, in ms. */
   readonly pauseMs: number;
 }
 
-/** Sends one request after the other until it is stopped. */
+/** Sends one request at a time until it is stopped. */
 export class SoakCaller {
   private agent = new Agent({ keepAlive: true, maxSockets: 1 });
   private node: SoakNode | undefined;
@@ -51,7 +51,7 @@
     this.agent.destroy();
   }
 
-  /** Stays with the node while the connection is open, whatever the node says of itself. */
+  /** Keeps using the node while the connection is open, even when the node is no longer ready. */
   private chooseNode(): SoakNode | undefined {
     const isOpen = Object.keys(this.agent.freeSockets).length > 0;
     if (!isOpen) {
@@ -85,7 +85,7 @@
   }
 }
 
-/** Asks a node whether it has a version in force; undefined when it does not answer that. */
+/** Checks whether a node has applied a version; undefined when its response does not show that. */
 export async function probeVersion(
   node: SoakNode,
   version: number,
@@ -108,11 +108,11 @@
   ledger.recordReply(id, reply);
   if (reply.status === undefined) return undefined;
   if (reply.status === 404) return false;
-  // A refusal of a node that knows no configuration yet says nothing of any version.
+  // A node that has no configuration yet rejects the request, which shows nothing about any version.
   return reply.stamp === undefined ? undefined : true;
 }
 
-/** Sends one copy of a request that crashes the targets that run it. */
+/** Sends one copy of a request that crashes every target that runs it. */
 export async function sendCrashingRequest(
   node: SoakNode,
   path: string,
@@ -142,7 +142,7 @@
   readonly disconnectAfterMs: number;
 }
 
-/** Never rejects: every way to end is a reply. */
+/** Never rejects: a failed connection is recorded as a reply without a status. */
 function sendRequest(
   address: string,
   sent: ISoakRequest,
@@ -186,11 +186,11 @@
       },
       Math.min(disconnectAfterMs, REPLY_TIMEOUT_MS),
     );
-    outgoing.once('socket', (taken) => {
-      socket = taken;
+    outgoing.once('socket', (assigned) => {
+      socket = assigned;
     });
     outgoing.once('error', () => {
-      // On a reused connection the node may have closed it before it read anything.
+      // The node may have closed a reused connection before it read anything.
       end({ isUnread: outgoing.reusedSocket || socket?.bytesWritten === 0 });
     });
     outgoing.once('response', (response) => {
@@ -205,7 +205,7 @@
   try {
     for await (const chunk of response) chunks.push(chunk as Buffer);
   } catch {
-    // Broken off in the middle: no whole answer, which is a way to end like others.
+    // The body is truncated: recorded as a reply without a status.
     return { isUnread: false };
   }
   const { headers, statusCode } = response;
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -1,4 +1,4 @@
-/** Brings the soak's faults about, and ends them. */
+/** Injects the faults of the soak and ends them. */
 import { FOREIGN_TARGET_TEXTS, MetadataFault } from '@parsleymux/standins';
 import type { IFaultStep } from '../../prove/common/faultSchedule.js';
 import type { EndFault, Injection } from '../../prove/node/faultInjector.js';
@@ -13,26 +13,28 @@
 import type { SoakWorld } from './soakWorld.js';
 
 const MS_PER_S = 1000;
-/** Fewer usable nodes or targets of a service than this are left alone. */
+/** Faults of nodes and targets are skipped unless more than this many are usable. */
 const MIN_NODES = 2;
 const MIN_TARGETS = 2;
-/** Longest delay of a link in one direction, in ms. */
+/** Longest delay of a link, in ms. */
 const MAX_DELAY_MS = 400;
 const STORM_PAUSE_MS = 150;
 /** Pause between two copies of a request that crashes targets, in ms. */
 const CRASHING_PAUSE_MS = 250;
-/** A process that was killed is started again after this, in ms. */
+/** Time until a process that was terminated is started again, in ms. */
 const RESTART_DELAY_MS = 300;
-/** An address goes to another target this long after the former one's entry went, in ms. */
+/** Time between the removal of a target's entry and the reuse of its address, in ms. */
 const REUSE_DELAY_MS = 1500;
-/** A leaving target serves a little longer than nodes may send to it, in ms. */
+/** Time that a draining target serves, in ms; a little longer than nodes may send to it. */
 const DRAINING_MS = SOAK_BOUNDS.drain_s * MS_PER_S + 1000;
 
-/** The store is away for this long before it comes back older, in ms; then others write again. */
+/** How long the store is unavailable before it is restored from an older copy, in ms. */
 const STORE_OUTAGE_MS = 400;
+/** Time until other writers repeat the writes that the restored store has lost, in ms. */
 const REWRITE_DELAY_MS = 600;
+/** Rounds of writes that the store loses by the restore. */
 const LOST_WRITES = 10;
-/** A target names a limit for this long, in ms, and how many requests a second it may be. */
+/** How long a target advertises a limit, in ms, and the range of the limit in requests per second. */
 const LIMIT_MS = 9000;
 const MIN_LIMIT_PER_S = 0.5;
 const LIMIT_RANGE_PER_S = 2;
@@ -43,7 +45,7 @@
   return fault !== MetadataFault.None;
 });
 
-/** Injects a step; the result ends it. */
+/** Injects the fault of a step; the result ends it. */
 export function startSoakFault(step: Step, world: SoakWorld): Promise<Injection> {
   switch (step.kind) {
     case SoakFaultKind.NodeKill:
@@ -167,7 +169,7 @@
 
 async function startReload(node: SoakNode, step: Step, world: SoakWorld): Promise<Injection> {
   if (!node.isReloadCaught()) return 'skipped';
-  // Fewer repeats than the deployment allows: the checks know only the greater number.
+  // Below the deployment's limit, which the checks use.
   const retryBurst = Math.floor(SOAK_BOUNDS.retry_burst * step.size);
   await node.writeSettings(world.listSeeds(), false, { retryBurst });
   node.sendSignal('SIGHUP');
@@ -195,11 +197,11 @@
   };
 }
 
-/** The copy is as old as the step is long. */
+/** Restores the store from a copy taken at the start of the step, so its age is the step's duration. */
 function startStoreRestore(world: SoakWorld): Injection {
   if (world.store.fault !== MetadataFault.None) return 'skipped';
   const copy = world.store.rows.copy();
-  // What the store loses moves its versions, as the entries of many targets do that report again and again.
+  // The lost writes advance the store's versions, as targets do that renew their entries.
   for (let count = 0; count < LOST_WRITES; count += 1) world.writeTargets();
   return async () => {
     const endDisturbance = markDisturbed(STORE_SCOPE, world);
@@ -220,8 +222,8 @@
   world: SoakWorld,
 ): Promise<EndFault> {
   const endDisturbance = markDisturbed(scope, world);
-  const ways = ['forward', 'backward', 'both', 'delay', 'reset', 'silent', 'refuse'] as const;
-  switch (pickElement(ways, step.pick)) {
+  const kinds = ['forward', 'backward', 'both', 'delay', 'reset', 'silent', 'refuse'] as const;
+  switch (pickElement(kinds, step.pick)) {
     case 'forward':
       await link.setFaults({ cutForward: true });
       break;
@@ -268,12 +270,12 @@
 async function startDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
   await world.openTarget(target.options.service);
   world.retireTarget(target);
-  const leave = async () => {
+  const shutDown = async () => {
     world.removeTarget(target);
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), DRAINING_MS);
+  setTimeout(() => void shutDown(), DRAINING_MS);
   return endNothing;
 }
 
@@ -316,12 +318,12 @@
   });
 }
 
-/** The caller goes on until the run ends: what is held back stays so. */
+/** Repeats the request until the step ends. Nodes must go on holding it back. */
 function startCrashingRequest(step: Step, world: SoakWorld): Injection {
   const path = `${CRASH_PREFIX}${step.pick}`;
   const timer = setInterval(() => {
     const node = pickElement(
-      world.nodes.filter((one) => one.isUsable()),
+      world.nodes.filter((candidate) => candidate.isUsable()),
       Math.floor(performance.now()),
     );
     if (node !== undefined) void sendCrashingRequest(node, path, world.ledger);
@@ -335,12 +337,12 @@
 async function startAnnouncedDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
   await world.openTarget(target.options.service);
   target.isAnnouncingDrain = true;
-  const leave = async () => {
+  const shutDown = async () => {
     world.removeTarget(target);
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), 2 * DRAINING_MS);
+  setTimeout(() => void shutDown(), 2 * DRAINING_MS);
   return endNothing;
 }
 
--- a/packages/lab/src/soak/node/soakNode.ts
+++ b/packages/lab/src/soak/node/soakNode.ts
@@ -1,4 +1,4 @@
-/** One VM of the soak: its addresses, its settings file, its way to the store, and its process. */
+/** One VM of the soak: its addresses, its settings file, its link to the store and its process. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { once } from 'node:events';
@@ -13,10 +13,13 @@
 import { Program } from '../../processes/node/programs.js';
 import { SOAK_BOUNDS, SOAK_FAILURE_DOMAINS } from '../common/soakLayout.js';
 
-/** Ports that a node may use besides those that callers know. */
+/** Number of ports in the node's `port_range`, besides the front and ready ports. */
 const PORT_RANGE_SIZE = 16;
 const READY_TIMEOUT_MS = 900;
-/** Hosts of one run begin here, within 127.0.0.0/8; the run's process id keeps two runs apart. */
+/**
+ * Last byte of the first node's address in 127.0.0.0/8. The bytes before it come from the run's process
+ * id, so that concurrent runs use different addresses.
+ */
 const FIRST_HOST = 11;
 const NETWORKS = 200;
 
@@ -26,24 +29,24 @@
   readonly fleet: ProcessFleet;
   readonly directory: string;
   readonly storeAddress: string;
-  /** Module that the node loads first, and that turns a mechanism off in it. */
+  /** Module that the node loads first and that disables a mechanism in it. */
   readonly breakModule: string | undefined;
-  /** Called when a process ends; `isRequested` tells whether the soak had ended it. */
+  /** Called when a process ends; `isRequested` is true when the soak had sent SIGTERM or SIGKILL. */
   readonly onDidEnd: (node: SoakNode, end: IProcessEnd, isRequested: boolean) => void;
 }
 
-/** How a settings file is to be written. */
+/** Changes to a settings file. */
 export interface ISettingsChange {
   readonly retryBurst?: number;
-  /** Write only half of the text. */
+  /** Whether only the beginning of the text is written. */
   readonly isBroken?: boolean;
 }
 
-/** A VM; its process may end and start again at the same addresses. */
+/** A VM whose process may end and start again at the same addresses. */
 export class SoakNode implements IDisposable {
   readonly name: string;
   readonly host: string;
-  /** Processes started so far. */
+  /** Number of processes started so far. */
   incarnation = 0;
   private child: ManagedProcess | undefined;
   private readonly previousLines: string[] = [];
@@ -71,12 +74,12 @@
     return this.child?.isRunning() === true;
   }
 
-  /** Whether it runs, is not stopped by a signal and was not asked to end. */
+  /** Whether it runs, is not stopped by SIGSTOP and was not requested to end. */
   isUsable(): boolean {
     return this.isRunning() && this.child?.isStopped() !== true && !this.isEndRequested;
   }
 
-  /** Whether SIGHUP would be handled: the runtime itself takes some time until it can be. */
+  /** Whether SIGHUP is handled; the process can install its handler only some time after its start. */
   isReloadCaught(): boolean {
     return this.isRunning() && isReloadCaught(this.child?.pid ?? -1);
   }
@@ -88,10 +91,10 @@
     await this.storeLink.start();
   }
 
-  /** Starts the process; it is not yet ready. */
+  /** Starts the process; it may not be ready on return. */
   async start(seeds: readonly SoakNode[], isFirstStart: boolean): Promise<void> {
-    // The end of a fault and the end of a run may both bring a node back; two processes of one node
-    // would fight for its addresses, and one of them would end.
+    // The end of a fault and the end of a run may both start the node. A second process of the same
+    // node would fail because its addresses are in use.
     if (this.isStarting) return;
     this.isStarting = true;
     try {
@@ -119,7 +122,7 @@
     });
   }
 
-  /** Sends a signal; SIGTERM and SIGKILL count as asked. */
+  /** Sends a signal; an end after SIGTERM or SIGKILL counts as requested. */
   sendSignal(signal: NodeJS.Signals): void {
     if (signal === 'SIGTERM' || signal === 'SIGKILL') this.isEndRequested = true;
     this.child?.sendSignal(signal);
@@ -129,7 +132,7 @@
     return this.child?.waitForEnd() ?? Promise.resolve(undefined);
   }
 
-  /** What all its processes wrote, oldest first. */
+  /** Returns the output of all its processes, oldest first. */
   getLogLines(): readonly string[] {
     return [...this.previousLines, ...this.getCurrentLines()];
   }
@@ -138,11 +141,11 @@
     if (!this.isRunning()) return false;
     try {
       const url = `http://${this.host}:${this.ports[1] ?? 0}/readyz`;
-      const answer = await request(url, { signal: AbortSignal.timeout(READY_TIMEOUT_MS) });
-      await answer.body.dump();
-      return answer.statusCode === 200;
+      const response = await request(url, { signal: AbortSignal.timeout(READY_TIMEOUT_MS) });
+      await response.body.dump();
+      return response.statusCode === 200;
     } catch {
-      // Refused or silent: not ready, which is all that the balancer wants to know.
+      // Connection refused or timed out: not ready.
       return false;
     }
   }
@@ -190,7 +193,10 @@
   }
 }
 
-/** The last one begins a range of free ports: nothing else listens on a host of the run's own. */
+/**
+ * Lists free ports of a host. The last one begins a range of free ports, since nothing but this run uses the
+ * host.
+ */
 async function listFreePorts(host: string, count: number): Promise<readonly number[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, host));
   await Promise.all(servers.map((server) => once(server, 'listening')));
--- a/packages/lab/src/soak/node/soakRun.ts
+++ b/packages/lab/src/soak/node/soakRun.ts
@@ -1,4 +1,4 @@
-/** One soak from start to verdict. */
+/** Runs one soak from start to result. */
 import { DisposableStore, SeededRandom } from '@parsleymux/base';
 import { disposeOnInterrupt } from '../../processes/node/interrupt.js';
 import type { IFaultStep } from '../../prove/common/faultSchedule.js';
@@ -16,32 +16,32 @@
 import type { ISoakWorldOptions } from './soakWorld.js';
 import { SoakWorld } from './soakWorld.js';
 
-/** After the last fault the fleet may still suffer from it for this long, in ms. */
+/** Time in which the fleet may still be affected by the last faults, in ms. */
 const RECOVERY_MS = 6000;
-/** Then it is watched for this long, in ms. */
+/** Time after recovery in which requests must be served, in ms. */
 const WATCH_MS = 3000;
-/** Late work of targets comes to its end, in ms. */
+/** Time for targets to finish their remaining work, in ms. */
 const REST_MS = 2500;
 const READY_POLL_MS = 500;
 const PROBE_INTERVAL_MS = 250;
 const CALLERS_PER_NODE = 8;
 const PAUSE_MS = 150;
-/** Share of the requests that has to be served when nothing is wrong any more. */
+/** Minimum share of requests that is served after recovery. */
 const MIN_RECOVERED_SHARE = 0.95;
-/** The callers' random numbers are apart from those of the world. */
+/** Multiplies the seed, so that the callers' random numbers differ from those of the world. */
 const CALLER_SEED_FACTOR = 1000;
 
 /** Options of {@link runSoak}. */
 export interface ISoakOptions extends ISoakWorldOptions {
   readonly seconds: number;
   readonly schedule: readonly IFaultStep<SoakFaultKind>[];
-  /** Check bounds of time too; a computer that is busy with other work breaks them by itself. */
+  /** Whether bounds of time are checked too; a machine that is busy with other work violates them. */
   readonly isCheckingBounds: boolean;
-  /** Called when a check fails, with the logs of all nodes. */
+  /** Called with the logs of all nodes when a check fails. */
   readonly storeLogs?: (logs: ReadonlyMap<string, readonly string[]>) => void;
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface ISoakResult {
   readonly findings: Findings;
   readonly requests: number;
@@ -49,7 +49,7 @@
 }
 
 /**
- * Runs, prints a report, and returns what was found.
+ * Runs a soak, prints a report and returns the findings.
  *
  * @example
  * const { findings } = await runSoak(options);
@@ -140,7 +140,7 @@
   });
 }
 
-/** Each node by itself: waiting for a paused one must not keep the others' state stale. */
+/** Polls nodes independently, so that a paused one does not delay the state of the others. */
 function pollReady(world: SoakWorld, ready: Set<SoakNode>): void {
   for (const node of world.nodes) {
     void node.isReady().then((isReady) => {
@@ -150,7 +150,7 @@
   }
 }
 
-/** Asks every node for the newest version and for the one before it. */
+/** Probes every node for the newest version and for the one before it. */
 function probeNodes(world: SoakWorld, ready: ReadonlySet<SoakNode>, probes: IVersionProbe[]): void {
   const newest = world.versions[world.versions.length - 1]?.version ?? 1;
   for (const node of ready) {
--- a/packages/lab/src/soak/node/soakTarget.ts
+++ b/packages/lab/src/soak/node/soakTarget.ts
@@ -1,4 +1,4 @@
-/** A target on loopback that speaks the users' published protocol and misbehaves on demand. */
+/** A target on loopback that implements the users' published protocol and injects failures on request. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { IDisposable, RandomSource } from '@parsleymux/base';
 import { FaultyLink, LoopbackServer } from '@parsleymux/standins';
@@ -6,25 +6,25 @@
 import { formatResponseBody } from '../common/requestText.js';
 import type { IAdvertisedLimit, ISoakArrival } from '../common/soakLedger.js';
 
-/** What a target does wrong with part of its requests. */
+/** How a target handles the affected share of its requests. */
 export const TargetMode = {
   Healthy: 'well',
-  /** Runs the request and answers 500. */
+  /** Runs the request and responds with 500. */
   Failing: 'failing',
-  /** Runs the request and never answers. */
+  /** Runs the request and never responds. */
   Hanging: 'hanging',
   /** Runs the request and resets the connection. */
   Resetting: 'resetting',
-  /** Runs the request and breaks its answer off in the middle. */
+  /** Runs the request and closes the connection in the middle of the response. */
   Truncating: 'truncating',
-  /** Answers, and sends a second answer behind. */
+  /** Sends the response twice on the same connection. */
   Doubling: 'doubling',
-  /** Answers without a length, and resets the connection in the middle. */
+  /** Responds without a content-length and resets the connection in the middle of the body. */
   Unframed: 'unframed',
-  /** Says that it is full, truthfully. */
+  /** Rejects the request as not run, without running it. */
   Shedding: 'shedding',
   Slow: 'slow',
-  /** Resets idle connections when the next request arrives on them. */
+  /** Resets a connection that was idle when the next request arrives on it. */
   ResettingIdle: 'forgetful',
 } as const;
 
@@ -38,7 +38,7 @@
 const MISDIRECTED = 421;
 const MEAN_WORK_MS = 60;
 const SLOW_FACTOR = 8;
-/** A connection that was idle for longer is forgotten, in ms. */
+/** Idle time of a connection after which {@link TargetMode.ResettingIdle} resets it, in ms. */
 const MAX_IDLE_MS = 100;
 
 /** Options of a {@link SoakTarget}. */
@@ -47,32 +47,32 @@
   readonly service: string;
   readonly slots: number;
   readonly random: RandomSource;
-  /** The result is called when the work on it has ended. */
+  /** Records an arrival. The target calls the returned function when its work on the request has ended. */
   readonly recordArrival: (arrival: ISoakArrival) => (endMs: number) => void;
-  /** Turned off, it runs what is meant for another target. */
+  /** Whether it rejects requests that are addressed to another target. */
   readonly isStrict: boolean;
-  /** When it started, in ms of Unix time. */
+  /** Start time in ms of Unix time. */
   readonly bornMs: number;
-  /** A request that crashes it has run. */
+  /** Called after it has run a request that crashes it. */
   readonly onCrash: (target: SoakTarget, path: string) => void;
-  /** What a former target left at its address. Default: an address of its own. */
+  /** Endpoint of a former target to reuse. Default: a new one. */
   readonly endpoint?: ITargetEndpoint;
 }
 
-/** Where a target listens. */
+/** The link and the port that a target listens on. */
 export interface ITargetEndpoint {
   readonly link: FaultyLink;
   readonly port: number;
 }
 
-/** One incarnation. */
+/** One incarnation of a target. */
 export class SoakTarget implements IDisposable {
   mode: TargetMode = TargetMode.Healthy;
-  /** Share of the requests that the mode touches, from 0 to 1. */
+  /** Share of the requests that the mode affects, from 0 to 1. */
   share = 1;
-  /** Whether its answers say that it leaves. */
+  /** Whether its responses announce that it is draining. */
   isAnnouncingDrain = false;
-  /** The limit that its answers name. */
+  /** The limit that its responses advertise. */
   limit: IAdvertisedLimit | undefined;
   private running = 0;
   private readonly idleSinceMs = new WeakMap<object, number>();
@@ -94,7 +94,7 @@
     await this.openedLink.start();
   }
 
-  /** Crashes, and leaves the address to another target. */
+  /** Closes the server as a crash would, and returns the endpoint for another target. */
   async releaseEndpoint(): Promise<ITargetEndpoint> {
     const port = Number(this.server.getAddress().split(':')[1]);
     await this.server.close();
@@ -114,13 +114,13 @@
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readText(request);
     const id = String(request.headers['request-id'] ?? '');
-    const isMeant = request.headers['expect-instance'] === this.options.id;
-    if (this.options.isStrict && !isMeant) {
+    const isAddressed = request.headers['expect-instance'] === this.options.id;
+    if (this.options.isStrict && !isAddressed) {
       this.refuse(request, response, { id, body, status: MISDIRECTED });
       return;
     }
-    const isTouched = this.options.random.getFloat() < this.share;
-    const mode = isTouched ? this.mode : TargetMode.Healthy;
+    const isAffected = this.options.random.getFloat() < this.share;
+    const mode = isAffected ? this.mode : TargetMode.Healthy;
     if (mode === TargetMode.ResettingIdle && this.isIdleTooLong(request)) {
       request.socket.resetAndDestroy();
       return;
@@ -168,16 +168,16 @@
   private sendResponse(
     request: IncomingMessage,
     response: ServerResponse,
-    answer: { readonly id: string; readonly status: number; readonly mode: TargetMode },
+    outcome: { readonly id: string; readonly status: number; readonly mode: TargetMode },
   ): void {
-    const { id, mode, status } = answer;
+    const { id, mode, status } = outcome;
     const text = formatResponseBody(id, this.options.id);
     const stamp = `${this.options.id}.${id}`;
-    const told = this.isAnnouncingDrain ? { 'server-leaving': '1' } : {};
+    const drainHeaders = this.isAnnouncingDrain ? { 'server-leaving': '1' } : {};
     const headers = {
       'request-id': id,
       'server-stamp': stamp,
-      ...told,
+      ...drainHeaders,
       ...this.listLimitHeaders(),
     };
     const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`);
@@ -200,8 +200,8 @@
         });
         return;
       case TargetMode.Doubling: {
-        const one = `${raw}content-length: ${text.length}\r\n\r\n${text}`;
-        request.socket.write(one + one);
+        const single = `${raw}content-length: ${text.length}\r\n\r\n${text}`;
+        request.socket.write(single + single);
         return;
       }
       default:
@@ -225,10 +225,10 @@
 
   private record(
     request: IncomingMessage,
-    seen: Pick<ISoakArrival, 'id' | 'body' | 'status' | 'hasRun'>,
+    received: Pick<ISoakArrival, 'id' | 'body' | 'status' | 'hasRun'>,
   ): (endMs: number) => void {
     return this.options.recordArrival({
-      ...seen,
+      ...received,
       target: this.options.id,
       service: this.options.service,
       method: request.method ?? '',
@@ -247,7 +247,7 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Ends sooner when the connection closes: work whose caller is gone is dropped. */
+/** Resolves early when the connection closes: work whose caller has disconnected is dropped. */
 function waitOrClose(request: IncomingMessage, delayMs: number): Promise<void> {
   return new Promise((resolve) => {
     const end = () => {
--- a/packages/lab/src/soak/node/soakWorld.ts
+++ b/packages/lab/src/soak/node/soakWorld.ts
@@ -1,4 +1,4 @@
-/** Store, targets and nodes of one run, and what the run has seen of them. */
+/** Store, targets and nodes of one run, and the evidence that is recorded about them. */
 import { rmSync } from 'node:fs';
 import { mkdtemp } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -25,13 +25,13 @@
 const TARGET_TABLE = 'servers';
 const SLOTS = 4;
 const MS_PER_S = 1000;
-/** The run's own end of processes: what is left then is killed. */
+/** Grace time of processes at the end of the run; those still running then are killed. */
 const GRACE_MS = SOAK_BOUNDS.grace_s * MS_PER_S;
 const READY_CHECK_MS = 50;
 const READY_LIMIT_MS = 60_000;
 const MAX_SEEDS = 3;
 
-/** A target that a request has crashed stays away for this long, in ms. */
+/** Time until a target that a request has crashed is replaced, in ms. */
 const REPLACEMENT_DELAY_MS = 2000;
 
 /** Options of a {@link SoakWorld}. */
@@ -39,13 +39,13 @@
   readonly seed: number;
   readonly nodeCount: number;
   readonly targetsPerService: number;
-  /** Module that nodes load first, and that turns a mechanism off in them. */
+  /** Module that nodes load first and that disables a mechanism in them. */
   readonly breakModule?: string;
-  /** Targets that run what is meant for others. Default false. */
+  /** Whether targets run requests that are addressed to other targets. Default false. */
   readonly hasLaxTargets?: boolean;
 }
 
-/** What faults act on. */
+/** The system under test of a soak, on which faults act. */
 export class SoakWorld implements IDisposable {
   readonly ledger = new SoakLedger();
   readonly disturbances = new DisturbanceLog();
@@ -59,7 +59,7 @@
   readonly targets: SoakTarget[] = [];
   private readonly fleet = new ProcessFleet({ graceMs: GRACE_MS, handleSignals: false });
   private readonly formerTargets: SoakTarget[] = [];
-  /** Targets that have written that they leave, and are still there. */
+  /** Targets whose entries say that they are draining and that still run. */
   private readonly draining = new Set<SoakTarget>();
   /** Identifiers of targets whose entries were removed. */
   private readonly removedIds = new Set<string>();
@@ -77,7 +77,7 @@
     return this.openedStore;
   }
 
-  /** Processes of nodes that run now. */
+  /** Number of running node processes. */
   get processCount(): number {
     return this.fleet.getRunning().length;
   }
@@ -104,12 +104,12 @@
     this.versions.push({ version, acceptedMs: performance.now() });
   }
 
-  /** Targets write their entries again. */
+  /** Writes the entries of all targets again. */
   writeTargets(): void {
     for (const target of this.targets) this.register(target, false);
   }
 
-  /** Operator and targets write again what a store has lost that came back older. */
+  /** Repeats the writes of operator and targets that a store restored from an older copy has lost. */
   restoreLostWrites(): void {
     const newest = this.versions[this.versions.length - 1];
     if (newest !== undefined) {
@@ -125,18 +125,18 @@
     for (const target of this.draining) this.register(target, true);
   }
 
-  /** Opens and registers a target, at a former one's endpoint or at its own. */
+  /** Opens and registers a target, at a former target's endpoint or at a new one. */
   async openTarget(service: string, endpoint?: ITargetEndpoint): Promise<void> {
     this.targetCount += 1;
     await this.openWithId(`${service}-${this.targetCount}`, service, endpoint);
   }
 
-  /** Starts a target that has crashed again under its identifier, at an address of its own. */
+  /** Starts a crashed target again under the same identifier, at a new address. */
   async startTargetAgain({ options: { id, service } }: SoakTarget): Promise<void> {
     await this.openWithId(id, service);
   }
 
-  /** Overwrites a target's entry as another writer might; the result makes it good again. */
+  /** Overwrites a target's entry as another writer might; the result restores the entry. */
   putForeignEntry(target: SoakTarget, text: string): () => void {
     const { id } = target.options;
     this.store.put(TARGET_TABLE, id, text);
@@ -164,7 +164,7 @@
     this.register(target, false);
   }
 
-  /** Writes that a target leaves; it goes on serving. */
+  /** Marks a target's entry as draining; the target continues to serve. */
   retireTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
     this.formerTargets.push(target);
@@ -173,13 +173,13 @@
     this.drains.push({ target: target.options.id, acceptedMs: performance.now() });
   }
 
-  /** Takes a target that has crashed from the list; its entry stays. */
+  /** Removes a crashed target from the list of targets; its entry stays. */
   releaseTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
     this.formerTargets.push(target);
   }
 
-  /** A request has crashed a target: it is back some seconds later, as another one. */
+  /** Ends a target that a request has crashed, and replaces it some seconds later by a new one. */
   private async handleTargetCrash(target: SoakTarget, path: string): Promise<void> {
     if (!this.targets.includes(target)) return;
     this.crashes.push({ path, atMs: performance.now() });
@@ -191,7 +191,7 @@
     await this.openTarget(target.options.service);
   }
 
-  /** Removes a target's entry. */
+  /** Removes a target and its entry. */
   removeTarget(target: SoakTarget): void {
     const index = this.targets.indexOf(target);
     if (index !== -1) this.targets.splice(index, 1);
@@ -210,14 +210,14 @@
     return this.nodes.slice(0, MAX_SEEDS);
   }
 
-  /** Ends every fault and brings every node back. */
+  /** Ends every fault, starts the nodes that have ended and waits until all are ready. */
   async clearFaults(): Promise<void> {
     this.store.fault = MetadataFault.None;
     const noFaults = { cutForward: false, cutBackward: false, refuse: false, delayMs: 0 };
     for (const target of this.targets) {
       target.mode = TargetMode.Healthy;
       await target.link.setFaults(noFaults);
-      // What a cut has swallowed never comes: such connections are dead, as after a real one.
+      // Data lost during a partition never arrives, so connections from before it are unusable.
       target.link.resetConnections();
     }
     for (const node of this.nodes) {
@@ -290,7 +290,7 @@
     if (!isDraining) this.endDrains(id);
   }
 
-  /** A target whose entry is good again is one to use, whatever its entry was before. */
+  /** Ends the drains of a target whose entry is valid and not draining again. */
   private endDrains(id: string): void {
     for (const drain of this.drains) {
       if (drain.target === id) drain.endMs ??= performance.now();
--- a/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
+++ b/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
@@ -12,7 +12,7 @@
 
 const SEED = 31;
 const PHASE_MS = 2500;
-/** Longest wait for targets to finish what callers no longer wait for. */
+/** Time for targets to finish work that callers no longer wait for, in ms. */
 const REST_MS = 500;
 
 async function sumCounter(world: LabWorld, name: string): Promise<number> {
@@ -29,11 +29,10 @@
   while (!hasAnswer() && world.getNodes().length > 0) await sleep(50);
 }
 
-test('cut answers and silent connections, over real nodes: every answer is whole or none', async (t) => {
-  // Symptom: a buyer gets half a cut list, a crew waits for a booking that no target ever saw.
-  // Sequence: targets cut three of ten answers; then every connection to the targets goes silent
-  // while new ones work. Cause: an end of a connection taken for the end of an answer, and silence
-  // of a connection taken for silence of its target.
+test('with truncated responses and silent connections every response is complete or absent', async (t) => {
+  // Targets truncate three of ten responses; then every existing connection to them stops delivering data
+  // while new ones work. Callers get truncated responses if the end of a connection counts as the end of a
+  // response, and requests stay unanswered if a silent connection counts as an unresponsive target.
   const store = new DisposableStore();
   t.after(() => store.dispose());
   const world = store.add(new LabWorld({ seed: SEED, nodeCount: 3 }));
