--- a/packages/ctl/src/explain/common/story.test.ts
+++ b/packages/ctl/src/explain/common/timeline.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { formatStory } from '../../output/common/storyText.js';
+import { formatTimeline } from '../../output/common/timelineText.js';
 import type { ILogLine } from './logLine.js';
 import { parseLogLine } from './logLine.js';
-import { findRequestStory, findTargetStory } from './story.js';
+import { findRequestTimeline, findTargetTimeline } from './timeline.js';
 
 function makeLine(second: number, node: string, message: string, fields: object): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, '0')}.000Z`;
@@ -26,20 +26,22 @@
   return line === undefined ? [] : [line];
 });
 
-test('a request is told with what was believed of its targets and had happened to its nodes', () => {
-  const story = findRequestStory(LINES, 'q1').map(({ message, node }) => `${node} ${message}`);
-  assert.deepEqual(story, [
+test('the timeline of a request includes health changes of its targets and events of its nodes', () => {
+  const timeline = findRequestTimeline(LINES, 'q1').map(
+    ({ message, node }) => `${node} ${message}`,
+  );
+  assert.deepEqual(timeline, [
     'n3 target trusted',
     'n1 store lost',
     'n1 targets changed',
     'n1 request',
     'n3 target doubted',
   ]);
-  assert.match(formatStory(findRequestStory(LINES, 'q1')), /attempt 1: target=t1 home=h/);
-  assert.deepEqual(findRequestStory(LINES, 'nobody'), []);
+  assert.match(formatTimeline(findRequestTimeline(LINES, 'q1')), /attempt 1: target=t1 home=h/);
+  assert.deepEqual(findRequestTimeline(LINES, 'nobody'), []);
 });
 
-test('a target is told with every change of belief and each failure there', () => {
-  const story = findTargetStory(LINES, 't1').map(({ message }) => message);
-  assert.deepEqual(story, ['target trusted', 'targets changed', 'request', 'target doubted']);
+test('the timeline of a target includes every health change and each failed attempt', () => {
+  const timeline = findTargetTimeline(LINES, 't1').map(({ message }) => message);
+  assert.deepEqual(timeline, ['target trusted', 'targets changed', 'request', 'target doubted']);
 });
--- a/packages/operators/src/access/common/accessControl.ts
+++ b/packages/operators/src/access/common/accessControl.ts
@@ -1,4 +1,4 @@
-/** Who asks, and whether they may. */
+/** Authenticates operators and authorizes their requests. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { AuditLog } from '../../audit/common/auditLog.js';
@@ -6,16 +6,16 @@
 import { compareSecrets, FLEET_MEMBER } from '../../keys/common/operatorKey.js';
 import { RateLimiter } from './rateLimiter.js';
 
-const LOOPBACK = /^(::ffff:)?127\.|^::1$/;
-const BEARER = /^Bearer ([\x21-\x7e]+)$/i;
-/** Wrong keys from one address: enough for typing errors, too few to load the store. */
+const LOOPBACK_ADDRESS = /^(::ffff:)?127\.|^::1$/;
+const BEARER_HEADER = /^Bearer ([\x21-\x7e]+)$/i;
+/** Limits of wrong keys from one address: enough for typing errors, too few to load the store. */
 const FAILURES_PER_SECOND = 0.5;
 const FAILURE_BURST = 20;
-/** Audited refusals of one key or address: a flood of them must not flood the store. */
+/** Limits of audited rejections of one key or address, so that a flood of them can't load the store. */
 const AUDITS_PER_SECOND = 0.1;
 const AUDIT_BURST = 10;
 
-/** An operator whose key was verified. */
+/** An authenticated operator. */
 export interface IOperator {
   readonly keyId: string;
   /** "@fleet" for operators of the fleet. */
@@ -23,11 +23,11 @@
   readonly isFleet: boolean;
 }
 
-/** Where a request comes from. */
+/** Properties of a request that decide on its access. */
 export interface IAccessRequest {
   readonly authorization: string | undefined;
   readonly remoteAddress: string;
-  /** What is wanted, for the audit log. */
+  /** Name of the requested operation, for the audit log. */
   readonly action: string;
 }
 
@@ -39,36 +39,40 @@
 }
 
 /**
- * Verifies keys, and keeps operators to their own member.
+ * Verifies keys, and restricts operators to their own member.
  *
  * @example
  * const operator = await access.verify(request, signal);
  * await access.checkMember(operator, 'dobrescu', 'intent.submit', signal);
  */
 export class AccessControl {
-  private readonly failures: RateLimiter;
-  private readonly audits: RateLimiter;
+  private readonly failureLimiter: RateLimiter;
+  private readonly auditLimiter: RateLimiter;
   private unauditedCount = 0;
 
   constructor(private readonly options: IAccessControlOptions) {
     const { clock } = options;
-    this.failures = new RateLimiter({
+    this.failureLimiter = new RateLimiter({
       clock,
       perSecond: FAILURES_PER_SECOND,
       burst: FAILURE_BURST,
     });
-    this.audits = new RateLimiter({ clock, perSecond: AUDITS_PER_SECOND, burst: AUDIT_BURST });
+    this.auditLimiter = new RateLimiter({
+      clock,
+      perSecond: AUDITS_PER_SECOND,
+      burst: AUDIT_BURST,
+    });
   }
 
-  /** Refusals that were left out of the audit log because too many came at once. */
+  /** Number of rejections missing from the audit log because they exceeded its rate limit. */
   getUnauditedCount(): number {
     return this.unauditedCount;
   }
 
-  /** The operator. Throws Unauthenticated, LimitExceeded, StoreUnavailable. */
+  /** Returns the operator of the request's key. Throws Unauthenticated, LimitExceeded, StoreUnavailable. */
   async verify(request: IAccessRequest, signal: AbortSignal): Promise<IOperator> {
-    this.checkFailures(request.remoteAddress);
-    const key = BEARER.exec(request.authorization ?? '')?.[1];
+    this.checkFailureRate(request.remoteAddress);
+    const key = BEARER_HEADER.exec(request.authorization ?? '')?.[1];
     const row = key === undefined ? undefined : await this.options.keys.verify(key, signal);
     if (row !== undefined) {
       return { keyId: row.id, member: row.member, isFleet: row.member === FLEET_MEMBER };
@@ -79,27 +83,30 @@
   }
 
   /**
-   * Refuses whoever does not prove the secret that the nodes share. Without a secret only clients
-   * on this VM pass. Throws Forbidden, LimitExceeded.
+   * Rejects clients that do not present the secret that the nodes share. Without a secret, only clients
+   * on this VM are accepted. Throws Forbidden, LimitExceeded.
    */
   async checkSecret(
     request: IAccessRequest,
     secret: string | undefined,
     signal: AbortSignal,
   ): Promise<void> {
-    this.checkFailures(request.remoteAddress);
-    const offered = BEARER.exec(request.authorization ?? '')?.[1] ?? '';
-    const isTrusted =
-      secret === undefined ? LOOPBACK.test(request.remoteAddress) : compareSecrets(offered, secret);
-    if (isTrusted) return;
+    this.checkFailureRate(request.remoteAddress);
+    const presented = BEARER_HEADER.exec(request.authorization ?? '')?.[1] ?? '';
+    const isAccepted =
+      secret === undefined
+        ? LOOPBACK_ADDRESS.test(request.remoteAddress)
+        : compareSecrets(presented, secret);
+    if (isAccepted) return;
     await this.recordFailure(request, signal);
     const message = "the first key needs proof of the fleet's secret";
     throw new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
   }
 
   /**
-   * Refuses and audits an attempt at another member's rows. The entry goes into the asker's own
-   * log and the fleet's; the other member's log would tell it who its rivals are.
+   * Rejects and audits an attempt to access another member's data. The entry is written to the logs of
+   * the operator's member and of the fleet; in the other member's log it would disclose to that member
+   * which other members exist.
    */
   async checkMember(
     operator: IOperator,
@@ -117,9 +124,9 @@
     throw new MuxError({ code: ResultCode.Forbidden, message, runState: RunState.NotRun });
   }
 
-  /** Guessing must be slow, and must not load the store. */
-  private checkFailures(address: string): void {
-    const waitMs = this.failures.getWaitMs(address);
+  /** Limits the rate of wrong keys: guessing must be slow and must not load the store. */
+  private checkFailureRate(address: string): void {
+    const waitMs = this.failureLimiter.getWaitMs(address);
     if (waitMs === 0) return;
     throw new MuxError({
       code: ResultCode.LimitExceeded,
@@ -131,7 +138,7 @@
 
   private async recordFailure(request: IAccessRequest, signal: AbortSignal): Promise<void> {
     const { remoteAddress, action } = request;
-    this.failures.spend(remoteAddress);
+    this.failureLimiter.spend(remoteAddress);
     await this.auditRefusal(
       FLEET_MEMBER,
       'anonymous',
@@ -147,10 +154,10 @@
     operator: string,
     action: string,
     subject: string,
-    limitName: string,
+    limiterKey: string,
     signal: AbortSignal,
   ): Promise<void> {
-    if (!this.audits.spend(limitName)) {
+    if (!this.auditLimiter.spend(limiterKey)) {
       this.unauditedCount += 1;
       return;
     }
--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -91,7 +91,7 @@
     return {
       signal: attempt.signal,
       freshConnection: attempt.isFresh,
-      maxResponseBytes: this.context.maxAnswerBytes,
+      maxResponseBytes: this.context.maxResponseBytes,
       streamLarge: attempt.request.route.streamLargeAnswers,
       onDispatch,
     };
--- a/packages/routing/src/home/common/evidenceIntake.ts
+++ b/packages/routing/src/home/common/evidenceRecorder.ts
@@ -1,4 +1,4 @@
-/** Turns what happens to attempts into evidence, and keeps ledger and probes current. */
+/** Converts outcomes of attempts into evidence, sends health probes and polls the ejection ledger. */
 import { setMaxListeners } from 'node:events';
 import type { IDisposable } from '@parsleymux/base';
 import type { Service } from '@parsleymux/schema';
@@ -9,29 +9,29 @@
 import { ConnectionCheck } from '../../ejection/common/connectionCheck.js';
 import { CopySender } from '../../ejection/common/copySender.js';
 import { EjectionController } from '../../ejection/common/ejectionController.js';
-import { SampleKeeper } from '../../ejection/common/requestSample.js';
+import { RequestSampler } from '../../ejection/common/requestSampler.js';
 import type { IRoutedRequest } from '../../request/common/request.js';
 import { HealthStatus } from '../../target/common/targetHandle.js';
 import type { TargetHandle } from '../../target/common/targetHandle.js';
 import { TransportFailure } from '../../transport/common/targetTransport.js';
-import { buildSurroundings } from './ejectionWiring.js';
+import { buildEjectionEnvironment } from './buildEjectionEnvironment.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { SlotPool } from './slotPool.js';
 
-/** An attempt this many times over what nine in ten of its peers' answers need is overdue. */
+/** An attempt is overdue after this multiple of the 0.9 quantile of the peers' latencies. */
 const STALL_FACTOR = 3;
-/** A copy on a fresh connection that takes this many times as long clears nobody. */
+/** A copy on a fresh connection must get its response within this multiple of the same quantile. */
 const CHECK_FACTOR = 2;
 const MIN_STALL_MS = 20;
-/** A busy target has a slot free again soon; one whose requests are all stuck never has. */
+/** Attempts to find a free slot for a check. A busy target soon has one; a stuck target never does. */
 const CHECK_ATTEMPTS = 5;
 const CHECK_RETRY_MS = 20;
 const DEFAULT_CHECK_TIMEOUT_MS = 1000;
 const LEDGER_INTERVAL_MS = 10_000;
 const PROBE_TIMEOUT_MS = 1000;
 
-/** Options of an {@link EvidenceIntake}. */
-export interface IEvidenceIntakeOptions {
+/** Options of an {@link EvidenceRecorder}. */
+export interface IEvidenceRecorderOptions {
   readonly context: IHomeContext;
   readonly member: string;
   readonly service: Service;
@@ -39,52 +39,52 @@
   getService(): Service;
 }
 
-/** The evidence side of one service's home. */
-export class EvidenceIntake implements IDisposable {
+/** Collects the evidence about the targets of one service. */
+export class EvidenceRecorder implements IDisposable {
   readonly detector: FailureDetector;
   readonly controller: EjectionController;
   private readonly context: IHomeContext;
-  private readonly samples: SampleKeeper;
+  private readonly sampler: RequestSampler;
   private readonly sender: CopySender;
   private readonly checks = new Map<string, ConnectionCheck>();
   private readonly abort = new AbortController();
 
-  constructor(private readonly options: IEvidenceIntakeOptions) {
+  constructor(private readonly options: IEvidenceRecorderOptions) {
     const { context, member, pool } = options;
     this.context = context;
     setMaxListeners(0, this.abort.signal);
     this.detector = context.createDetector(options.service);
     this.detector.setTargets(options.service.targets.map((target) => target.address));
-    this.samples = new SampleKeeper(context.healthPath);
+    this.sampler = new RequestSampler(context.healthPath);
     this.sender = new CopySender(context, member, pool);
     this.controller = new EjectionController(
-      buildSurroundings(options, this.detector, this.sender, this.samples),
+      buildEjectionEnvironment(options, this.detector, this.sender, this.sampler),
     );
-    void this.watchLedger().catch(() => undefined);
+    void this.pollLedger().catch(() => undefined);
     const { probeIntervalMs } = this.detector.traits;
     if (probeIntervalMs !== undefined) void this.probeAll(probeIntervalMs).catch(() => undefined);
   }
 
-  /** Takes over a new configuration; `added` targets are taken for cold. */
+  /** Applies a new configuration; `added` targets are assumed to be cold. */
   update(service: Service, added: readonly TargetHandle[]): void {
     this.detector.setTargets(service.targets.map((target) => target.address));
     for (const handle of added) this.controller.handleNew(handle);
   }
 
-  /** Time after which an attempt is overdue, in ms; undefined while nothing is known. */
+  /** Time after which an attempt is overdue, in ms; undefined until latencies are known. */
   getStallLimit(request: IRoutedRequest, handle: TargetHandle): number | undefined {
     const limitMs = this.detector.getSlowLimit(request.route.name, handle.address);
     return limitMs === undefined ? undefined : Math.max(MIN_STALL_MS, STALL_FACTOR * limitMs);
   }
 
-  /** An attempt is overdue, and has not ended. True when that was taken as evidence. */
+  /** Records that a running attempt is overdue. True when that counts as evidence. */
   recordStall(request: IRoutedRequest, handle: TargetHandle, isFresh: boolean): boolean {
-    if (!this.detector.traits.watchesStalls) return false;
-    void this.getCheck(handle, request).handleSilence(isFresh).catch(discardClosed);
+    if (!this.detector.traits.detectsStalls) return false;
+    void this.ensureCheck(handle, request).handleSilence(isFresh).catch(discardError);
     return true;
   }
 
-  /** An attempt has ended. What was already charged as a stall is not charged again. */
+  /** Records the outcome of an attempt. A stall that was already recorded is not counted again. */
   recordOutcome(
     request: IRoutedRequest,
     handle: TargetHandle,
@@ -93,11 +93,11 @@
   ): void {
     if (outcome.kind === 'answered') {
       if (outcome.response.draining) this.controller.handleDraining(handle);
-      if (isSuccessful(outcome)) this.samples.record(request);
+      if (isSuccessful(outcome)) this.sampler.record(request);
     }
     if (wasStalled) return;
     if (this.isConnectionSuspect(outcome)) {
-      void this.getCheck(handle, request).handleSilence(false).catch(discardClosed);
+      void this.ensureCheck(handle, request).handleSilence(false).catch(discardError);
       return;
     }
     const evidence = this.toEvidence(request, handle, outcome);
@@ -110,7 +110,7 @@
   }
 
   private isConnectionSuspect(outcome: AttemptOutcome): boolean {
-    if (!this.detector.traits.watchesStalls || outcome.kind !== 'failed') return false;
+    if (!this.detector.traits.detectsStalls || outcome.kind !== 'failed') return false;
     const { failure, reusedConnection } = outcome.error;
     const isSilent = failure === TransportFailure.Timeout || failure === TransportFailure.Broken;
     return reusedConnection && isSilent;
@@ -127,27 +127,27 @@
       atMs: this.context.clock.getMonotonicTime(),
     };
     if (outcome.kind === 'answered') {
-      // Shedding is honest: it lowers the concurrency limit, and says nothing of failing.
+      // Shedding lowers the concurrency limit of the target; it is no evidence of a fault.
       if (outcome.response.notRun) return undefined;
       if (!isSuccessful(outcome)) return { ...common, kind: Evidence.Failure };
       return { ...common, kind: Evidence.Success, latencyMs: outcome.response.latencyMs };
     }
     const { failure } = outcome.error;
-    const isOurs =
+    const isLocalFailure =
       failure === TransportFailure.Cancelled ||
       failure === TransportFailure.TooLarge ||
       failure === TransportFailure.NoConnection;
-    return isOurs ? undefined : { ...common, kind: Evidence.Silence };
+    return isLocalFailure ? undefined : { ...common, kind: Evidence.Silence };
   }
 
   private recordEvidence(handle: TargetHandle, evidence: IEvidence): void {
-    // What was under way when the target was ejected says nothing about its return.
+    // Attempts that were running at the ejection are no evidence about the return of the target.
     if (handle.standing === HealthStatus.Ejected || handle.standing === HealthStatus.Trial) return;
     const suspicion = this.detector.recordEvidence(evidence);
     if (suspicion !== undefined) this.controller.handleSuspicion(handle, suspicion);
   }
 
-  private getCheck(handle: TargetHandle, request: IRoutedRequest): ConnectionCheck {
+  private ensureCheck(handle: TargetHandle, request: IRoutedRequest): ConnectionCheck {
     const existing = this.checks.get(handle.address);
     if (existing !== undefined) return existing;
     const check = this.createCheck(handle, request.route.name);
@@ -159,19 +159,19 @@
     const { context, member } = this.options;
     return new ConnectionCheck({
       clock: context.clock,
-      tryFresh: async () => {
-        // Until it is known who is silent, further requests would only join those that wait.
+      tryFreshConnection: async () => {
+        // Until the cause of the silence is known, further requests might get stuck as well.
         handle.isBeingProbed = true;
-        const isAnswered = await this.tryFresh(handle);
+        const hasResponded = await this.tryFreshConnection(handle);
         handle.isBeingProbed = false;
         this.options.pool.serveWaiting();
-        return isAnswered;
+        return hasResponded;
       },
       retireConnections: () => {
         context.metrics.silentConnections.inc(this.getLabels());
         context.transport.retireConnections(member, handle.address);
       },
-      chargeTarget: (silences) => {
+      recordSilences: (silences) => {
         const atMs = context.clock.getMonotonicTime();
         for (let index = 0; index < silences; index += 1) {
           const target = handle.address;
@@ -181,20 +181,20 @@
     });
   }
 
-  private async tryFresh(handle: TargetHandle): Promise<boolean | undefined> {
-    const sample = this.samples.get();
+  private async tryFreshConnection(handle: TargetHandle): Promise<boolean | undefined> {
+    const sample = this.sampler.get();
     const limitMs = this.detector.getSlowLimit(sample.route, handle.address);
     const timeoutMs = limitMs === undefined ? DEFAULT_CHECK_TIMEOUT_MS : limitMs * CHECK_FACTOR;
     const signal = this.abort.signal;
     for (let attempt = 0; attempt < CHECK_ATTEMPTS; attempt += 1) {
       const result = await this.sender.send({ handle, sample, timeoutMs, signal });
-      if (result !== undefined) return result.answered;
+      if (result !== undefined) return result.hasResponded;
       await this.context.clock.sleep(CHECK_RETRY_MS, signal);
     }
     return undefined;
   }
 
-  private async watchLedger(): Promise<void> {
+  private async pollLedger(): Promise<void> {
     const { context, member } = this.options;
     for (;;) {
       const service = this.options.getService().name;
@@ -202,7 +202,7 @@
         await context.ledger.readEjected(member, service, this.abort.signal);
         this.controller.takeOverEjected();
       } catch {
-        // The ledger is out: what was last seen stays in force, and the next round tries again.
+        // The ledger is unavailable: the last read state stays in force until the next poll.
       }
       const delayMs = context.random.getJittered(LEDGER_INTERVAL_MS);
       await context.clock.sleep(delayMs, this.abort.signal);
@@ -218,7 +218,7 @@
 
   private async probe(handle: TargetHandle): Promise<void> {
     const signal = this.abort.signal;
-    const sample = this.samples.getHealth();
+    const sample = this.sampler.getHealthSample();
     const copy = { handle, sample, timeoutMs: PROBE_TIMEOUT_MS, signal };
     const result = await this.sender.send(copy);
     if (result === undefined || handle.standing !== HealthStatus.Serving) return;
@@ -231,7 +231,7 @@
   }
 }
 
-/** What was under way when the home was closed has no one left to tell. */
-function discardClosed(): void {
+/** Ignores rejections of tasks that were running when the home was closed. */
+function discardError(): void {
   return;
 }
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions: homes, queues, detection, retries, and the way to the targets. */
+/** Request routing: homes, queues, failure detection, ejection, retries and the transport to targets. */
 export * from './detection/common/consecutiveErrorsDetector.js';
 export * from './detection/common/failureDetector.js';
 export * from './detection/common/healthCheckDetector.js';
@@ -11,7 +11,7 @@
 export * from './home/common/homeService.js';
 export * from './home/common/localHomeService.js';
 export * from './ledger/common/ejectionLedger.js';
-export * from './ledger/common/floorArithmetic.js';
+export * from './ledger/common/capacityFloor.js';
 export * from './ledger/common/tableEjectionLedger.js';
 export * from './limits/common/fairShares.js';
 export * from './metrics/common/homeMetrics.js';
