--- a/packages/lab/src/prove/breaks/node/retryRule.ts
+++ b/packages/lab/src/prove/breaks/node/retryRule.ts
@@ -3,6 +3,6 @@
 
 const MODULE = 'routing/dist/home/common/serviceHome.js';
 
-await wrapMethod(MODULE, 'ServiceHome', 'isRetryAllowed', () => (passage) => {
-  return !(passage as { readonly signal: AbortSignal }).signal.aborted;
+await wrapMethod(MODULE, 'ServiceHome', 'isRetryAllowed', () => (state) => {
+  return !(state as { readonly signal: AbortSignal }).signal.aborted;
 });
