--- a/packages/lab/src/atMostOnce/node/disturber.ts
+++ b/packages/lab/src/atMostOnce/node/disturber.ts
@@ -1,4 +1,4 @@
-/** Kills and pauses nodes, and loses answers of the platform, at random instants. */
+/** Kills and pauses nodes and drops responses of the platform at random times. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { RandomSource } from '@parsleymux/base';
 import type { LabWorld } from '../../processes/node/labWorld.js';
@@ -6,19 +6,21 @@
 
 /** Mean time between two disturbances, in ms. */
 const SPACING_MS = 500;
-/** Pauses end before and after requests' deadlines of 4 s. */
+/** Durations of pauses, in ms; some end before and some after the requests' deadlines of 4 s. */
 const PAUSES_MS: readonly number[] = [50, 400, 1500, 5000];
+/** Share of the disturbances that kill a node. */
 const KILL_SHARE = 0.3;
+/** Share of the disturbances that kill or pause a node; the others drop responses. */
 const PAUSE_SHARE = 0.8;
-const MOST_LOST_ANSWERS = 4;
-/** With fewer running nodes nothing would be under test. */
-const LEAST_NODES = 3;
+const MAX_LOST_RESPONSES = 4;
+/** Nodes are not disturbed when fewer than this run, so that a fleet remains under test. */
+const MIN_NODES = 3;
 
-/** What was done. */
+/** Numbers of disturbances by kind. */
 export interface IDisturbances {
   readonly kills: number;
   readonly pauses: number;
-  readonly lostAnswers: number;
+  readonly lostResponses: number;
 }
 
 /**
@@ -35,7 +37,7 @@
   private loop: Promise<void> = Promise.resolve();
   private kills = 0;
   private pauses = 0;
-  private lostAnswers = 0;
+  private lostResponses = 0;
 
   constructor(
     private readonly world: LabWorld,
@@ -55,17 +57,17 @@
   }
 
   getCounts(): IDisturbances {
-    const { kills, pauses, lostAnswers } = this;
-    return { kills, pauses, lostAnswers };
+    const { kills, pauses, lostResponses } = this;
+    return { kills, pauses, lostResponses };
   }
 
   private async runUntilStopped(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       await sleep(this.random.getExponential(SPACING_MS));
       const choice = this.random.getFloat();
-      if (choice < KILL_SHARE) this.track(this.endOneNode());
-      else if (choice < PAUSE_SHARE) this.track(this.stopOneNode());
-      else await this.takeAnswers();
+      if (choice < KILL_SHARE) this.track(this.endRandomNode());
+      else if (choice < PAUSE_SHARE) this.track(this.stopRandomNode());
+      else await this.startResponseLoss();
     }
   }
 
@@ -76,19 +78,19 @@
 
   private pickNode(): NodeProcess | undefined {
     const nodes = this.world.getNodes().filter(({ child }) => !child.isStopped());
-    return nodes.length < LEAST_NODES ? undefined : nodes[this.random.getInteger(nodes.length)];
+    return nodes.length < MIN_NODES ? undefined : nodes[this.random.getInteger(nodes.length)];
   }
 
-  private async endOneNode(): Promise<void> {
+  private async endRandomNode(): Promise<void> {
     const node = this.pickNode();
     if (node === undefined) return;
     this.kills += 1;
     await this.world.endNode(node);
-    // Not waited for: it may be killed in turn before it is ready.
+    // Doesn't wait until the node is ready: it may be killed before that.
     await this.world.startNextNode();
   }
 
-  private async stopOneNode(): Promise<void> {
+  private async stopRandomNode(): Promise<void> {
     const node = this.pickNode();
     const pauseMs = PAUSES_MS[this.random.getInteger(PAUSES_MS.length)] ?? 0;
     if (node === undefined) return;
@@ -98,9 +100,9 @@
     node.child.sendSignal('SIGCONT');
   }
 
-  private async takeAnswers(): Promise<void> {
-    const loseNextAnswers = 1 + this.random.getInteger(MOST_LOST_ANSWERS);
-    this.lostAnswers += loseNextAnswers;
+  private async startResponseLoss(): Promise<void> {
+    const loseNextAnswers = 1 + this.random.getInteger(MAX_LOST_RESPONSES);
+    this.lostResponses += loseNextAnswers;
     await this.world.platform.setFaults({ loseNextAnswers });
   }
 }
--- a/packages/lab/src/prove/breaks/node/retryRule.ts
+++ b/packages/lab/src/prove/breaks/node/retryRule.ts
@@ -1,8 +1,8 @@
-/** Retries although the attempt may have run and the request is not idempotent. */
+/** Requests that are not idempotent are retried although the attempt may have run. */
 import { wrapMethod } from './wrapMethod.js';
 
 const MODULE = 'routing/dist/home/common/serviceHome.js';
 
-await wrapMethod(MODULE, 'ServiceHome', 'isRetryAllowed', () => (passage) => {
-  return !(passage as { readonly signal: AbortSignal }).signal.aborted;
+await wrapMethod(MODULE, 'ServiceHome', 'isRetryAllowed', () => (state) => {
+  return !(state as { readonly signal: AbortSignal }).signal.aborted;
 });
--- a/packages/lab/src/prove/node/nodeFaults.ts
+++ b/packages/lab/src/prove/node/nodeFaults.ts
@@ -1,4 +1,4 @@
-/** Nodes that die, freeze, or are asked to leave. A replacement follows, as the platform's would. */
+/** Kills, pauses or terminates nodes. Killed and terminated nodes are replaced, as on the platform. */
 import type { NodeProcess } from '../../processes/node/nodeProcess.js';
 import type { IFaultStep } from '../common/faultSchedule.js';
 import { FaultKind } from '../common/faultSchedule.js';
@@ -6,15 +6,15 @@
 import { FaultInjector, pickElement } from './faultInjector.js';
 import type { ProveWorld } from './proveWorld.js';
 
-/** Fewer than this many running nodes are left alone, or nothing would be under test. */
-const LEAST_NODES = 3;
+/** Faults are skipped when fewer nodes than this run, so that a fleet remains under test. */
+const MIN_NODES = 3;
 
 function pickNode(step: IFaultStep, world: ProveWorld): NodeProcess | undefined {
-  // A node that was asked to leave is left alone: a second SIGTERM ends it at once, by design.
+  // Excludes nodes that are shutting down: a second SIGTERM ends them immediately, by design.
   const nodes = world.lab.getNodes().filter(({ child, addresses }) => {
-    return !child.isStopped() && !world.shutdowns.isAsked(addresses.caller);
+    return !child.isStopped() && !world.shutdowns.isRequested(addresses.caller);
   });
-  return nodes.length < LEAST_NODES ? undefined : pickElement(nodes, step.pick);
+  return nodes.length < MIN_NODES ? undefined : pickElement(nodes, step.pick);
 }
 
 class NodeKill extends FaultInjector {
@@ -50,7 +50,7 @@
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const node = pickNode(step, world);
     if (node === undefined) return 'skipped';
-    await world.lab.markLeaving(node);
+    await world.lab.markShuttingDown(node);
     world.shutdowns.record(node.addresses.caller, Date.now(), node.child.waitForEnd());
     node.child.sendSignal('SIGTERM');
     void node.child.waitForEnd().then(() => world.lab.platform.removeVm(node.addresses.peer));
--- a/packages/lab/src/soak/node/soakCaller.ts
+++ b/packages/lab/src/soak/node/soakCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that keeps its connection to a node for as long as the node keeps it. */
+/** A caller that reuses its connection to a node for as long as the node keeps it open. */
 import type { IncomingMessage } from 'node:http';
 import { Agent, request as openRequest } from 'node:http';
 import type { Socket } from 'node:net';
@@ -12,28 +12,28 @@
 import type { ISoakReply, ISoakRequest, SoakLedger } from '../common/soakLedger.js';
 import type { SoakNode } from './soakNode.js';
 
-/** The caller's deadline, in ms: beyond the route's timeout, which has to end the request. */
+/** The caller's deadline, in ms; longer than the route's timeout, which must end the request first. */
 const CALLER_TIMEOUT_MS = 4000;
-/** After this nothing is waited for any more, in ms. */
-const GIVE_UP_MS = 8000;
+/** Longest that the caller waits for a response, in ms. */
+const REPLY_TIMEOUT_MS = 8000;
 const BOOKING_SHARE = 0.6;
-/** Share of the callers that leave before they have an answer. */
-const LEAVING_SHARE = 0.06;
-/** Callers that leave do so within this time, in ms: most requests take less. */
-const LONGEST_PATIENCE_MS = 150;
+/** Share of the requests whose caller disconnects before it has a response. */
+const DISCONNECT_SHARE = 0.06;
+/** Longest time until such a caller disconnects, in ms; most requests take less. */
+const MAX_DISCONNECT_DELAY_MS = 150;
 
 /** Options of a {@link SoakCaller}. */
 export interface ISoakCallerOptions {
   readonly name: string;
   readonly random: RandomSource;
   readonly ledger: SoakLedger;
-  /** A node that takes new connections; undefined when none does. */
+  /** Picks a node that accepts new connections; undefined when none does. */
   readonly pickNode: () => SoakNode | undefined;
-  /** Mean pause between an answer and the next request, in ms. */
+  /** Mean pause between a response and the next request, in ms. */
   readonly pauseMs: number;
 }
 
-/** Sends one request after the other until it is stopped. */
+/** Sends one request at a time until it is stopped. */
 export class SoakCaller {
   private agent = new Agent({ keepAlive: true, maxSockets: 1 });
   private node: SoakNode | undefined;
@@ -51,7 +51,7 @@
     this.agent.destroy();
   }
 
-  /** Stays with the node while the connection is open, whatever the node says of itself. */
+  /** Keeps using the node while the connection is open, even when the node is no longer ready. */
   private chooseNode(): SoakNode | undefined {
     const isOpen = Object.keys(this.agent.freeSockets).length > 0;
     if (!isOpen) {
@@ -74,18 +74,18 @@
       path: `${isBooking ? BOOKING_PREFIX : LISTING_PREFIX}${id}`,
       body: isBooking ? `order of ${id}` : '',
       node: node.name,
-      life: node.life,
+      incarnation: node.incarnation,
       sentMs: performance.now(),
     };
     ledger.recordRequest(sent);
-    const leavesAfterMs =
-      random.getFloat() < LEAVING_SHARE ? random.getFloat() * LONGEST_PATIENCE_MS : Infinity;
+    const disconnectAfterMs =
+      random.getFloat() < DISCONNECT_SHARE ? random.getFloat() * MAX_DISCONNECT_DELAY_MS : Infinity;
     const agent = this.agent;
-    ledger.recordReply(id, await sendRequest(node.front, sent, { agent, leavesAfterMs }));
+    ledger.recordReply(id, await sendRequest(node.front, sent, { agent, disconnectAfterMs }));
   }
 }
 
-/** Asks a node whether it has a version in force; undefined when it does not answer that. */
+/** Checks whether a node has applied a version; undefined when its response does not show that. */
 export async function probeVersion(
   node: SoakNode,
   version: number,
@@ -99,20 +99,20 @@
     path: `${formatVersionPrefix(version)}${id}`,
     body: '',
     node: node.name,
-    life: node.life,
+    incarnation: node.incarnation,
     sentMs: performance.now(),
   };
   ledger.recordRequest(sent);
   const agent = new Agent({ keepAlive: false });
-  const reply = await sendRequest(node.front, sent, { agent, leavesAfterMs: Infinity });
+  const reply = await sendRequest(node.front, sent, { agent, disconnectAfterMs: Infinity });
   ledger.recordReply(id, reply);
   if (reply.status === undefined) return undefined;
   if (reply.status === 404) return false;
-  // A refusal of a node that knows no configuration yet says nothing of any version.
+  // A node that has no configuration yet rejects the request, which shows nothing about any version.
   return reply.stamp === undefined ? undefined : true;
 }
 
-/** Sends one copy of a request that crashes the targets that run it. */
+/** Sends one copy of a request that crashes every target that runs it. */
 export async function sendCrashingRequest(
   node: SoakNode,
   path: string,
@@ -126,32 +126,32 @@
     path,
     body: '',
     node: node.name,
-    life: node.life,
+    incarnation: node.incarnation,
     sentMs,
   };
   ledger.recordRequest(sent);
   const agent = new Agent({ keepAlive: false });
   ledger.recordReply(
     sent.id,
-    await sendRequest(node.front, sent, { agent, leavesAfterMs: Infinity }),
+    await sendRequest(node.front, sent, { agent, disconnectAfterMs: Infinity }),
   );
 }
 
 interface ISendOptions {
   readonly agent: Agent;
-  readonly leavesAfterMs: number;
+  readonly disconnectAfterMs: number;
 }
 
-/** Never rejects: every way to end is a reply. */
+/** Never rejects: a failed connection is recorded as a reply without a status. */
 function sendRequest(
   address: string,
   sent: ISoakRequest,
   options: ISendOptions,
 ): Promise<ISoakReply> {
-  const { agent, leavesAfterMs } = options;
+  const { agent, disconnectAfterMs } = options;
   const [host = '', port = '0'] = address.split(':');
   return new Promise((resolve) => {
-    let hasLeft = false;
+    let hasDisconnected = false;
     let socket: Socket | undefined;
     const end = (part: Partial<ISoakReply>) => {
       clearTimeout(timer);
@@ -162,7 +162,7 @@
         retryAfter: undefined,
         isUnread: socket === undefined || socket.bytesWritten === 0,
         ...part,
-        hasLeft,
+        hasDisconnected,
         endMs: performance.now(),
       });
     };
@@ -181,31 +181,31 @@
     });
     const timer = setTimeout(
       () => {
-        hasLeft = leavesAfterMs !== Infinity;
+        hasDisconnected = disconnectAfterMs !== Infinity;
         outgoing.destroy();
       },
-      Math.min(leavesAfterMs, GIVE_UP_MS),
+      Math.min(disconnectAfterMs, REPLY_TIMEOUT_MS),
     );
-    outgoing.once('socket', (taken) => {
-      socket = taken;
+    outgoing.once('socket', (assigned) => {
+      socket = assigned;
     });
     outgoing.once('error', () => {
-      // On a reused connection the node may have closed it before it read anything.
+      // The node may have closed a reused connection before it read anything.
       end({ isUnread: outgoing.reusedSocket || socket?.bytesWritten === 0 });
     });
     outgoing.once('response', (response) => {
-      void readAnswer(response).then(end);
+      void readResponse(response).then(end);
     });
     outgoing.end(sent.body);
   });
 }
 
-async function readAnswer(response: IncomingMessage): Promise<Partial<ISoakReply>> {
+async function readResponse(response: IncomingMessage): Promise<Partial<ISoakReply>> {
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of response) chunks.push(chunk as Buffer);
   } catch {
-    // Broken off in the middle: no whole answer, which is a way to end like others.
+    // The body is truncated: recorded as a reply without a status.
     return { isUnread: false };
   }
   const { headers, statusCode } = response;
