--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -163,7 +163,7 @@
       return true;
     } catch (error) {
       if (signal.aborted) return false;
-      const failure = error instanceof StoreCallError ? error.failure : 'internal error';
+      const failure = error instanceof StoreCallError ? error.failure : 'fault of the program';
       const reason = error instanceof Error ? error.message : String(error);
       this.options.log.warn(message, { failure, reason, waiting: this.pending.size });
       return false;
--- a/packages/dispatch/src/quarantine/common/requestQuarantine.ts
+++ b/packages/dispatch/src/quarantine/common/requestQuarantine.ts
@@ -83,7 +83,7 @@
 
   /** Records that a target completed the request, which releases it. */
   recordSuccess(fingerprints: readonly string[]): void {
-    for (const fingerprint of fingerprints) this.release(fingerprint, 'a target completed it');
+    for (const fingerprint of fingerprints) this.release(fingerprint, 'it succeeded');
   }
 
   /** Records that a target responded to an attempt granted at `grantedMs`; removes its earlier crashes. */
@@ -95,7 +95,7 @@
       if (!this.updateHistory(history, () => history.removeCrash(target, grantedMs))) continue;
       // Nodes that were notified of the quarantine decision must be notified that it is withdrawn.
       const isRefuted = crashesBefore === CRASHES_TO_QUARANTINE;
-      if (isRefuted) this.release(fingerprint, 'a target had not crashed');
+      if (isRefuted) this.release(fingerprint, 'a target was not lost');
       else if (history.crashCount === 0) this.histories.delete(fingerprint);
     }
   }
@@ -133,7 +133,7 @@
     if (isDecidedHere && history.isQuarantined) this.announce(history, true);
     if (isHeld === wasHeld) return;
     const { fingerprint } = record;
-    this.options.log.warn(isHeld ? 'request is quarantined' : 'request is released', {
+    this.options.log.warn(isHeld ? 'request is held back' : 'request is let go', {
       fingerprint,
       crashes: history.crashCount,
       holdMs: Math.round(history.getHoldMs(this.now)),
--- a/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
+++ b/packages/dispatch/src/quarantine/node/heldRequestsPage.ts
@@ -29,7 +29,7 @@
       response.end(JSON.stringify(quarantine.listQuarantined()));
       break;
     case 'DELETE': {
-      const isKnown = quarantine.release(path.slice(PATH.length + 1), 'released by an operator');
+      const isKnown = quarantine.release(path.slice(PATH.length + 1), 'an operator let it go');
       response.writeHead(isKnown ? NO_CONTENT : NOT_FOUND).end();
       break;
     }
--- a/packages/routing/src/detection/common/sequentialDetector.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.ts
@@ -243,7 +243,7 @@
     }
     return {
       target,
-      reason: `${Math.round(100 * stats.slowRate)}% of responses slow against ${Math.round(100 * peerRate)}% of peers`,
+      reason: `${Math.round(100 * stats.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
       failureShare: stats.slowRate,
       isSlow: true,
       isPathFaultPossible: true,
--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -57,7 +57,7 @@
   /** Handles a report of the target that it is draining. */
   handleDraining(handle: TargetHandle): void {
     if (handle.standing === HealthStatus.Draining) return;
-    this.targetReturn.setHealthStatus(handle, HealthStatus.Draining, 'reports that it is draining');
+    this.targetReturn.setHealthStatus(handle, HealthStatus.Draining, 'says that it is draining');
     this.startTask(handle, () => this.waitWhileDraining(handle));
   }
 
--- a/packages/routing/src/ejection/common/targetReturn.ts
+++ b/packages/routing/src/ejection/common/targetReturn.ts
@@ -84,7 +84,7 @@
       return;
     }
     this.detector.setCold(handle.address, true);
-    this.setHealthStatus(handle, HealthStatus.Cold, 'recently started or returned');
+    this.setHealthStatus(handle, HealthStatus.Cold, 'has just started or returned');
     const endMs = this.getNow() + COLD_MS;
     for (const factor of WARM_UP_FACTORS) {
       handle.warmUpFactor = factor;
