--- a/packages/lab/src/badInput/node/fuzz.test.ts
+++ b/packages/lab/src/badInput/node/fuzz.test.ts
@@ -9,7 +9,7 @@
 
 const SEED = 4711;
 const TEXT_RUNS = 2000;
-const ANSWER_RUNS = 300;
+const RESPONSE_RUNS = 300;
 
 const SETTINGS = `{
   "failureDomain": "north", // domain
@@ -21,25 +21,25 @@
   { "address": "127.0.0.1:1", "failureDomain": "n", "slots": 1, "leaveAtMs": "5" }] }],
   "routes": [{ "name": "r", "host": "h.example", "service": "s", "methods": ["GET"] }] }`;
 const BODY = 'a whole answer';
-const ANSWERS = [
+const RESPONSES = [
   `HTTP/1.1 200 OK\r\nServer: t\r\nContent-Length: ${BODY.length}\r\n\r\n${BODY}`,
   `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n${BODY.length.toString(16)}\r\n${BODY}\r\n0\r\n\r\n`,
 ];
 
-interface IDamage {
+interface IMutation {
   readonly at: number;
   readonly removed: number;
   readonly inserted: string;
 }
 
-function makeDamages(length: number, inserted: fc.Arbitrary<string>): fc.Arbitrary<IDamage[]> {
-  const damage = fc.record({ at: fc.nat(length), removed: fc.nat(8), inserted });
-  return fc.array(damage, { minLength: 1, maxLength: 5 });
+function makeMutations(length: number, inserted: fc.Arbitrary<string>): fc.Arbitrary<IMutation[]> {
+  const mutation = fc.record({ at: fc.nat(length), removed: fc.nat(8), inserted });
+  return fc.array(mutation, { minLength: 1, maxLength: 5 });
 }
 
-function applyDamages(text: string, damages: readonly IDamage[]): string {
-  return damages.reduce((damaged, { at, removed, inserted }) => {
-    return damaged.slice(0, at) + inserted + damaged.slice(at + removed);
+function applyMutations(text: string, mutations: readonly IMutation[]): string {
+  return mutations.reduce((mutated, { at, removed, inserted }) => {
+    return mutated.slice(0, at) + inserted + mutated.slice(at + removed);
   }, text);
 }
 
@@ -65,19 +65,19 @@
 );
 
 for (const [name, text, check] of [
-  ['settings', SETTINGS, (damaged: string) => parseSettings(damaged, 'f')],
-  ['intents', INTENT, (damaged: string) => checkMessageText(IntentSchema, damaged, 'f')],
+  ['settings', SETTINGS, (mutated: string) => parseSettings(mutated, 'f')],
+  ['intents', INTENT, (mutated: string) => checkMessageText(IntentSchema, mutated, 'f')],
 ] as const) {
-  test(`damaged ${name} are accepted or refused with places that exist, and nothing else`, () => {
+  test(`mutated ${name} are accepted or refused with places that exist, and nothing else`, () => {
     assert.doesNotThrow(() => check(text));
     fc.assert(
-      fc.property(makeDamages(text.length, JSON_PIECES), (damages) => {
-        const damaged = applyDamages(text, damages);
+      fc.property(makeMutations(text.length, JSON_PIECES), (mutations) => {
+        const mutated = applyMutations(text, mutations);
         try {
-          check(damaged);
+          check(mutated);
         } catch (error) {
           assert.ok(error instanceof SettingsError, String(error));
-          const lines = damaged.split('\n');
+          const lines = mutated.split('\n');
           for (const { line, column, message } of error.problems) {
             assert.ok(message !== '' && column >= 1);
             assert.ok(column <= (lines[line - 1] ?? '').length + 1);
@@ -89,11 +89,11 @@
   });
 }
 
-test('damaged answers of targets are whole answers or transport errors, and nothing else', async (t) => {
-  let answer = '';
+test('mutated answers of targets are whole answers or transport errors, and nothing else', async (t) => {
+  let response = '';
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
-    socket.on('data', () => socket.end(answer, 'latin1'));
+    socket.on('data', () => socket.end(response, 'latin1'));
   }).listen(0, '127.0.0.1');
   await once(server, 'listening');
   const transport = new HttpTargetTransport();
@@ -112,16 +112,16 @@
     timeoutMs: 10_000,
   };
   const { signal } = new AbortController();
-  const damaged = fc
-    .constantFrom(...ANSWERS)
+  const mutated = fc
+    .constantFrom(...RESPONSES)
     .chain((whole) =>
-      makeDamages(whole.length, fc.string({ unit: 'binary-ascii', maxLength: 6 })).map((damages) =>
-        applyDamages(whole, damages),
+      makeMutations(whole.length, fc.string({ unit: 'binary-ascii', maxLength: 6 })).map(
+        (mutations) => applyMutations(whole, mutations),
       ),
     );
   await fc.assert(
-    fc.asyncProperty(damaged, async (text) => {
-      answer = text;
+    fc.asyncProperty(mutated, async (text) => {
+      response = text;
       const outcome = await transport
         .send(request, { signal, maxResponseBytes: 1000 })
         .catch((error: unknown) => error);
@@ -131,6 +131,6 @@
       const length = headers.find(([name]) => name === 'content-length')?.[1];
       if (length !== undefined) assert.equal(body.length, Number(length));
     }),
-    { seed: SEED, numRuns: ANSWER_RUNS },
+    { seed: SEED, numRuns: RESPONSE_RUNS },
   );
 });
--- a/packages/lab/src/badInput/node/malformedRequests.test.ts
+++ b/packages/lab/src/badInput/node/malformedRequests.test.ts
@@ -8,15 +8,15 @@
 import fc from 'fast-check';
 import { LabWorld } from '../../processes/node/labWorld.js';
 import {
-  KEY,
-  READ_HOST,
-  REFUSED,
+  IDEMPOTENCY_KEY_LINE,
+  SURVEY_HOST,
+  REFUSED_REQUESTS,
   REFUSED_ON_ANY_PORT,
-  SMUGGLING,
-  makePost,
+  SMUGGLING_REQUESTS,
+  makeBookingRequest,
 } from '../common/requestCases.js';
-import type { IRawExchange } from './rawCaller.js';
-import { requestRaw } from './rawCaller.js';
+import type { IRawExchange } from './rawHttpClient.js';
+import { sendRawRequest } from './rawHttpClient.js';
 
 const FUZZ_SEED = 20260;
 const FUZZ_RUNS = 150;
@@ -40,23 +40,23 @@
 
 after(() => world.dispose());
 
-async function sendWell(): Promise<IRawExchange> {
-  return requestRaw(address, [
-    `GET /survey HTTP/1.1\r\nHost: ${READ_HOST}\r\nConnection: close\r\n\r\n`,
+async function sendValidRequest(): Promise<IRawExchange> {
+  return sendRawRequest(address, [
+    `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nConnection: close\r\n\r\n`,
   ]);
 }
 
 async function waitUntilServing(): Promise<void> {
   for (;;) {
-    const { statuses } = await sendWell();
+    const { statuses } = await sendValidRequest();
     if (statuses[0] === 200) return;
     await sleep(50);
   }
 }
 
 /** The node lives, serves, and has seen none of its invariants broken. */
-async function assertUndisturbed(): Promise<void> {
-  assert.deepEqual((await sendWell()).statuses, [200]);
+async function assertNodesHealthy(): Promise<void> {
+  assert.deepEqual((await sendValidRequest()).statuses, [200]);
   for (const node of world.getNodes()) {
     const metrics = (await node.fetchMetrics()) ?? '';
     assert.doesNotMatch(metrics, /^parsleymux_invariant_violations_total\{[^}]*\} [1-9]/m);
@@ -64,44 +64,44 @@
   assert.equal(world.getNodes().length, 2);
 }
 
-for (const [name, code, request] of REFUSED) {
+for (const [name, code, request] of REFUSED_REQUESTS) {
   test(`${name}: refused with ${code}, not run, and nothing is disturbed`, async () => {
-    const exchange = await requestRaw(address, [request]);
+    const exchange = await sendRawRequest(address, [request]);
     assert.deepEqual(exchange.results, [code], exchange.text);
     assert.deepEqual(exchange.runStates, ['not-run']);
-    assert.ok(exchange.wasClosed);
-    await assertUndisturbed();
+    assert.ok(exchange.isClosedByNode);
+    await assertNodesHealthy();
   });
 }
 
-for (const [name, request] of SMUGGLING) {
+for (const [name, request] of SMUGGLING_REQUESTS) {
   test(`smuggling by ${name} is refused and reaches no target`, async () => {
     // Symptom: a target executes a request that no caller sent, or a caller gets another's answer.
     // Sequence: a request whose end is ambiguous passes a proxy before or behind this one that
     // reads it the other way. Cause: forwarding what can be read in two ways.
-    const exchange = await requestRaw(address, [request], { end: true });
+    const exchange = await sendRawRequest(address, [request], { isHalfClosing: true });
     assert.deepEqual(exchange.results, [ResultCode.MalformedRequest], exchange.text);
     assert.deepEqual(exchange.runStates, ['not-run']);
     const executions = await world.fetchExecutions();
     assert.ok(!JSON.stringify(executions).includes('smuggled'));
-    await assertUndisturbed();
+    await assertNodesHealthy();
   });
 }
 
 for (const [name, code, request] of REFUSED_ON_ANY_PORT) {
   test(`${name} on the port of operators: refused with ${code}, and nothing is disturbed`, async () => {
-    const exchange = await requestRaw(world.getNodes()[0]!.addresses.admin, [request]);
+    const exchange = await sendRawRequest(world.getNodes()[0]!.addresses.admin, [request]);
     assert.deepEqual(exchange.results, [code], exchange.text);
-    await assertUndisturbed();
+    await assertNodesHealthy();
   });
 }
 
 test('a chunked body above the limit is refused while it arrives', async () => {
   const chunk = `10000\r\n${'x'.repeat(0x10000)}\r\n`;
-  const head = makePost([KEY, 'Transfer-Encoding: chunked']);
-  const exchange = await requestRaw(address, [head, ...new Array<string>(20).fill(chunk)]);
+  const head = makeBookingRequest([IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: chunked']);
+  const exchange = await sendRawRequest(address, [head, ...new Array<string>(20).fill(chunk)]);
   assert.deepEqual(exchange.results, [ResultCode.BodyTooLarge]);
-  await assertUndisturbed();
+  await assertNodesHealthy();
 });
 
 test('garbage behind a request never looks like the answer to that request', async () => {
@@ -109,18 +109,18 @@
   // Sequence: a valid request is in flight; bytes that are no request follow on its connection;
   // the node writes its refusal of those bytes. Cause: answers are matched by their order alone,
   // so the refusal takes the place of the first answer.
-  const valid = makePost(['Idempotency-Key: k-garbage', 'Content-Length: 0']);
-  const exchange = await requestRaw(address, [valid, 'GARBAGE\r\n\r\n']);
+  const valid = makeBookingRequest(['Idempotency-Key: k-garbage', 'Content-Length: 0']);
+  const exchange = await sendRawRequest(address, [valid, 'GARBAGE\r\n\r\n']);
   if (exchange.results[0] !== undefined) {
     assert.notEqual(exchange.results[0], ResultCode.MalformedRequest, exchange.text);
   }
-  await assertUndisturbed();
+  await assertNodesHealthy();
 });
 
 test('two requests at once on one connection are answered in their order', async () => {
   const bad = `GET / HTTP/1.1\r\nHost: nobody.example\r\nConnection: close\r\n\r\n`;
-  const good = `GET /survey HTTP/1.1\r\nHost: ${READ_HOST}\r\n\r\n`;
-  const exchange = await requestRaw(address, [good + bad]);
+  const good = `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\n\r\n`;
+  const exchange = await sendRawRequest(address, [good + bad]);
   assert.deepEqual(exchange.results, [ResultCode.Ok, ResultCode.UnknownHost]);
 });
 
@@ -129,29 +129,31 @@
     'Parsleymux-Hop-Member: donautal',
     'Parsleymux-Result: 0',
     'Connection: close, idempotency-key',
-    KEY,
+    IDEMPOTENCY_KEY_LINE,
     'Content-Length: 0',
   ];
-  const exchange = await requestRaw(address, [makePost(lines)]);
+  const exchange = await sendRawRequest(address, [makeBookingRequest(lines)]);
   assert.deepEqual(exchange.results.length, 1);
-  await assertUndisturbed();
+  await assertNodesHealthy();
 });
 
 for (const [name, request] of [
-  ['a header', `GET /survey HTTP/1.1\r\nHost: ${READ_HOST}\r\nX: `],
-  ['a body', makePost([KEY, 'Content-Length: 10'], 'half')],
+  ['a header', `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nX: `],
+  ['a body', makeBookingRequest([IDEMPOTENCY_KEY_LINE, 'Content-Length: 10'], 'half')],
 ] as const) {
   test(`${name} that never ends is refused in time, and others are served meanwhile`, async () => {
     // Symptom: the node accepts no connections any more though it is idle.
     // Sequence: callers open connections and send a byte now and then, never a whole request.
     // Cause: without a bound on its arrival each such request holds a connection for ever.
-    const slow = Array.from({ length: CONNECTION_LIMIT / 2 }, () => requestRaw(address, [request]));
-    await assertUndisturbed();
+    const slow = Array.from({ length: CONNECTION_LIMIT / 2 }, () =>
+      sendRawRequest(address, [request]),
+    );
+    await assertNodesHealthy();
     for (const exchange of await Promise.all(slow)) {
       assert.deepEqual(exchange.results, [ResultCode.RequestTimeout], exchange.text);
       assert.deepEqual(exchange.runStates, ['not-run']);
     }
-    await assertUndisturbed();
+    await assertNodesHealthy();
   });
 }
 
@@ -163,38 +165,41 @@
       return socket;
     }),
   );
-  const refused = await sendWell();
+  const refused = await sendValidRequest();
   assert.deepEqual(refused.results, [ResultCode.TooManyConnections]);
   assert.match(refused.text, /^retry-after: \d+/im);
   const [first] = sockets;
-  first!.write(`GET /survey HTTP/1.1\r\nHost: ${READ_HOST}\r\nConnection: close\r\n\r\n`);
+  first!.write(`GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nConnection: close\r\n\r\n`);
   const [chunk] = (await once(first!, 'data')) as [Buffer];
   assert.match(chunk.toString(), /^HTTP\/1\.1 200 /);
   const closed = sockets.slice(1).map((socket) => once(socket, 'close'));
   for (const socket of sockets) socket.destroy();
   await Promise.all(closed);
   await waitUntilServing();
-  await assertUndisturbed();
+  await assertNodesHealthy();
 });
 
 test('randomly damaged requests never end the node or disturb others', async () => {
-  const base = makePost([KEY, 'Content-Length: 5', 'Accept: */*', 'Connection: close'], 'hello');
-  const damage = fc.record({
+  const base = makeBookingRequest(
+    [IDEMPOTENCY_KEY_LINE, 'Content-Length: 5', 'Accept: */*', 'Connection: close'],
+    'hello',
+  );
+  const mutation = fc.record({
     at: fc.nat(base.length),
     removed: fc.nat(6),
     inserted: fc.string({ unit: 'binary-ascii', maxLength: 6 }),
   });
   await fc.assert(
-    fc.asyncProperty(fc.array(damage, { minLength: 1, maxLength: 4 }), async (damages) => {
+    fc.asyncProperty(fc.array(mutation, { minLength: 1, maxLength: 4 }), async (mutations) => {
       let text = base;
-      for (const { at, removed, inserted } of damages) {
+      for (const { at, removed, inserted } of mutations) {
         text = text.slice(0, at) + inserted + text.slice(at + removed);
       }
-      const { results, statuses } = await requestRaw(address, [text], { end: true });
+      const { results, statuses } = await sendRawRequest(address, [text], { isHalfClosing: true });
       // Every answer is numbered; a connection may also end without one.
       return results.length === statuses.length;
     }),
     { seed: FUZZ_SEED, numRuns: FUZZ_RUNS },
   );
-  await assertUndisturbed();
+  await assertNodesHealthy();
 });
--- a/packages/lab/src/badInput/node/rawCaller.ts
+++ b/packages/lab/src/badInput/node/rawHttpClient.ts
@@ -3,7 +3,7 @@
 import { parseTargetAddress } from '@parsleymux/routing';
 
 /** Longest wait for the far end to close, in ms; far above any limit of the node in these tests. */
-const GIVE_UP_MS = 20_000;
+const CLOSE_TIMEOUT_MS = 20_000;
 
 /** What came back on one connection until it closed. */
 export interface IRawExchange {
@@ -15,49 +15,49 @@
   /** Values of `parsleymux-run-state` in their order. */
   readonly runStates: readonly string[];
   /** Whether the node closed the connection; false when the caller gave up waiting. */
-  readonly wasClosed: boolean;
+  readonly isClosedByNode: boolean;
 }
 
 /** Options of {@link exchangeRaw}. */
-export interface IRawOptions {
+export interface IRawRequestOptions {
   /** Close the caller's side after writing. Default false. */
-  readonly end?: boolean;
+  readonly isHalfClosing?: boolean;
 }
 
 /**
  * Writes bytes on a new connection and reads until it closes.
  *
  * @example
- * const { results } = await requestRaw(address, ['GARBAGE\r\n\r\n']);
+ * const { results } = await sendRawRequest(address, ['GARBAGE\r\n\r\n']);
  */
-export function requestRaw(
+export function sendRawRequest(
   address: string,
   parts: readonly (string | Buffer)[],
-  options: IRawOptions = {},
+  options: IRawRequestOptions = {},
 ): Promise<IRawExchange> {
   return new Promise((resolve) => {
     const socket = connect(parseTargetAddress(address));
     const chunks: Buffer[] = [];
-    let wasClosed = true;
+    let isClosedByNode = true;
     const timer = setTimeout(() => {
-      wasClosed = false;
+      isClosedByNode = false;
       socket.destroy();
-    }, GIVE_UP_MS);
+    }, CLOSE_TIMEOUT_MS);
     socket.on('error', () => undefined);
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
     socket.on('close', () => {
       clearTimeout(timer);
-      resolve(toExchange(Buffer.concat(chunks).toString('latin1'), wasClosed));
+      resolve(parseExchange(Buffer.concat(chunks).toString('latin1'), isClosedByNode));
     });
     for (const part of parts) socket.write(part, 'latin1');
-    if (options.end === true) socket.end();
+    if (options.isHalfClosing === true) socket.end();
   });
 }
 
-function toExchange(text: string, wasClosed: boolean): IRawExchange {
+function parseExchange(text: string, isClosedByNode: boolean): IRawExchange {
   return {
     text,
-    wasClosed,
+    isClosedByNode,
     statuses: findAll(text, /HTTP\/1\.1 (\d{3}) /g).map(Number),
     results: findAll(text, /^parsleymux-result: (\d+)/gim).map(Number),
     runStates: findAll(text, /^parsleymux-run-state: (\S+)/gim),
--- a/packages/lab/src/badInput/node/tlsPorts.test.ts
+++ b/packages/lab/src/badInput/node/tlsPorts.test.ts
@@ -14,7 +14,7 @@
 import { startPlatform } from '../../processes/node/platformProcess.js';
 import { ProcessFleet } from '../../processes/node/processFleet.js';
 import { Program } from '../../processes/node/programs.js';
-import { requestRaw } from './rawCaller.js';
+import { sendRawRequest } from './rawHttpClient.js';
 
 const READY_POLL_MS = 20;
 const fleet = new ProcessFleet();
@@ -94,11 +94,11 @@
 
 test('plain text on a TLS port brings nothing but the end of its connection', async () => {
   for (const address of [node.caller, node.admin]) {
-    const { statuses, wasClosed } = await requestRaw(address, [
+    const { statuses, isClosedByNode } = await sendRawRequest(address, [
       'GET / HTTP/1.1\r\nHost: x\r\n\r\n',
     ]);
     assert.deepEqual(statuses, []);
-    assert.ok(wasClosed);
+    assert.ok(isClosedByNode);
   }
   const { headers } = await send(node.caller, {});
   assert.equal(headers['parsleymux-result'], String(ResultCode.UnknownHost));
--- a/packages/lab/src/demo/node/checkList.ts
+++ b/packages/lab/src/demo/node/checkList.ts
@@ -11,12 +11,12 @@
   private failures = 0;
 
   /** Prints one line and remembers a failure. */
-  check(name: string, holds: boolean, detail: string): void {
-    if (!holds) this.failures += 1;
-    console.log(`${holds ? 'PASS' : 'FAIL'}  ${name}: ${detail}`);
+  check(name: string, isPassed: boolean, detail: string): void {
+    if (!isPassed) this.failures += 1;
+    console.log(`${isPassed ? 'PASS' : 'FAIL'}  ${name}: ${detail}`);
   }
 
-  getFailures(): number {
+  getFailureCount(): number {
     return this.failures;
   }
 }
--- a/packages/lab/src/demo/node/main.ts
+++ b/packages/lab/src/demo/node/main.ts
@@ -12,7 +12,7 @@
 import { LabWorld } from '../../processes/node/labWorld.js';
 import { ReadyBalancer } from '../../processes/node/readyBalancer.js';
 import { LiveSummary } from './liveSummary.js';
-import { runOnce } from './onceScript.js';
+import { runScriptedDemo } from './scriptedDemo.js';
 
 const SEED = 1;
 /** Time for the confirmed configuration to come into force everywhere, in ms. */
@@ -33,7 +33,7 @@
   const load = store.add(new LoadGenerator({ workloads: makeWorkloads(), balancer, seed: SEED }));
   store.add(new LiveSummary({ load, world, balancer }));
   load.start();
-  if (values.once) return await runOnce(world, load);
+  if (values.once) return await runScriptedDemo(world, load);
   console.log(`callers are served at ${balancer.pick() ?? 'no node'}; Ctrl-C ends the demo`);
   return await new Promise<number>(() => undefined);
 }
--- a/packages/lab/src/demo/node/onceScript.ts
+++ b/packages/lab/src/demo/node/scriptedDemo.ts
@@ -11,34 +11,34 @@
 
 const GRAY_AFTER_MS = 2000;
 const KILL_AFTER_MS = 2500;
-const REST_MS = 6000;
+const RECOVERY_MS = 6000;
 /** Requests that were in the killed node may end unknown; more than this is another fault. */
-const LEAST_SHARE_DONE = 0.95;
+const MIN_COMPLETED_SHARE = 0.95;
 /** The last seconds of traffic, in which the gray target is to be out of use. */
-const LAST_MS = 3000;
+const FINAL_WINDOW_MS = 3000;
 /** Of a fair share: trials of an ejected target go on. */
-const MOST_GRAY_SHARE = 0.5;
+const MAX_GRAY_SHARE = 0.5;
 
 /**
  * Runs the script; returns the number of checks that failed.
  *
  * @example
- * process.exitCode = (await runOnce(world, load)) === 0 ? 0 : 1;
+ * process.exitCode = (await runScriptedDemo(world, load)) === 0 ? 0 : 1;
  */
-export async function runOnce(world: LabWorld, load: LoadGenerator): Promise<number> {
+export async function runScriptedDemo(world: LabWorld, load: LoadGenerator): Promise<number> {
   await sleep(GRAY_AFTER_MS);
   const gray = await makeSurveyTargetGray(world);
   await sleep(KILL_AFTER_MS);
   await endOneNode(world);
-  await sleep(REST_MS);
+  await sleep(RECOVERY_MS);
   const endMs = Date.now();
   await load.stop();
   const executions = await world.fetchExecutions();
-  const verdict = compareOutcomes(load.getRecords(), executions);
+  const comparison = compareOutcomes(load.getRecords(), executions);
   const checks = new CheckList();
-  await checkAll(world, load, verdict, checks);
+  await checkAll(world, load, comparison, checks);
   checkDetection(world, gray, executions, endMs, checks);
-  return checks.getFailures();
+  return checks.getFailureCount();
 }
 
 /** The gray target's work in the last seconds of traffic, against its fair share. */
@@ -52,12 +52,12 @@
   const peers = world.getPlaces().filter(({ service }) => service === gray.service);
   const late = executions.filter(({ target, startedAtMs }) => {
     const isPeer = peers.some(({ address }) => address === target);
-    return isPeer && startedAtMs > endMs - LAST_MS && startedAtMs <= endMs;
+    return isPeer && startedAtMs > endMs - FINAL_WINDOW_MS && startedAtMs <= endMs;
   });
   const atGray = late.filter(({ target }) => target === gray.address).length;
   checks.check(
     'gray target lost its traffic',
-    atGray * peers.length < late.length * MOST_GRAY_SHARE,
+    atGray * peers.length < late.length * MAX_GRAY_SHARE,
     `${atGray} of the last ${late.length} survey requests, ${peers.length} targets`,
   );
 }
@@ -80,26 +80,26 @@
 async function checkAll(
   world: LabWorld,
   load: LoadGenerator,
-  verdict: IVerdict,
+  comparison: IVerdict,
   checks: CheckList,
 ): Promise<void> {
   const answered = load.summarize().find(({ outcome }) => outcome.startsWith('answered'));
   const answeredCount = answered?.count ?? 0;
   checks.check(
     'requests answered',
-    answeredCount >= LEAST_SHARE_DONE * verdict.requests && verdict.requests > 0,
-    `${answeredCount} of ${verdict.requests}`,
+    answeredCount >= MIN_COMPLETED_SHARE * comparison.requests && comparison.requests > 0,
+    `${answeredCount} of ${comparison.requests}`,
   );
   checks.check(
     'bookings and orders done',
-    verdict.bookingsDone >= LEAST_SHARE_DONE * verdict.bookings && verdict.bookings > 0,
-    `${verdict.bookingsDone} of ${verdict.bookings}`,
+    comparison.bookingsDone >= MIN_COMPLETED_SHARE * comparison.bookings && comparison.bookings > 0,
+    `${comparison.bookingsDone} of ${comparison.bookings}`,
   );
   for (const promise of ['whole answers', 'at most once', 'truthful refusals']) {
-    const broken = verdict.findings.filter((finding) => finding.promise === promise);
+    const violated = comparison.findings.filter((finding) => finding.promise === promise);
     const first =
-      broken[0] === undefined ? '' : `, first ${broken[0].requestId}: ${broken[0].detail}`;
-    checks.check(promise, broken.length === 0, `${broken.length} broken${first}`);
+      violated[0] === undefined ? '' : `, first ${violated[0].requestId}: ${violated[0].detail}`;
+    checks.check(promise, violated.length === 0, `${violated.length} broken${first}`);
   }
   const violations = await readViolations(world.getNodes());
   const total = violations.reduce((sum, { count }) => sum + count, 0);
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -51,7 +51,7 @@
   }
 }
 
-class EmptyCaseStore extends QuarantineStore {
+class EmptyQuarantineStore extends QuarantineStore {
   override readAll(): Promise<never[]> {
     return Promise.resolve([]);
   }
@@ -80,7 +80,7 @@
 }
 
 /** Callers that say nothing beyond HTTP. */
-class SilentCallers extends CallerProtocol {
+class BareCallerProtocol extends CallerProtocol {
   override getRequestId(): undefined {
     return undefined;
   }
@@ -142,9 +142,9 @@
   const node = new DirectNode({
     settings,
     authority: new EmptyAuthority(),
-    quarantineStore: new EmptyCaseStore(),
+    quarantineStore: new EmptyQuarantineStore(),
     protocol: {
-      callers: new SilentCallers(),
+      callers: new BareCallerProtocol(),
       targets: new MuxTargetProtocol(),
       isAuthentic: () => true,
       listTargetHeaders: () => [],
--- a/packages/lab/src/tls/node/tlsFleet.test.ts
+++ b/packages/lab/src/tls/node/tlsFleet.test.ts
@@ -55,19 +55,19 @@
 async function fetchSurvey(node: NodeProcess, ca: Buffer): Promise<number> {
   const pool = new Pool(`https://${node.addresses.caller}`, { connect: { ca } });
   try {
-    const answer = await pool.request({
+    const response = await pool.request({
       method: 'GET',
       path: '/surveys/1',
       headers: { host: SURVEY_HOST, 'x-request-id': '1' },
     });
-    await answer.body.dump();
-    return answer.statusCode;
+    await response.body.dump();
+    return response.statusCode;
   } finally {
     await pool.close();
   }
 }
 
-async function readHopAnswers(nodes: readonly NodeProcess[]): Promise<number> {
+async function readHopResponseCount(nodes: readonly NodeProcess[]): Promise<number> {
   const texts = await Promise.all(nodes.map((node) => node.fetchMetrics()));
   return texts
     .map((text) => /hop_tries_total\{outcome="answered"\} (\d+)/.exec(text ?? '')?.[1])
@@ -97,7 +97,7 @@
       statuses.push(await fetchSurvey(node, ca));
     }
     assert.deepEqual(new Set(statuses), new Set([200]));
-    assert.ok((await readHopAnswers(nodes)) > 0);
+    assert.ok((await readHopResponseCount(nodes)) > 0);
   });
   await t.test(
     'a stranger without certificate, or without the fleet key, gets nothing',
--- a/packages/lab/src/walkthrough/common/walkthroughText.ts
+++ b/packages/lab/src/walkthrough/common/walkthroughText.ts
@@ -14,7 +14,7 @@
 }
 
 const BLOCK = /^```(\w+)(?: (\S+))?\n([\s\S]*?)^```$/gm;
-const ANYTHING = '…';
+const WILDCARD = '…';
 
 /**
  * Reads the page's blocks: `sh` is run, `text` is expected of the `sh` before it, and any other
@@ -29,7 +29,7 @@
   for (const [, language, name, content = ''] of page.matchAll(BLOCK)) {
     if (language === 'sh') steps.push({ commands: content, expectedLines: [] });
     else if (name !== undefined) files.set(name, content);
-    else if (language === 'text') setExpected(steps, content);
+    else if (language === 'text') setExpectedLines(steps, content);
   }
   return { steps, files };
 }
@@ -52,7 +52,7 @@
   return undefined;
 }
 
-function setExpected(
+function setExpectedLines(
   steps: { commands: string; expectedLines: readonly string[] }[],
   content: string,
 ): void {
@@ -65,7 +65,7 @@
 function makePattern(line: string): RegExp {
   const parts = line
     .trim()
-    .split(ANYTHING)
+    .split(WILDCARD)
     .map((part) => {
       return part
         .trim()
--- a/packages/lab/src/walkthrough/node/walkthroughRun.ts
+++ b/packages/lab/src/walkthrough/node/walkthroughRun.ts
@@ -6,7 +6,7 @@
 import type { IWalkthrough } from '../common/walkthroughText.js';
 
 const SEPARATOR = '@@ end of step @@';
-const LIMIT_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 
 /** What the shell printed. */
 export interface IWalkthroughResult {
@@ -45,7 +45,7 @@
       PARSLEYCTL_ADMIN: adminUrl,
     },
     stdio: ['ignore', 'pipe', 'pipe'],
-    timeout: LIMIT_MS,
+    timeout: TIMEOUT_MS,
   });
   let output = '';
   let errors = '';
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -9,7 +9,7 @@
 const TEST_TIMEOUT_MS = 240_000;
 
 /** Tests that may fail; they are printed, and anything else that fails is a failure. */
-function readKnownRed() {
+function readKnownFailures() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
   return lines
@@ -29,7 +29,7 @@
 }
 
 const filters = process.argv.slice(2);
-const knownRed = readKnownRed();
+const knownFailures = readKnownFailures();
 const files = [...readdirSync('packages').map((name) => join('packages', name)), 'platform']
   .map((path) => join(path, 'dist'))
   .filter((path) => existsSync(path))
@@ -38,7 +38,7 @@
   .sort();
 
 let passed = 0;
-const red = [];
+const expectedFailures = [];
 const failed = [];
 const stream = run({ files, concurrency: TEST_CONCURRENCY, timeout: TEST_TIMEOUT_MS });
 stream.on('test:pass', (event) => {
@@ -46,10 +46,10 @@
 });
 stream.on('test:fail', (event) => {
   if (event.details.error?.failureType === 'subtestsFailed') return;
-  (knownRed.includes(event.name) ? red : failed).push(event.name);
+  (knownFailures.includes(event.name) ? expectedFailures : failed).push(event.name);
 });
 stream.on('end', () => {
-  for (const name of red) console.log(`known red: ${name}`);
+  for (const name of expectedFailures) console.log(`known red: ${name}`);
   for (const name of failed) console.log(`failed: ${name}`);
   console.log(`${passed} passed, ${failed.length} failed`);
   process.exit(failed.length === 0 && passed > 0 ? 0 : 1);
