--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -2,7 +2,7 @@
 import prettier from 'eslint-config-prettier';
 import tseslint from 'typescript-eslint';
 
-/** Packages from the lowest layer to the highest; a package imports only from those before it. */
+/** Packages from the lowest layer to the highest; a package imports only from the layers before it. */
 const LAYERS = [
   'base',
   'schema',
@@ -19,13 +19,13 @@
   'lab',
 ];
 
-/** Binaries carry their product name on the registry; every other package is scoped. */
+/** Packages with binaries are published under the product's name; all others are scoped. */
 const PACKAGE_NAMES = new Map([
   ['node', 'parsleymux'],
   ['ctl', 'parsleyctl'],
 ]);
 
-/** The verbs that functions may begin with. docs/NAMING.md gives the meaning of each. */
+/** The verbs that function names may begin with; docs/NAMING.md gives the meaning of each. */
 const VERBS =
   'accept|add|advance|announce|apply|assert|audit|build|cancel|check|choose|claim|clear|close|commit|compare|compute|' +
   'confirm|copy|count|create|decide|decode|describe|discard|dispatch|dispose|eject|' +
@@ -38,10 +38,10 @@
 
 const VERB_RULE = { regex: `^(${VERBS})([A-Z0-9].*)?$`, match: true };
 
-/** The adapter to the users' platform lies beside the packages, above these layers. */
+/** The layers that the adapter to the users' platform, which lies beside the packages, may import. */
 const ADAPTER_LAYERS = new Set(['base', 'schema', 'routing', 'dispatch']);
 
-/** A pattern that matches every package at or above `index`, and the stand-ins for all but the lab. */
+/** Formats a pattern that matches all packages at or above `index`, and the stand-ins except for the lab. */
 function formatForbiddenPattern(layer, index) {
   const forbidden = new Set(LAYERS.slice(index));
   if (layer !== 'lab') forbidden.add('standins');
@@ -50,13 +50,13 @@
   return `^(${names.join('|')})(/|$)`;
 }
 
-/** The adapter composes the product; nothing of the product knows of the adapter. */
+/** The adapter imports the product's packages; no package of the product imports the adapter. */
 function makeAdapterRule() {
   const forbidden = LAYERS.filter((layer) => !ADAPTER_LAYERS.has(layer));
   const names = forbidden.map((name) => PACKAGE_NAMES.get(name) ?? `@parsleymux/${name}`);
   return {
     files: ['platform/src/**/*.ts'],
-    // What several tests share plays the users' side with stand-ins, as the tests do.
+    // Helpers of tests simulate the users' platform with stand-ins, as the tests do.
     ignores: ['**/*.test.ts', 'platform/src/test/**'],
     rules: {
       'no-restricted-imports': [
@@ -65,7 +65,8 @@
           patterns: [
             {
               regex: `^(${names.join('|')})(/|$)`,
-              message: 'The adapter translates; see docs/ARCHITECTURE.md.',
+              message:
+                'The adapter only translates and may not import this layer; see docs/ARCHITECTURE.md.',
             },
           ],
         },
@@ -84,7 +85,7 @@
           patterns: [
             {
               regex: formatForbiddenPattern(layer, index),
-              message: 'Layers import only downward; see docs/ARCHITECTURE.md.',
+              message: 'A package may import only from lower layers; see docs/ARCHITECTURE.md.',
             },
           ],
         },
@@ -158,12 +159,13 @@
         'error',
         {
           selector: 'ImportDeclaration[source.value=/[/]node[/]/]',
-          message: 'Files under common/ do not import from node/.',
+          message: 'Files under common/ may not import from node/.',
         },
         {
           selector:
             'ImportDeclaration[source.value=/^node:(http|https|net|tls|fs|child_process)$/]',
-          message: 'Files under common/ reach the machine only through injected services.',
+          message:
+            'Files under common/ access the operating system only through injected services.',
         },
       ],
     },
--- a/packages/lab/src/badInput/common/requestCases.ts
+++ b/packages/lab/src/badInput/common/requestCases.ts
@@ -1,21 +1,21 @@
-/** Requests that no node may serve. */
+/** Malformed, unroutable and ambiguous requests that a node must reject. */
 import { ResultCode } from '@parsleymux/base';
 
-/** Host name of a route that is idempotent. */
+/** Host of the survey service's route, which is idempotent. */
 export const SURVEY_HOST = 'survey.relinieri.example';
 const BOOKING_HOST = 'booking.relinieri.example';
 
-/** A request of the booking service's route, which is not idempotent. */
+/** Builds a request to the booking service's route, which is not idempotent. */
 export function makeBookingRequest(lines: readonly string[], body = ''): string {
   return `POST /booking HTTP/1.1\r\nHost: ${BOOKING_HOST}\r\n${lines.join('\r\n')}\r\n\r\n${body}`;
 }
 
-/** What a second parser would take for a request of its own. */
+/** Bytes that a parser which ends the body earlier reads as a second request. */
 const SMUGGLED = `GET /smuggled HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\n\r\n`;
-/** A header line that names a booking. */
+/** A header line with a valid idempotency key. */
 export const IDEMPOTENCY_KEY_LINE = 'Idempotency-Key: k-1';
 
-/** Requests that are wrong by themselves, with the number that answers them. */
+/** Requests that are invalid on their own, with the result code of the response. */
 export const REFUSED_REQUESTS: readonly (readonly [name: string, code: number, request: string])[] =
   [
     ['no HTTP at all', ResultCode.MalformedRequest, 'GARBAGE\r\n\r\n'],
@@ -41,7 +41,7 @@
       `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nHost: other.example\r\nConnection: close\r\n\r\n`,
     ],
     [
-      'an expectation that is not known',
+      'an unknown expectation',
       ResultCode.MalformedRequest,
       `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nExpect: wonders\r\nConnection: close\r\n\r\n`,
     ],
@@ -71,7 +71,7 @@
       makeBookingRequest(['Content-Length: 0', 'Connection: close']),
     ],
     [
-      'a key of other than visible ASCII',
+      'a key with characters other than visible ASCII',
       ResultCode.IdempotencyKeyMalformed,
       makeBookingRequest(['Idempotency-Key: a b', 'Content-Length: 0', 'Connection: close']),
     ],
@@ -103,7 +103,7 @@
     }),
   ];
 
-/** Requests whose end two parsers could see at different bytes; the rest would be a request of its own. */
+/** Requests whose end is ambiguous: another parser could read the remaining bytes as a second request. */
 export const SMUGGLING_REQUESTS: readonly (readonly [name: string, request: string])[] = [
   [
     'content-length and transfer-encoding',
@@ -120,7 +120,7 @@
     ),
   ],
   [
-    'two lengths that differ',
+    'two different lengths',
     makeBookingRequest(
       [IDEMPOTENCY_KEY_LINE, 'Content-Length: 0', `Content-Length: ${SMUGGLED.length}`],
       SMUGGLED,
@@ -157,28 +157,28 @@
     ),
   ],
   [
-    'an encoding that is not the last',
+    'chunked followed by another encoding',
     makeBookingRequest(
       [IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: chunked, identity'],
       `0\r\n\r\n${SMUGGLED}`,
     ),
   ],
   [
-    'an encoding that looks like chunked',
+    'an encoding whose name resembles chunked',
     makeBookingRequest(
       [IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: xchunked', 'Content-Length: 6'],
       `0\r\n\r\n${SMUGGLED}`,
     ),
   ],
   [
-    'a chunk size with an odd sign',
+    'a negative chunk size',
     makeBookingRequest(
       [IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: chunked'],
       `-1\r\n\r\n${SMUGGLED}`,
     ),
   ],
   [
-    'a chunk longer than it says',
+    'a chunk longer than its declared size',
     makeBookingRequest(
       [IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: chunked'],
       `1\r\nxx\r\n0\r\n\r\n${SMUGGLED}`,
@@ -193,7 +193,7 @@
   ],
 ];
 
-/** What is refused before any route is looked for, on whatever port. */
+/** Requests that are rejected on any port, before a route is looked up. */
 export const REFUSED_ON_ANY_PORT: readonly (readonly [
   name: string,
   code: number,
--- a/packages/lab/src/badInput/node/commandLine.test.ts
+++ b/packages/lab/src/badInput/node/commandLine.test.ts
@@ -29,7 +29,7 @@
 
 async function run(args: readonly string[]) {
   const child = fleet.start({ name: 'node', script: Program.Node, args: [...args] });
-  // Whatever ends before it is ready rejects; how it ended is looked at below.
+  // Rejects when the process exits before it is ready; the tests check the exit code instead.
   child.waitForReady().catch(() => undefined);
   const { code } = await child.waitForEnd();
   return { code, output: child.getOutputLines(), errors: child.getErrorLines() };
@@ -41,7 +41,7 @@
   return path;
 }
 
-test('valid settings are said to be valid', async () => {
+test('valid settings are reported as valid', async () => {
   const file = await writeSettings('valid.jsonc', JSON.stringify(VALID));
   const { code, output } = await run(['check-settings', file]);
   assert.equal(code, 0);
@@ -49,7 +49,7 @@
 });
 
 for (const command of ['check-settings', 'serve']) {
-  test(`${command}: every problem of a file is named with its line, and nothing starts`, async () => {
+  test(`${command}: every problem in a file is reported with its line, and nothing starts`, async () => {
     const wrong = { ...VALID, failureDomain: 'No rth', timming: {}, timing: { configPollMs: 1 } };
     const file = await writeSettings('wrong.jsonc', JSON.stringify(wrong, undefined, 2));
     const { code, output, errors } = await run([command, file]);
@@ -67,17 +67,17 @@
 }
 
 for (const [name, args] of [
-  ['a file that is not there', ['check-settings', '/nowhere/node.jsonc']],
+  ['a missing file', ['check-settings', '/nowhere/node.jsonc']],
   ['a directory', ['check-settings', '/']],
 ] as const) {
-  test(`${name}: a numbered error`, async () => {
+  test(`${name}: an error with a result code`, async () => {
     const { code, errors } = await run(args);
     assert.equal(code, 2);
     assert.match(errors.at(-1) ?? '', /result 6001 SettingsInvalid/);
   });
 }
 
-test('TLS files that are not there keep the node from starting, with the port named', async () => {
+test('missing TLS files keep the node from starting, and the error names the port', async () => {
   const tls = { certificateFile: join(folder, 'no.pem'), keyFile: join(folder, 'no.key') };
   const text = JSON.stringify({ ...VALID, security: { callerTls: tls } });
   const { code, errors } = await run(['serve', await writeSettings('tls.jsonc', text)]);
@@ -91,7 +91,7 @@
   ['serve', 'a', 'b'],
   ['check-settings', '--wat', 'f'],
 ]) {
-  test(`"${args.join(' ')}": usage and a numbered error`, async () => {
+  test(`"${args.join(' ')}": usage and an error with a result code`, async () => {
     const { code, errors } = await run(args);
     assert.equal(code, 2);
     assert.match(errors.at(-1) ?? '', /result 6002 UsageError/);
--- a/packages/lab/src/badInput/node/fuzz.test.ts
+++ b/packages/lab/src/badInput/node/fuzz.test.ts
@@ -43,7 +43,7 @@
   }, text);
 }
 
-const JSON_PIECES = fc.constantFrom(
+const JSON_TOKENS = fc.constantFrom(
   '{',
   '}',
   '[',
@@ -68,10 +68,10 @@
   ['settings', SETTINGS, (mutated: string) => parseSettings(mutated, 'f')],
   ['intents', INTENT, (mutated: string) => checkMessageText(IntentSchema, mutated, 'f')],
 ] as const) {
-  test(`mutated ${name} are accepted or refused with places that exist, and nothing else`, () => {
+  test(`mutated ${name} are accepted or rejected with valid positions, and never fail otherwise`, () => {
     assert.doesNotThrow(() => check(text));
     fc.assert(
-      fc.property(makeMutations(text.length, JSON_PIECES), (mutations) => {
+      fc.property(makeMutations(text.length, JSON_TOKENS), (mutations) => {
         const mutated = applyMutations(text, mutations);
         try {
           check(mutated);
@@ -89,7 +89,7 @@
   });
 }
 
-test('mutated answers of targets are whole answers or transport errors, and nothing else', async (t) => {
+test('a mutated response of a target is either complete or a transport error', async (t) => {
   let response = '';
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
@@ -114,9 +114,9 @@
   const { signal } = new AbortController();
   const mutated = fc
     .constantFrom(...RESPONSES)
-    .chain((whole) =>
-      makeMutations(whole.length, fc.string({ unit: 'binary-ascii', maxLength: 6 })).map(
-        (mutations) => applyMutations(whole, mutations),
+    .chain((complete) =>
+      makeMutations(complete.length, fc.string({ unit: 'binary-ascii', maxLength: 6 })).map(
+        (mutations) => applyMutations(complete, mutations),
       ),
     );
   await fc.assert(
--- a/packages/lab/src/badInput/node/malformedRequests.test.ts
+++ b/packages/lab/src/badInput/node/malformedRequests.test.ts
@@ -54,7 +54,7 @@
   }
 }
 
-/** The node lives, serves, and has seen none of its invariants broken. */
+/** Checks that all nodes run, serve valid requests and have counted no invariant violation. */
 async function assertNodesHealthy(): Promise<void> {
   assert.deepEqual((await sendValidRequest()).statuses, [200]);
   for (const node of world.getNodes()) {
@@ -65,7 +65,7 @@
 }
 
 for (const [name, code, request] of REFUSED_REQUESTS) {
-  test(`${name}: refused with ${code}, not run, and nothing is disturbed`, async () => {
+  test(`${name}: rejected with ${code}, not run, and the nodes keep serving`, async () => {
     const exchange = await sendRawRequest(address, [request]);
     assert.deepEqual(exchange.results, [code], exchange.text);
     assert.deepEqual(exchange.runStates, ['not-run']);
@@ -75,10 +75,10 @@
 }
 
 for (const [name, request] of SMUGGLING_REQUESTS) {
-  test(`smuggling by ${name} is refused and reaches no target`, async () => {
-    // Symptom: a target executes a request that no caller sent, or a caller gets another's answer.
-    // Sequence: a request whose end is ambiguous passes a proxy before or behind this one that
-    // reads it the other way. Cause: forwarding what can be read in two ways.
+  test(`request smuggling by ${name} is rejected and reaches no target`, async () => {
+    // Guards against forwarding a request whose end is ambiguous. Another proxy on its path reads it
+    // differently: a target executes a request that no caller sent, or a caller receives the response
+    // to another caller's request.
     const exchange = await sendRawRequest(address, [request], { isHalfClosing: true });
     assert.deepEqual(exchange.results, [ResultCode.MalformedRequest], exchange.text);
     assert.deepEqual(exchange.runStates, ['not-run']);
@@ -89,14 +89,14 @@
 }
 
 for (const [name, code, request] of REFUSED_ON_ANY_PORT) {
-  test(`${name} on the port of operators: refused with ${code}, and nothing is disturbed`, async () => {
+  test(`${name} on the admin port: rejected with ${code}, and the nodes keep serving`, async () => {
     const exchange = await sendRawRequest(world.getNodes()[0]!.addresses.admin, [request]);
     assert.deepEqual(exchange.results, [code], exchange.text);
     await assertNodesHealthy();
   });
 }
 
-test('a chunked body above the limit is refused while it arrives', async () => {
+test('a chunked body is rejected as soon as it exceeds the limit', async () => {
   const chunk = `10000\r\n${'x'.repeat(0x10000)}\r\n`;
   const head = makeBookingRequest([IDEMPOTENCY_KEY_LINE, 'Transfer-Encoding: chunked']);
   const exchange = await sendRawRequest(address, [head, ...new Array<string>(20).fill(chunk)]);
@@ -104,11 +104,10 @@
   await assertNodesHealthy();
 });
 
-test('garbage behind a request never looks like the answer to that request', async () => {
-  // Symptom: a caller is told "not run" of a booking that runs.
-  // Sequence: a valid request is in flight; bytes that are no request follow on its connection;
-  // the node writes its refusal of those bytes. Cause: answers are matched by their order alone,
-  // so the refusal takes the place of the first answer.
+test('the error for garbage after a request is never taken for the response to that request', async () => {
+  // Guards against reporting "not run" for a booking that runs: invalid bytes follow a request in
+  // flight on the same connection, and the node writes the error for them first. Responses are
+  // matched by order alone, so the caller takes that error for the response to its booking.
   const valid = makeBookingRequest(['Idempotency-Key: k-garbage', 'Content-Length: 0']);
   const exchange = await sendRawRequest(address, [valid, 'GARBAGE\r\n\r\n']);
   if (exchange.results[0] !== undefined) {
@@ -117,14 +116,14 @@
   await assertNodesHealthy();
 });
 
-test('two requests at once on one connection are answered in their order', async () => {
+test('two pipelined requests on one connection are answered in order', async () => {
   const bad = `GET / HTTP/1.1\r\nHost: nobody.example\r\nConnection: close\r\n\r\n`;
   const good = `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\n\r\n`;
   const exchange = await sendRawRequest(address, [good + bad]);
   assert.deepEqual(exchange.results, [ResultCode.Ok, ResultCode.UnknownHost]);
 });
 
-test('a caller cannot speak for the fleet: headers of the project are not passed on', async () => {
+test('a caller cannot impersonate the fleet: its parsleymux headers are not forwarded', async () => {
   const lines = [
     'Parsleymux-Hop-Member: donautal',
     'Parsleymux-Result: 0',
@@ -141,10 +140,9 @@
   ['a header', `GET /survey HTTP/1.1\r\nHost: ${SURVEY_HOST}\r\nX: `],
   ['a body', makeBookingRequest([IDEMPOTENCY_KEY_LINE, 'Content-Length: 10'], 'half')],
 ] as const) {
-  test(`${name} that never ends is refused in time, and others are served meanwhile`, async () => {
-    // Symptom: the node accepts no connections any more though it is idle.
-    // Sequence: callers open connections and send a byte now and then, never a whole request.
-    // Cause: without a bound on its arrival each such request holds a connection for ever.
+  test(`${name} that never ends times out, and other callers are served meanwhile`, async () => {
+    // Guards against an idle node that accepts no connections: callers open connections and never
+    // complete a request, and without a timeout each of them holds its connection forever.
     const slow = Array.from({ length: CONNECTION_LIMIT / 2 }, () =>
       sendRawRequest(address, [request]),
     );
@@ -157,7 +155,7 @@
   });
 }
 
-test('connections above the limit are refused with a number, those below go on', async () => {
+test('connections above the limit are rejected with a result code, and the others are served', async () => {
   const sockets = await Promise.all(
     Array.from({ length: CONNECTION_LIMIT }, async () => {
       const socket = connect(parseTargetAddress(address));
@@ -179,7 +177,7 @@
   await assertNodesHealthy();
 });
 
-test('randomly damaged requests never end the node or disturb others', async () => {
+test('randomly mutated requests never crash a node or affect other callers', async () => {
   const base = makeBookingRequest(
     [IDEMPOTENCY_KEY_LINE, 'Content-Length: 5', 'Accept: */*', 'Connection: close'],
     'hello',
@@ -196,7 +194,7 @@
         text = text.slice(0, at) + inserted + text.slice(at + removed);
       }
       const { results, statuses } = await sendRawRequest(address, [text], { isHalfClosing: true });
-      // Every answer is numbered; a connection may also end without one.
+      // Every response has a result code; a connection may also close without a response.
       return results.length === statuses.length;
     }),
     { seed: FUZZ_SEED, numRuns: FUZZ_RUNS },
--- a/packages/lab/src/badInput/node/rawHttpClient.ts
+++ b/packages/lab/src/badInput/node/rawHttpClient.ts
@@ -1,31 +1,31 @@
-/** A caller made of a bare socket, for requests that no HTTP library would send. */
+/** An HTTP client on a plain socket, for malformed requests that no HTTP library sends. */
 import { connect } from 'node:net';
 import { parseTargetAddress } from '@parsleymux/routing';
 
-/** Longest wait for the far end to close, in ms; far above any limit of the node in these tests. */
+/** Longest wait for the node to close the connection; far above the node's timeouts in these tests. */
 const CLOSE_TIMEOUT_MS = 20_000;
 
-/** What came back on one connection until it closed. */
+/** The bytes received on one connection until it closed, and the headers found in them. */
 export interface IRawExchange {
   readonly text: string;
-  /** Status lines in their order. */
+  /** Status codes in the order of the responses. */
   readonly statuses: readonly number[];
-  /** Values of `parsleymux-result` in their order. */
+  /** Values of `parsleymux-result` in the order of the responses. */
   readonly results: readonly number[];
-  /** Values of `parsleymux-run-state` in their order. */
+  /** Values of `parsleymux-run-state` in the order of the responses. */
   readonly runStates: readonly string[];
-  /** Whether the node closed the connection; false when the caller gave up waiting. */
+  /** Whether the node closed the connection; false if the wait for it timed out. */
   readonly isClosedByNode: boolean;
 }
 
-/** Options of {@link exchangeRaw}. */
+/** Options of {@link sendRawRequest}. */
 export interface IRawRequestOptions {
-  /** Close the caller's side after writing. Default false. */
+  /** Whether to close the sending side after the request is written. Default false. */
   readonly isHalfClosing?: boolean;
 }
 
 /**
- * Writes bytes on a new connection and reads until it closes.
+ * Opens a connection, writes the parts and reads until the connection closes.
  *
  * @example
  * const { results } = await sendRawRequest(address, ['GARBAGE\r\n\r\n']);
--- a/packages/lab/src/badInput/node/tlsPorts.test.ts
+++ b/packages/lab/src/badInput/node/tlsPorts.test.ts
@@ -55,7 +55,10 @@
   await rm(folder, { recursive: true });
 });
 
-/** The ports are open before the configuration is known, and until then no host is unknown. */
+/**
+ * Waits for the node's configuration: the ports open before it arrives, and until then no host is
+ * reported as unknown.
+ */
 async function waitUntilConfigured(): Promise<void> {
   while ((await tryFetchText(node.status, '/ready')) === undefined) {
     await sleep(READY_POLL_MS);
@@ -75,24 +78,24 @@
     ...identity,
   });
   outgoing.end();
-  const [answer] = (await once(outgoing, 'response')) as [IncomingMessage];
-  answer.resume();
-  return answer;
+  const [response] = (await once(outgoing, 'response')) as [IncomingMessage];
+  response.resume();
+  return response;
 }
 
-test('callers are served over TLS, with numbered answers', async () => {
+test('callers are served over TLS, with result codes', async () => {
   const { headers } = await send(node.caller, {});
   assert.equal(headers['parsleymux-result'], String(ResultCode.UnknownHost));
   assert.equal(headers['parsleymux-run-state'], 'not-run');
 });
 
-test('operators need a certificate of the authority that the settings name', async () => {
+test('operators need a certificate issued by the configured client authority', async () => {
   await assert.rejects(send(node.admin, {}));
   const { statusCode } = await send(node.admin, client);
   assert.equal(statusCode, 404);
 });
 
-test('plain text on a TLS port brings nothing but the end of its connection', async () => {
+test('plain text on a TLS port closes the connection without a response', async () => {
   for (const address of [node.caller, node.admin]) {
     const { statuses, isClosedByNode } = await sendRawRequest(address, [
       'GET / HTTP/1.1\r\nHost: x\r\n\r\n',
--- a/packages/lab/src/demo/node/checkList.ts
+++ b/packages/lab/src/demo/node/checkList.ts
@@ -1,7 +1,7 @@
-/** Named checks, printed as they are decided. */
+/** Named checks whose results are printed immediately. */
 
 /**
- * Collects what passed and what did not.
+ * Prints the result of each check and counts the failures.
  *
  * @example
  * const checks = new CheckList();
@@ -10,7 +10,7 @@
 export class CheckList {
   private failures = 0;
 
-  /** Prints one line and remembers a failure. */
+  /** Prints one line with the result and counts a failure. */
   check(name: string, isPassed: boolean, detail: string): void {
     if (!isPassed) this.failures += 1;
     console.log(`${isPassed ? 'PASS' : 'FAIL'}  ${name}: ${detail}`);
--- a/packages/lab/src/demo/node/liveSummary.ts
+++ b/packages/lab/src/demo/node/liveSummary.ts
@@ -1,4 +1,4 @@
-/** A line every two seconds that tells how the callers fare. */
+/** Prints the outcomes, latencies and rate of the callers' requests every two seconds. */
 import type { IDisposable } from '@parsleymux/base';
 import type { LoadGenerator } from '../../load/node/loadGenerator.js';
 import type { LabWorld } from '../../processes/node/labWorld.js';
@@ -14,7 +14,7 @@
 }
 
 /**
- * Prints until it is disposed of.
+ * Prints a line per interval until it is disposed.
  *
  * @example
  * store.add(new LiveSummary({ load, world, balancer }));
--- a/packages/lab/src/demo/node/main.ts
+++ b/packages/lab/src/demo/node/main.ts
@@ -1,7 +1,8 @@
 /**
- * `npm run demo`: a platform, two members' targets and five nodes on loopback, all processes of
- * their own; intents submitted and confirmed by `parsleyctl`; then traffic until Ctrl-C.
- * `npm run demo -- --once`: ten seconds of it as a script that checks what it did; exits 0 or 1.
+ * `npm run demo`: starts a platform, the targets of two members and five nodes as separate processes
+ * on loopback, submits and confirms intents with `parsleyctl`, then sends traffic until Ctrl-C.
+ * `npm run demo -- --once`: sends traffic for ten seconds with faults, checks the results and exits
+ * with 0 or 1.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
@@ -15,7 +16,7 @@
 import { runScriptedDemo } from './scriptedDemo.js';
 
 const SEED = 1;
-/** Time for the confirmed configuration to come into force everywhere, in ms. */
+/** Time for the confirmed configuration to reach every node. */
 const SETTLE_MS = 1500;
 
 const { values } = parseArgs({ options: { once: { type: 'boolean', default: false } } });
@@ -34,7 +35,7 @@
   store.add(new LiveSummary({ load, world, balancer }));
   load.start();
   if (values.once) return await runScriptedDemo(world, load);
-  console.log(`callers are served at ${balancer.pick() ?? 'no node'}; Ctrl-C ends the demo`);
+  console.log(`serving callers at ${balancer.pick() ?? 'no node'}; press Ctrl-C to stop`);
   return await new Promise<number>(() => undefined);
 }
 
--- a/packages/lab/src/demo/node/scriptedDemo.ts
+++ b/packages/lab/src/demo/node/scriptedDemo.ts
@@ -1,4 +1,4 @@
-/** The demo as a script: ten seconds of traffic, a node killed, a target gray, then checks. */
+/** The scripted demo: ten seconds of traffic with a gray target and a killed node, then checks. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IExecution } from '@parsleymux/standins';
 import type { LoadGenerator } from '../../load/node/loadGenerator.js';
@@ -12,15 +12,18 @@
 const GRAY_AFTER_MS = 2000;
 const KILL_AFTER_MS = 2500;
 const RECOVERY_MS = 6000;
-/** Requests that were in the killed node may end unknown; more than this is another fault. */
+/**
+ * Least share of requests that complete. Requests in flight on the killed node may end with an unknown
+ * outcome; a lower share has another cause.
+ */
 const MIN_COMPLETED_SHARE = 0.95;
-/** The last seconds of traffic, in which the gray target is to be out of use. */
+/** The end of the traffic, by which the gray target must be ejected. */
 const FINAL_WINDOW_MS = 3000;
-/** Of a fair share: trials of an ejected target go on. */
+/** Most traffic of the gray target, as a part of a fair share: an ejected target still receives trials. */
 const MAX_GRAY_SHARE = 0.5;
 
 /**
- * Runs the script; returns the number of checks that failed.
+ * Runs the scripted demo and returns the number of failed checks.
  *
  * @example
  * process.exitCode = (await runScriptedDemo(world, load)) === 0 ? 0 : 1;
@@ -41,7 +44,7 @@
   return checks.getFailureCount();
 }
 
-/** The gray target's work in the last seconds of traffic, against its fair share. */
+/** Compares the gray target's requests at the end of the traffic with its fair share. */
 function checkDetection(
   world: LabWorld,
   gray: ITargetPlace,
@@ -63,16 +66,18 @@
 }
 
 async function makeSurveyTargetGray(world: LabWorld): Promise<ITargetPlace> {
-  const place = world.getPlaces().find(({ service }) => service === 'survey');
-  if (place === undefined) throw new Error('there is no survey target');
-  await world.getGroup(place).setFaults(place, { failShare: 0.6, slowFactor: 2 });
-  console.log(`gray: ${place.address} of relinieri/survey fails 60% and is slow; health is green`);
-  return place;
+  const target = world.getPlaces().find(({ service }) => service === 'survey');
+  if (target === undefined) throw new Error('no target of the survey service exists');
+  await world.getGroup(target).setFaults(target, { failShare: 0.6, slowFactor: 2 });
+  console.log(
+    `gray: ${target.address} of relinieri/survey fails 60% and is slow; its health checks pass`,
+  );
+  return target;
 }
 
 async function endOneNode(world: LabWorld): Promise<void> {
   const node = world.getNodes()[1];
-  if (node === undefined) throw new Error('there is no second node');
+  if (node === undefined) throw new Error('the fleet has no second node');
   await world.endNode(node);
   console.log(`killed: ${node.options.name} (${node.addresses.peer}) by SIGKILL`);
 }
@@ -99,7 +104,7 @@
     const violated = comparison.findings.filter((finding) => finding.promise === promise);
     const first =
       violated[0] === undefined ? '' : `, first ${violated[0].requestId}: ${violated[0].detail}`;
-    checks.check(promise, violated.length === 0, `${violated.length} broken${first}`);
+    checks.check(promise, violated.length === 0, `${violated.length} violations${first}`);
   }
   const violations = await readViolations(world.getNodes());
   const total = violations.reduce((sum, { count }) => sum + count, 0);
--- a/packages/lab/src/docs/common/fieldTable.ts
+++ b/packages/lab/src/docs/common/fieldTable.ts
@@ -1,4 +1,4 @@
-/** Tables of every field that people write by hand, taken from the schema. */
+/** Renders tables of the settings and intent fields from the schema. */
 import type { DescField, DescMessage } from '@bufbuild/protobuf';
 import { ScalarType } from '@bufbuild/protobuf';
 import { formatEnumName, getFieldRule, isFilledWhenAbsent } from '@parsleymux/schema';
@@ -16,7 +16,7 @@
 const COLUMNS = ['field', 'type', 'unit', 'default', 'limits', 'meaning'];
 
 /**
- * One section for a message, followed by those of the messages in its fields.
+ * Renders a section for a message, followed by sections for the messages nested in its fields.
  *
  * @example
  * const lines = renderMessage(NodeSettingsSchema, comments, 'Settings of a node');
--- a/packages/lab/src/docs/common/markdown.ts
+++ b/packages/lab/src/docs/common/markdown.ts
@@ -1,7 +1,7 @@
-/** Markdown tables. */
+/** Formats Markdown tables. */
 
 /**
- * Writes a table; bars within cells are escaped.
+ * Formats a table; vertical bars in cells are escaped.
  *
  * @example
  * formatTable(['code', 'name'], [['0', 'Ok']]);
--- a/packages/lab/src/docs/common/protoComments.ts
+++ b/packages/lab/src/docs/common/protoComments.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the comments of a .proto file. The generated descriptors have none, and a second copy of
- * each sentence in an option would soon say something else.
+ * Reads the field comments of a .proto file. The generated descriptors have no comments, and copies of
+ * the comments in field options would diverge from them.
  */
 
 const MESSAGE = /^message (\w+) \{/;
@@ -8,7 +8,7 @@
 const COMMENT = /^\/\/ ?(.*)$/;
 
 /**
- * The comment of each field, by `Message.field_name`.
+ * Returns the comment of each field, keyed by `Message.field_name`.
  *
  * @example
  * readFieldComments(text).get('Limits.header_bytes');
--- a/packages/lab/src/docs/node/main.ts
+++ b/packages/lab/src/docs/node/main.ts
@@ -1,4 +1,4 @@
-/** Writes the generated pages of docs/. */
+/** Writes the generated pages to docs/ and prints their paths. */
 import { writeFile } from 'node:fs/promises';
 import { getRepositoryUrl, makePages } from './repository.js';
 
--- a/packages/lab/src/docs/node/naming.test.ts
+++ b/packages/lab/src/docs/node/naming.test.ts
@@ -24,7 +24,7 @@
   return /\(([a-z|]+)\)/.exec(regex)?.[1]?.split('|') ?? [];
 }
 
-test('the verbs of the linter are those of docs/NAMING.md, in order, each with a meaning', async () => {
+test('docs/NAMING.md lists the verbs of the linter in order, each with a meaning', async () => {
   const page = await readFile(getRepositoryUrl('docs/NAMING.md'), 'utf8');
   const rows = [...page.matchAll(/^\| ([a-z]+) +\| (.*?) *\|$/gm)].filter(
     ([, verb]) => verb !== 'verb',
--- a/packages/lab/src/docs/node/operationsMetrics.test.ts
+++ b/packages/lab/src/docs/node/operationsMetrics.test.ts
@@ -35,13 +35,13 @@
   return [...new Set([...text.matchAll(pattern)].map((match) => match[1] ?? match[0]))].sort();
 }
 
-/** Knows nothing: every call waits until it is given up. */
+/** Never returns rows: every read waits until it is aborted. */
 class EmptyTable extends AuthorityTable<never> {
   override readonly malformedRows = 0;
   override readAll(signal: AbortSignal): Promise<never> {
     return new Promise((_, reject) => {
       signal.addEventListener('abort', () => {
-        reject(new StoreCallError(StoreFailure.Reset, 'given up'));
+        reject(new StoreCallError(StoreFailure.Reset, 'aborted'));
       });
     });
   }
@@ -79,7 +79,7 @@
   }
 }
 
-/** Callers that say nothing beyond HTTP. */
+/** A caller protocol that reads no request ID, caller, timeout or credential from the headers. */
 class BareCallerProtocol extends CallerProtocol {
   override getRequestId(): undefined {
     return undefined;
@@ -136,7 +136,7 @@
   };
 }
 
-/** Metrics of a node that dispatches directly. */
+/** Returns the metrics text of a {@link DirectNode}. */
 async function fetchDirectMetrics(): Promise<string> {
   const settings = await makeSettings();
   const node = new DirectNode({
@@ -160,10 +160,9 @@
   return text;
 }
 
-test('the table of counters has exactly what a node offers, and no page names another', async () => {
-  // Symptom: whoever is on call finds a counter on a node that no page explains. Sequence: the
-  // counters of homes are added by a function that puts their names together. Cause: the search
-  // for names written out in the code did not see them.
+test('the metrics table lists exactly the metrics of a node, and no page names any other', async () => {
+  // Guards against metrics that no page documents: the names of the home's counters are composed at
+  // run time, so a search for literal names in the source does not find them.
   const world = new LabWorld({ seed: 1, nodeCount: 1 });
   try {
     await world.start();
--- a/packages/lab/src/docs/node/operationsPage.test.ts
+++ b/packages/lab/src/docs/node/operationsPage.test.ts
@@ -23,7 +23,7 @@
   return new Set(names);
 }
 
-test('the page for whoever is on call has every result code and every counter', () => {
+test('docs/OPERATIONS.md lists every result code and every metric', () => {
   const missing = [
     ...listResultInfos().map(({ code, name }) => `${code} ${name}`),
     ...[...listMetricNames()].map((name) => `\`${name}\``),
--- a/packages/lab/src/docs/node/repository.ts
+++ b/packages/lab/src/docs/node/repository.ts
@@ -1,4 +1,4 @@
-/** Where the documentation is, and how its pages are made. */
+/** Locates files of the repository and generates the pages of docs/. */
 import { readFile } from 'node:fs/promises';
 import { format, resolveConfig } from 'prettier';
 import type { IPage } from '../common/pages.js';
@@ -8,7 +8,7 @@
 const PROTO_FOLDER = 'packages/schema/proto/parsleymux';
 
 /**
- * The place of a file, from its path in the repository.
+ * Returns the URL of a file, given its path relative to the root of the repository.
  *
  * @example
  * const text = await readFile(getRepositoryUrl('docs/NAMING.md'), 'utf8');
@@ -18,7 +18,7 @@
 }
 
 /**
- * Every generated page, formatted as the committed one must be.
+ * Renders all generated pages, formatted with Prettier as they are committed.
  *
  * @example
  * for (const { path, text } of await makePages()) await writeFile(path, text);
--- a/packages/lab/src/tls/node/tlsFleet.test.ts
+++ b/packages/lab/src/tls/node/tlsFleet.test.ts
@@ -21,7 +21,7 @@
   readonly certificateFile: string;
 }
 
-/** One certificate that vouches for itself and names every node's IP number. */
+/** Writes a key and one self-signed certificate that names every node's IP address. */
 async function writeFiles(t: TestContext): Promise<IFleetFiles> {
   const folder = await mkdtemp(join(tmpdir(), 'parsleymux-tls-'));
   t.after(() => rm(folder, { recursive: true, force: true }));
@@ -74,7 +74,7 @@
     .reduce((sum, count) => sum + Number(count ?? 0), 0);
 }
 
-test('a fleet serves callers, operators and peers over TLS, and refuses strangers', async (t) => {
+test('a fleet serves callers, operators and peers over TLS, and rejects unauthenticated peers', async (t) => {
   const { security, certificateFile } = await writeFiles(t);
   const world = new LabWorld({
     seed: 7,
@@ -87,36 +87,36 @@
   await world.applyIntents();
   const ca = await readFile(certificateFile);
   const nodes = world.getNodes();
-  // Symptom: over TLS every entry but the home answers 502. Sequence: the entry forwards the
-  // caller's Host to the home. Cause: the HTTP client verifies the peer's certificate by it.
-  await t.test('every entry reaches the home, which is another node for most of them', async () => {
-    const statuses: number[] = [];
-    for (let count = 0; count < REQUESTS; count += 1) {
-      const node = nodes[count % nodes.length];
-      assert.ok(node !== undefined);
-      statuses.push(await fetchSurvey(node, ca));
-    }
-    assert.deepEqual(new Set(statuses), new Set([200]));
-    assert.ok((await readHopResponseCount(nodes)) > 0);
-  });
+  // Guards against 502 responses of every entry but the home: the entry forwards the caller's Host
+  // to the home, and the HTTP client verifies the home's certificate against that name.
   await t.test(
-    'a stranger without certificate, or without the fleet key, gets nothing',
+    'every entry reaches the home, which is a different node for most entries',
     async () => {
-      const peer = nodes[0]?.addresses.peer ?? '';
-      const send = (connect: object) => {
-        const pool = new Pool(`https://${peer}`, { connect });
-        return pool
-          .request({ method: 'POST', path: '/hop' })
-          .then(async ({ statusCode, body }) => {
-            await body.dump();
-            return statusCode;
-          })
-          .finally(() => pool.destroy());
-      };
-      await assert.rejects(send({ ca }));
-      const keyFile = certificateFile.replace('cert.pem', 'key.pem');
-      const key = await readFile(keyFile);
-      assert.equal(await send({ ca, cert: ca, key }), UNAUTHORIZED);
+      const statuses: number[] = [];
+      for (let count = 0; count < REQUESTS; count += 1) {
+        const node = nodes[count % nodes.length];
+        assert.ok(node !== undefined);
+        statuses.push(await fetchSurvey(node, ca));
+      }
+      assert.deepEqual(new Set(statuses), new Set([200]));
+      assert.ok((await readHopResponseCount(nodes)) > 0);
     },
   );
+  await t.test('a peer without a certificate or without the fleet key is rejected', async () => {
+    const peer = nodes[0]?.addresses.peer ?? '';
+    const send = (connect: object) => {
+      const pool = new Pool(`https://${peer}`, { connect });
+      return pool
+        .request({ method: 'POST', path: '/hop' })
+        .then(async ({ statusCode, body }) => {
+          await body.dump();
+          return statusCode;
+        })
+        .finally(() => pool.destroy());
+    };
+    await assert.rejects(send({ ca }));
+    const keyFile = certificateFile.replace('cert.pem', 'key.pem');
+    const key = await readFile(keyFile);
+    assert.equal(await send({ ca, cert: ca, key }), UNAUTHORIZED);
+  });
 });
--- a/packages/lab/src/walkthrough/common/walkthroughText.ts
+++ b/packages/lab/src/walkthrough/common/walkthroughText.ts
@@ -1,15 +1,15 @@
-/** Reads the commands, files and expected outputs of docs/walkthrough.md. */
+/** Parses the commands, files and expected outputs of docs/walkthrough.md. */
 
-/** Commands, and lines that their output has in this order. */
+/** Commands and the lines that their output must contain, in this order. */
 export interface IWalkthroughStep {
   readonly commands: string;
   readonly expectedLines: readonly string[];
 }
 
-/** The whole page. */
+/** The parsed page. */
 export interface IWalkthrough {
   readonly steps: readonly IWalkthroughStep[];
-  /** Contents by file name. */
+  /** Contents of the files, keyed by file name. */
   readonly files: ReadonlyMap<string, string>;
 }
 
@@ -17,8 +17,8 @@
 const WILDCARD = '…';
 
 /**
- * Reads the page's blocks: `sh` is run, `text` is expected of the `sh` before it, and any other
- * block with a name is a file.
+ * Parses the page's code blocks: `sh` blocks are commands, a `text` block is the expected output of
+ * the `sh` block before it, and any other block with a name is a file.
  *
  * @example
  * const { steps } = parseWalkthrough(readFileSync('docs/walkthrough.md', 'utf8'));
@@ -35,7 +35,7 @@
 }
 
 /**
- * The first expected line that the output lacks, or undefined when it has all in their order.
+ * Returns the first expected line that is missing from the output, or undefined if all occur in order.
  *
  * @example
  * findMissingLine('plan 7 proposed', ['plan … proposed']); // undefined
@@ -57,11 +57,12 @@
   content: string,
 ): void {
   const last = steps.at(-1);
-  if (last === undefined) throw new Error('an expected output stands before any command');
+  if (last === undefined)
+    throw new Error('a text block with expected output precedes the first sh block');
   last.expectedLines = content.split('\n').filter((line) => line.trim() !== '');
 }
 
-/** Runs of spaces are one: columns are as wide as what stands in them. */
+/** Matches any run of spaces, since the widths of columns depend on their contents. */
 function makePattern(line: string): RegExp {
   const parts = line
     .trim()
--- a/packages/lab/src/walkthrough/node/walkthrough.test.ts
+++ b/packages/lab/src/walkthrough/node/walkthrough.test.ts
@@ -9,7 +9,7 @@
 
 const PAGE = new URL('../../../../../docs/walkthrough.md', import.meta.url);
 
-test('the commands of the walkthrough do what the page says', async () => {
+test('the commands of docs/walkthrough.md produce the output that it shows', async () => {
   const walkthrough = parseWalkthrough(readFileSync(PAGE, 'utf8'));
   const directory = mkdtempSync(join(tmpdir(), 'parsleymux-walkthrough-'));
   const world = new LabWorld({ seed: 1, nodeCount: 2 });
@@ -21,7 +21,7 @@
     walkthrough.steps.forEach((step, index) => {
       const output = result.outputs[index] ?? '';
       const missing = findMissingLine(output, step.expectedLines);
-      assert.equal(missing, undefined, `after\n${step.commands}\nthere was\n${output}`);
+      assert.equal(missing, undefined, `output of\n${step.commands}\nwas\n${output}`);
     });
     assert.ok(walkthrough.steps.length > 10);
   } finally {
--- a/packages/lab/src/walkthrough/node/walkthroughRun.ts
+++ b/packages/lab/src/walkthrough/node/walkthroughRun.ts
@@ -1,4 +1,4 @@
-/** Runs the commands of docs/walkthrough.md in a shell of their own. */
+/** Runs the commands of docs/walkthrough.md in one shell. */
 import { spawn } from 'node:child_process';
 import { chmodSync, mkdirSync, writeFileSync } from 'node:fs';
 import { delimiter, join } from 'node:path';
@@ -8,22 +8,22 @@
 const SEPARATOR = '@@ end of step @@';
 const TIMEOUT_MS = 120_000;
 
-/** What the shell printed. */
+/** The exit code and output of the shell. */
 export interface IWalkthroughResult {
   readonly exitCode: number | null;
-  /** Standard output of each step. */
+  /** Standard output of each step, in order. */
   readonly outputs: readonly string[];
   readonly errors: string;
 }
 
-/** Where the commands run. */
+/** The environment of the commands. */
 export interface IWalkthroughOptions {
   readonly directory: string;
   readonly adminUrl: string;
 }
 
 /**
- * Runs every step in one shell, which ends at the first command that fails.
+ * Runs every step in one shell, which exits at the first command that fails.
  *
  * @example
  * const { outputs } = await runWalkthrough(walkthrough, { directory, adminUrl });
@@ -55,7 +55,7 @@
   return { exitCode, errors, outputs: output.split(`${SEPARATOR}\n`) };
 }
 
-/** A folder with a program `parsleyctl`, as an installed package would have it. */
+/** Writes an executable `parsleyctl`, as an installed package provides, and returns its folder. */
 function writeLauncher(directory: string): string {
   const folder = join(directory, 'bin');
   mkdirSync(folder);
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,7 @@
 import { fileURLToPath } from 'node:url';
 import { build } from 'esbuild';
 
-/** Takes the parts of undici that the program uses. */
+/** Replaces undici with the parts of it that the program uses. */
 const undiciParts = {
   name: 'undici-parts',
   setup({ onResolve }) {
@@ -11,9 +11,9 @@
 };
 
 /**
- * Joins the platform's program and all it imports in one file. Loading several hundred modules one
- * by one takes longer than everything else at a start; packages are read as TypeScript, so nothing
- * is written outside of target/.
+ * Bundles the platform's program and its imports into one file, because loading several hundred modules
+ * separately takes most of the startup time. Packages are read as TypeScript, so nothing is written
+ * outside target/.
  */
 await build({
   entryPoints: ['platform/src/app/main.ts'],
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -3,12 +3,12 @@
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
 
-/** Real-process tests share the cores; more at once only makes them slow. */
+/** Tests that start processes share the cores; a higher concurrency only slows them down. */
 const TEST_CONCURRENCY = 4;
-/** A test file that hangs fails after this long instead of holding up the run. */
+/** A test file that hangs fails after this time instead of blocking the run. */
 const TEST_TIMEOUT_MS = 240_000;
 
-/** Tests that may fail; they are printed, and anything else that fails is a failure. */
+/** Reads the names of tests that may fail. They are printed; any other failing test fails the run. */
 function readKnownFailures() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
--- a/scripts/undiciParts.cjs
+++ b/scripts/undiciParts.cjs
@@ -1,16 +1,16 @@
 'use strict';
 
 /**
- * What the platform's program uses of undici, in place of its index, which loads fetch, WebSocket,
- * caches and mocks as well. Callers wait for a VM that starts: without them the program loads in 0.12 s of
- * processor time and 57 MB, with them in 0.16 s and 61 MB (user and system, nine and three starts).
+ * Exports the parts of undici that the platform's program uses. undici's index also loads fetch,
+ * WebSocket, caches and mocks, and callers wait while a VM starts: the program loads in 0.12 s of CPU time
+ * and 57 MB without them, and in 0.16 s and 61 MB with them.
  */
 const { URL } = require('node:url');
 const Dispatcher = require('undici/lib/dispatcher/dispatcher');
 const api = require('undici/lib/api');
 const { getGlobalDispatcher } = require('undici/lib/global');
 
-// The index does the same: requests are methods of every dispatcher.
+// As undici's index does, adds the request methods to every dispatcher.
 Object.assign(Dispatcher.prototype, api);
 
 exports.Client = require('undici/lib/dispatcher/client');
