--- a/packages/lab/src/demo/node/onceScript.ts
+++ b/packages/lab/src/demo/node/scriptedDemo.ts
@@ -1,4 +1,4 @@
-/** The demo as a script: ten seconds of traffic, a node killed, a target gray, then checks. */
+/** The scripted demo: ten seconds of traffic with a gray target and a killed node, then checks. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IExecution } from '@parsleymux/standins';
 import type { LoadGenerator } from '../../load/node/loadGenerator.js';
@@ -11,37 +11,40 @@
 
 const GRAY_AFTER_MS = 2000;
 const KILL_AFTER_MS = 2500;
-const REST_MS = 6000;
-/** Requests that were in the killed node may end unknown; more than this is another fault. */
-const LEAST_SHARE_DONE = 0.95;
-/** The last seconds of traffic, in which the gray target is to be out of use. */
-const LAST_MS = 3000;
-/** Of a fair share: trials of an ejected target go on. */
-const MOST_GRAY_SHARE = 0.5;
+const RECOVERY_MS = 6000;
+/**
+ * Least share of requests that complete. Requests in flight on the killed node may end with an unknown
+ * outcome; a lower share has another cause.
+ */
+const MIN_COMPLETED_SHARE = 0.95;
+/** The end of the traffic, by which the gray target must be ejected. */
+const FINAL_WINDOW_MS = 3000;
+/** Most traffic of the gray target, as a part of a fair share: an ejected target still receives trials. */
+const MAX_GRAY_SHARE = 0.5;
 
 /**
- * Runs the script; returns the number of checks that failed.
+ * Runs the scripted demo and returns the number of failed checks.
  *
  * @example
- * process.exitCode = (await runOnce(world, load)) === 0 ? 0 : 1;
+ * process.exitCode = (await runScriptedDemo(world, load)) === 0 ? 0 : 1;
  */
-export async function runOnce(world: LabWorld, load: LoadGenerator): Promise<number> {
+export async function runScriptedDemo(world: LabWorld, load: LoadGenerator): Promise<number> {
   await sleep(GRAY_AFTER_MS);
   const gray = await makeSurveyTargetGray(world);
   await sleep(KILL_AFTER_MS);
   await endOneNode(world);
-  await sleep(REST_MS);
+  await sleep(RECOVERY_MS);
   const endMs = Date.now();
   await load.stop();
   const executions = await world.fetchExecutions();
-  const verdict = compareOutcomes(load.getRecords(), executions);
+  const comparison = compareOutcomes(load.getRecords(), executions);
   const checks = new CheckList();
-  await checkAll(world, load, verdict, checks);
+  await checkAll(world, load, comparison, checks);
   checkDetection(world, gray, executions, endMs, checks);
-  return checks.getFailures();
+  return checks.getFailureCount();
 }
 
-/** The gray target's work in the last seconds of traffic, against its fair share. */
+/** Compares the gray target's requests at the end of the traffic with its fair share. */
 function checkDetection(
   world: LabWorld,
   gray: ILabTarget,
@@ -52,27 +55,29 @@
   const peers = world.getTargets().filter(({ service }) => service === gray.service);
   const late = executions.filter(({ target, startedAtMs }) => {
     const isPeer = peers.some(({ address }) => address === target);
-    return isPeer && startedAtMs > endMs - LAST_MS && startedAtMs <= endMs;
+    return isPeer && startedAtMs > endMs - FINAL_WINDOW_MS && startedAtMs <= endMs;
   });
   const atGray = late.filter(({ target }) => target === gray.address).length;
   checks.check(
     'gray target lost its traffic',
-    atGray * peers.length < late.length * MOST_GRAY_SHARE,
+    atGray * peers.length < late.length * MAX_GRAY_SHARE,
     `${atGray} of the last ${late.length} survey requests, ${peers.length} targets`,
   );
 }
 
 async function makeSurveyTargetGray(world: LabWorld): Promise<ILabTarget> {
-  const place = world.getTargets().find(({ service }) => service === 'survey');
-  if (place === undefined) throw new Error('there is no survey target');
-  await world.getGroup(place).setFaults(place, { failShare: 0.6, slowFactor: 2 });
-  console.log(`gray: ${place.address} of relinieri/survey fails 60% and is slow; health is green`);
-  return place;
+  const target = world.getTargets().find(({ service }) => service === 'survey');
+  if (target === undefined) throw new Error('no target of the survey service exists');
+  await world.getGroup(target).setFaults(target, { failShare: 0.6, slowFactor: 2 });
+  console.log(
+    `gray: ${target.address} of relinieri/survey fails 60% and is slow; its health checks pass`,
+  );
+  return target;
 }
 
 async function endOneNode(world: LabWorld): Promise<void> {
   const node = world.getNodes()[1];
-  if (node === undefined) throw new Error('there is no second node');
+  if (node === undefined) throw new Error('the fleet has no second node');
   await world.endNode(node);
   console.log(`killed: ${node.options.name} (${node.addresses.peer}) by SIGKILL`);
 }
@@ -80,26 +85,26 @@
 async function checkAll(
   world: LabWorld,
   load: LoadGenerator,
-  verdict: IVerdict,
+  comparison: IVerdict,
   checks: CheckList,
 ): Promise<void> {
   const answered = load.summarize().find(({ outcome }) => outcome.startsWith('answered'));
   const answeredCount = answered?.count ?? 0;
   checks.check(
     'requests answered',
-    answeredCount >= LEAST_SHARE_DONE * verdict.requests && verdict.requests > 0,
-    `${answeredCount} of ${verdict.requests}`,
+    answeredCount >= MIN_COMPLETED_SHARE * comparison.requests && comparison.requests > 0,
+    `${answeredCount} of ${comparison.requests}`,
   );
   checks.check(
     'bookings and orders done',
-    verdict.bookingsDone >= LEAST_SHARE_DONE * verdict.bookings && verdict.bookings > 0,
-    `${verdict.bookingsDone} of ${verdict.bookings}`,
+    comparison.bookingsDone >= MIN_COMPLETED_SHARE * comparison.bookings && comparison.bookings > 0,
+    `${comparison.bookingsDone} of ${comparison.bookings}`,
   );
   for (const promise of ['whole answers', 'at most once', 'truthful refusals']) {
-    const broken = verdict.findings.filter((finding) => finding.promise === promise);
+    const violated = comparison.findings.filter((finding) => finding.promise === promise);
     const first =
-      broken[0] === undefined ? '' : `, first ${broken[0].requestId}: ${broken[0].detail}`;
-    checks.check(promise, broken.length === 0, `${broken.length} broken${first}`);
+      violated[0] === undefined ? '' : `, first ${violated[0].requestId}: ${violated[0].detail}`;
+    checks.check(promise, violated.length === 0, `${violated.length} violations${first}`);
   }
   const violations = await readViolations(world.getNodes());
   const total = violations.reduce((sum, { count }) => sum + count, 0);
