--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -14,7 +14,7 @@
 const DEADLINE_MS = 10_000;
 const SERVICE_MS = 5;
 const US = 1000;
-const HIGHEST_US = 60_000_000;
+const MAX_US = 60_000_000;
 
 /** One setting that is measured. */
 export interface IClaimCase {
@@ -25,11 +25,11 @@
   /** Mean arrivals a second. */
   readonly perSecond: number;
   readonly durationMs: number;
-  readonly answerBytes: number;
+  readonly responseBytes: number;
 }
 
 /** What the bookings of one case cost. */
-export interface IClaimFigures {
+export interface IClaimResults {
   readonly bookings: number;
   readonly refused: number;
   /** From the arrival to the dispatch, in µs. */
@@ -65,7 +65,7 @@
 export async function measureClaims(
   setting: IClaimCase,
   services: IClaimBenchServices,
-): Promise<IClaimFigures> {
+): Promise<IClaimResults> {
   const { platform, clock, random, invariants } = services;
   const { table, objects } = platform;
   const { groupMs, maxInFlight } = setting;
@@ -101,7 +101,7 @@
     private readonly guard: ClaimGuard,
   ) {}
 
-  getCounts(): Pick<IClaimFigures, 'bookings' | 'refused' | 'claimUs' | 'recordUs'> {
+  getCounts(): Pick<IClaimResults, 'bookings' | 'refused' | 'claimUs' | 'recordUs'> {
     const { bookings, refused, claimUs, recordUs } = this;
     return { bookings, refused, claimUs, recordUs };
   }
@@ -125,16 +125,16 @@
     const { clock } = this.services;
     this.bookings += 1;
     const startMs = clock.getMonotonicTime();
-    let answeredMs = startMs;
+    let respondedMs = startMs;
     const run = async () => {
       this.claimUs.recordValue(toMicroseconds(clock.getMonotonicTime() - startMs));
       await clock.sleep(SERVICE_MS);
-      answeredMs = clock.getMonotonicTime();
-      return this.makeAnswer();
+      respondedMs = clock.getMonotonicTime();
+      return this.makeResponse();
     };
     try {
       await this.guard.execute(this.makeAttempt(run), new AbortController().signal);
-      this.recordUs.recordValue(toMicroseconds(clock.getMonotonicTime() - answeredMs));
+      this.recordUs.recordValue(toMicroseconds(clock.getMonotonicTime() - respondedMs));
     } catch {
       this.refused += 1;
     }
@@ -158,14 +158,14 @@
     };
   }
 
-  private makeAnswer(): IResponse {
+  private makeResponse(): IResponse {
     return {
       status: 201,
       headers: [
         ['content-type', 'application/json'],
         ['location', '/jobs/17'],
       ],
-      body: new Uint8Array(this.setting.answerBytes),
+      body: new Uint8Array(this.setting.responseBytes),
       code: ResultCode.Ok,
       runState: RunState.Ran,
     };
@@ -173,9 +173,9 @@
 }
 
 function toMicroseconds(durationMs: number): number {
-  return Math.min(HIGHEST_US, Math.max(1, Math.round(durationMs * US)));
+  return Math.min(MAX_US, Math.max(1, Math.round(durationMs * US)));
 }
 
 function makeHistogram(): Histogram {
-  return build({ highestTrackableValue: HIGHEST_US, numberOfSignificantValueDigits: 3 });
+  return build({ highestTrackableValue: MAX_US, numberOfSignificantValueDigits: 3 });
 }
--- a/packages/lab/src/bench/claims/node/bench.ts
+++ b/packages/lab/src/bench/claims/node/bench.ts
@@ -6,21 +6,21 @@
 import { ProcessFleet } from '../../../processes/node/processFleet.js';
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
-import type { IClaimBenchServices, IClaimCase, IClaimFigures } from '../common/measureClaims.js';
+import type { IClaimBenchServices, IClaimCase, IClaimResults } from '../common/measureClaims.js';
 import { measureClaims } from '../common/measureClaims.js';
 
 const GROUPS_MS: readonly number[] = [0, 1, 2, 5, 10, 20];
 const RATES: readonly number[] = [2, 20, 200, 800];
-const ANSWER_BYTES: readonly number[] = [0, 256, 4096, 16_384];
+const RESPONSE_BYTES: readonly number[] = [0, 256, 4096, 16_384];
 const STORE_DELAY_MS = 3;
 const DURATION_MS = 2500;
-const USUAL_ANSWER_BYTES = 256;
-const USUAL_GROUP_MS = 2;
-const USUAL_IN_FLIGHT = 4;
+const DEFAULT_RESPONSE_BYTES = 256;
+const DEFAULT_GROUP_MS = 2;
+const DEFAULT_IN_FLIGHT = 4;
 const IN_FLIGHT: readonly number[] = [1, 2, 4];
 const BUSY_RATE = 800;
 const US = 1000;
-const FIGURE_COLUMNS: readonly string[] = [
+const RESULT_COLUMNS: readonly string[] = [
   'claim p50 ms',
   'claim p99 ms',
   'record p50 ms',
@@ -75,11 +75,11 @@
   cases += 1;
   return {
     member: `case-${cases}`,
-    groupMs: USUAL_GROUP_MS,
-    maxInFlight: USUAL_IN_FLIGHT,
+    groupMs: DEFAULT_GROUP_MS,
+    maxInFlight: DEFAULT_IN_FLIGHT,
     perSecond: BYTES_RATE,
     durationMs: run.durationMs,
-    answerBytes: USUAL_ANSWER_BYTES,
+    responseBytes: DEFAULT_RESPONSE_BYTES,
     ...change,
   };
 }
@@ -91,30 +91,30 @@
       rows.push([perSecond, groupMs, ...(await measureCase(run, { perSecond, groupMs }))]);
     }
   }
-  const columns = ['bookings/s', 'interval ms', ...FIGURE_COLUMNS];
+  const columns = ['bookings/s', 'interval ms', ...RESULT_COLUMNS];
   return { title: 'one node, fresh keys, at most 4 transactions in flight', columns, rows };
 }
 
 async function measureInFlight(run: IBenchRun): Promise<IBenchTable> {
   const rows: (readonly Cell[])[] = [];
   for (const maxInFlight of parseNumbers(run.options, 'inFlight', IN_FLIGHT)) {
-    for (const groupMs of [0, USUAL_GROUP_MS]) {
+    for (const groupMs of [0, DEFAULT_GROUP_MS]) {
       const change = { perSecond: BUSY_RATE, groupMs, maxInFlight };
       rows.push([maxInFlight, groupMs, ...(await measureCase(run, change))]);
     }
   }
-  const columns = ['most in flight', 'interval ms', ...FIGURE_COLUMNS];
+  const columns = ['most in flight', 'interval ms', ...RESULT_COLUMNS];
   return { title: `one node, fresh keys, ${BUSY_RATE} bookings/s`, columns, rows };
 }
 
 async function measureCase(run: IBenchRun, change: Partial<IClaimCase>): Promise<readonly Cell[]> {
   const setting = makeCase(run, change);
   run.options.log(`claims: ${JSON.stringify(change)}`);
-  return formatFigures(await measureClaims(setting, run.services), setting.durationMs);
+  return formatResults(await measureClaims(setting, run.services), setting.durationMs);
 }
 
-function formatFigures(figures: IClaimFigures, durationMs: number): readonly Cell[] {
-  const { bookings, claimUs, recordUs, transactions, rows, cpuUs, refused } = figures;
+function formatResults(results: IClaimResults, durationMs: number): readonly Cell[] {
+  const { bookings, claimUs, recordUs, transactions, rows, cpuUs, refused } = results;
   return [
     formatNumber(claimUs.getValueAtPercentile(50) / US),
     formatNumber(claimUs.getValueAtPercentile(99) / US),
@@ -131,18 +131,18 @@
 /** Bytes that the store takes in for one booking, and what it then keeps. */
 async function measureSizes(run: IBenchRun): Promise<IBenchTable> {
   const rows: (readonly Cell[])[] = [];
-  for (const answerBytes of ANSWER_BYTES) {
+  for (const responseBytes of RESPONSE_BYTES) {
     const { services, store } = run;
     const before = await store.fetchCounters();
-    const setting = makeCase(run, { answerBytes });
+    const setting = makeCase(run, { responseBytes });
     const { bookings } = await measureClaims(setting, services);
     const after = await store.fetchCounters();
-    const kept = await measureKeptRow(run, setting.member);
+    const kept = await measureLargestRow(run, setting.member);
     const received = (after.bytesReceived - before.bytesReceived) / bookings;
     const writes = (after.writes - before.writes) / bookings;
     const rowsWritten = (after.rowsWritten - before.rowsWritten) / bookings;
     rows.push([
-      answerBytes,
+      responseBytes,
       formatNumber(received),
       kept,
       formatNumber(rowsWritten),
@@ -162,7 +162,7 @@
   };
 }
 
-async function measureKeptRow(run: IBenchRun, member: string): Promise<number> {
+async function measureLargestRow(run: IBenchRun, member: string): Promise<number> {
   const rows = await run.services.platform.table.scan({ prefix: `claim/${member}/` });
   return Math.max(...rows.map(({ key, value }) => key.length + value.length));
 }
--- a/packages/lab/src/bench/connections/node/bench.ts
+++ b/packages/lab/src/bench/connections/node/bench.ts
@@ -55,10 +55,10 @@
   const idle = await readMemory(node);
   let busiest: IMemory = { resident: 0, heap: 0 };
   for (let round = 0; round < ROUNDS_WHEN_BUSY; round += 1) {
-    const asked = sockets.map(requestOnce);
+    const pending = sockets.map(requestOnce);
     const now = await readMemory(node);
     if (now.resident > busiest.resident) busiest = now;
-    await Promise.all(asked);
+    await Promise.all(pending);
   }
   for (const socket of sockets) socket.destroy();
   await sleep(SETTLE_MS);
--- a/packages/lab/src/bench/control/node/bench.ts
+++ b/packages/lab/src/bench/control/node/bench.ts
@@ -2,8 +2,8 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
-import type { IPoint } from '../common/slope.js';
-import { computeSlope } from '../common/slope.js';
+import type { IPoint } from '../common/linearFit.js';
+import { computeLinearFit } from '../common/linearFit.js';
 import { measureBurnRows } from './burnCost.js';
 import { measureCalls } from './callCost.js';
 import { FOOTPRINT_SHAPES, measureFootprints } from './configFootprint.js';
@@ -108,16 +108,16 @@
   override readonly summary = 'processor time, memory, bytes and platform operations of control';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
-    const wanted = options.values.get('series')?.split(',');
+    const selectedSeries = options.values.get('series')?.split(',');
     const seconds = parseNumbers(options, 'seconds', [DEFAULT_SECONDS])[0] ?? DEFAULT_SECONDS;
     const tables: IBenchTable[] = [];
-    if (wanted === undefined || wanted.includes('parts')) {
+    if (selectedSeries === undefined || selectedSeries.includes('parts')) {
       tables.push(await measureCalls(), await measureMembership(), measureProofs());
       tables.push(await measureBurnRows(), await measureConnections());
       tables.push(measureFootprints(FOOTPRINT_SHAPES));
     }
     for (const series of SERIES) {
-      if (wanted?.includes(series.name) === false) continue;
+      if (selectedSeries?.includes(series.name) === false) continue;
       tables.push(...(await measureSeries(series, seconds, options)));
     }
     return { tables, notes: NOTES };
@@ -142,9 +142,9 @@
   const rows: (readonly number[])[] = [];
   for (const value of values) {
     options.log(`control: ${value} ${series.unit}`);
-    const figures = await measurePoint(series.makePoint(value), seconds * 1000, options.seed);
-    options.log(`  ${figures.map((figure) => formatNumber(figure)).join(' ')}`);
-    rows.push([value, ...figures]);
+    const measurements = await measurePoint(series.makePoint(value), seconds * 1000, options.seed);
+    options.log(`  ${measurements.map((figure) => formatNumber(figure)).join(' ')}`);
+    rows.push([value, ...measurements]);
   }
   const measured: IBenchTable = {
     title: `Control against ${series.unit}`,
@@ -172,7 +172,7 @@
     const after = await world.readUsages();
     const changes = { before, after, passedS };
     return [
-      ...computeNodeFigures(changes, point.nodes),
+      ...computeUsagePerNode(changes, point.nodes),
       (platformAfter.reads - platformBefore.reads) / passedS,
       (platformAfter.writes - platformBefore.writes) / passedS,
     ];
@@ -189,7 +189,7 @@
 }
 
 /** Processor %, heap MB, resident MB, bytes to the platform and to peers a second; for each node. */
-function computeNodeFigures(change: IUsageChange, nodes: number): readonly number[] {
+function computeUsagePerNode(change: IUsageChange, nodes: number): readonly number[] {
   const { before, after, passedS } = change;
   const sum = (usages: readonly INodeHostUsage[], pick: (usage: INodeHostUsage) => number) => {
     return usages.reduce((total, usage) => total + pick(usage), 0);
@@ -224,8 +224,8 @@
 function makeSlopeTable(series: ISeries, rows: readonly (readonly number[])[]): IBenchTable {
   const slopes = COLUMNS.map((column, index): readonly Cell[] => {
     const points = rows.map((row): IPoint => ({ x: row[0] ?? 0, y: row[index + 1] ?? 0 }));
-    const { slope, base, spread } = computeSlope(points);
-    return [column, formatNumber(slope), formatNumber(spread), formatNumber(base)];
+    const { slope, intercept, standardError } = computeLinearFit(points);
+    return [column, formatNumber(slope), formatNumber(standardError), formatNumber(intercept)];
   });
   return {
     title: `Slopes against ${series.unit}`,
--- a/packages/lab/src/bench/control/node/connectionCost.ts
+++ b/packages/lab/src/bench/control/node/connectionCost.ts
@@ -44,8 +44,8 @@
 
 async function openPool(url: string): Promise<Pool> {
   const pool = new Pool(url, { connections: 1, keepAliveTimeout: KEEP_ALIVE_MS });
-  const answer = await pool.request({ method: 'GET', path: '/' });
-  await answer.body.dump();
+  const response = await pool.request({ method: 'GET', path: '/' });
+  await response.body.dump();
   return pool;
 }
 
--- a/packages/lab/src/bench/control/node/controlWorld.ts
+++ b/packages/lab/src/bench/control/node/controlWorld.ts
@@ -22,7 +22,7 @@
 
 const HOST_SCRIPT = fileURLToPath(new URL('./nodeHostMain.js', import.meta.url));
 const READY_POLL_MS = 200;
-const READY_LIMIT_MS = 60_000;
+const READY_TIMEOUT_MS = 60_000;
 const LIVE_MEMBER = 'live';
 const TARGETS_PER_SERVICE = 6;
 
@@ -73,7 +73,7 @@
     if (this.point.liveTargets > 0) await this.startTargets();
     await this.startHosts(this.platformProcess);
     await this.waitUntilReady();
-    await this.makeHomes();
+    await this.createHomes();
   }
 
   /** Confirms a change of one member, each in its turn. */
@@ -131,7 +131,7 @@
   }
 
   private async waitUntilReady(): Promise<void> {
-    const limitMs = performance.now() + READY_LIMIT_MS;
+    const limitMs = performance.now() + READY_TIMEOUT_MS;
     for (const { status } of this.listNodes()) {
       while ((await tryFetchText(status, '/ready')) === undefined) {
         if (performance.now() > limitMs) throw new Error(`${status} did not become ready`);
@@ -175,14 +175,14 @@
   }
 
   /** Homes are made by the first request of their service. */
-  private async makeHomes(): Promise<void> {
+  private async createHomes(): Promise<void> {
     const [node] = this.listNodes();
     const count = Math.ceil(this.point.liveTargets / TARGETS_PER_SERVICE);
     for (let index = 0; index < count; index += 1) {
       const host = `${formatLiveService(index * TARGETS_PER_SERVICE)}.live`;
-      const answer = await request(`http://${node?.caller ?? ''}/x`, { headers: { host } });
-      await answer.body.dump();
-      if (answer.statusCode !== 200) throw new Error(`${host} answered ${answer.statusCode}`);
+      const response = await request(`http://${node?.caller ?? ''}/x`, { headers: { host } });
+      await response.body.dump();
+      if (response.statusCode !== 200) throw new Error(`${host} answered ${response.statusCode}`);
     }
   }
 }
--- a/packages/lab/src/bench/control/node/nodeHostMain.ts
+++ b/packages/lab/src/bench/control/node/nodeHostMain.ts
@@ -65,7 +65,7 @@
   };
 }
 
-async function openUsage(): Promise<string> {
+async function startUsageServer(): Promise<string> {
   const ignored = new Set<number>();
   const meter = new SocketMeter(Number(new URL(config.platformUrl).port), ignored);
   const server = createServer((_, response) => {
@@ -77,7 +77,7 @@
   return `${config.host}:${port}`;
 }
 
-const usage = await openUsage();
+const usage = await startUsageServer();
 const nodes: INodeAddresses[] = [];
 for (let index = 0; index < config.count; index += 1) {
   const settings = parseSettings(makeSettings(), 'node host');
--- a/packages/lab/src/bench/detection-real/node/bench.ts
+++ b/packages/lab/src/bench/detection-real/node/bench.ts
@@ -44,7 +44,7 @@
     for (const [name, faults] of FAULTS) {
       options.log(name);
       const runs = POLICY_NAMES.map((policy) => runPolicy(policy, faults, options.seed));
-      for (const figures of await Promise.all(runs)) rows.push([name, ...figures]);
+      for (const results of await Promise.all(runs)) rows.push([name, ...results]);
     }
     return {
       tables: [
@@ -78,13 +78,13 @@
     await group.setFaults(faulty, faults);
     home.markFault(faulty.address);
     await home.sendFor(FAULT_MS, INTERVAL_MS, random);
-    const figures = await home.finish();
+    const results = await home.finish();
     return [
       policy,
-      figures.detectionMs?.toFixed(0) ?? 'never',
-      formatNumber(100 * figures.errorShare, 2),
-      formatNumber(figures.p99Ms),
-      figures.falseEjections,
+      results.detectionMs?.toFixed(0) ?? 'never',
+      formatNumber(100 * results.errorShare, 2),
+      formatNumber(results.p99Ms),
+      results.falseEjections,
     ];
   } finally {
     await fleet.dispose();
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -18,11 +18,11 @@
 import type { ITraceHeader } from '../../../trace/common/trace.js';
 
 const READ_DEADLINE_MS = 2000;
-const BOOK_SHARE = 0.3;
+const BOOKING_SHARE = 0.3;
 const FIRST_SERVER_ERROR = 500;
 const MICROSECONDS = 1000;
 /** Without a dispatch for longer than any deadline, a target counts as given no work. */
-const NO_TRAFFIC_MS = 6000;
+const MIN_IDLE_MS = 6000;
 
 /** Options of a {@link RealHome}. */
 export interface IRealHomeOptions {
@@ -33,7 +33,7 @@
 }
 
 /** What was measured since the fault began. */
-export interface IRealFigures {
+export interface IRealDetectionResults {
   readonly detectionMs: number | undefined;
   readonly errorShare: number;
   readonly p99Ms: number;
@@ -106,14 +106,14 @@
       dueMs += random.getExponential(meanMs);
       const waitMs = dueMs - performance.now();
       if (waitMs > 0) await clock.sleep(waitMs);
-      const task = this.send(random.getFloat() < BOOK_SHARE).finally(() => {
+      const task = this.send(random.getFloat() < BOOKING_SHARE).finally(() => {
         this.running.delete(task);
       });
       this.running.add(task);
     }
   }
 
-  async finish(): Promise<IRealFigures> {
+  async finish(): Promise<IRealDetectionResults> {
     const endMs = performance.now();
     await Promise.all(this.running);
     await this.home.dispose();
@@ -130,7 +130,7 @@
     const startMs = performance.now();
     this.requests += 1;
     try {
-      const answer = await this.home.handle(
+      const response = await this.home.handle(
         {
           member: this.options.service.member,
           route: isBook ? this.routes.book : this.routes.read,
@@ -144,7 +144,7 @@
         },
         new AbortController().signal,
       );
-      if (answer.status >= FIRST_SERVER_ERROR) this.errors += 1;
+      if (response.status >= FIRST_SERVER_ERROR) this.errors += 1;
       else this.latencies.recordValue(Math.round((performance.now() - startMs) * MICROSECONDS));
     } catch {
       this.errors += 1;
@@ -158,11 +158,11 @@
     let lastMs = startMs;
     for (const dispatch of this.transport.dispatches) {
       if (dispatch.target !== target || dispatch.atMs < startMs) continue;
-      if (dispatch.atMs - lastMs >= NO_TRAFFIC_MS) break;
+      if (dispatch.atMs - lastMs >= MIN_IDLE_MS) break;
       lastMs = dispatch.atMs;
     }
-    const isQuiet = endMs - lastMs >= NO_TRAFFIC_MS;
-    return isQuiet ? lastMs - startMs : undefined;
+    const isIdle = endMs - lastMs >= MIN_IDLE_MS;
+    return isIdle ? lastMs - startMs : undefined;
   }
 }
 
--- a/packages/lab/src/bench/detection/common/curvePlot.ts
+++ b/packages/lab/src/bench/detection/common/curvePlot.ts
@@ -20,17 +20,17 @@
 const HEIGHT = 420;
 const MARGIN = { top: 40, right: 20, bottom: 50, left: 70 };
 /** A logarithmic axis has no zero; what was never seen is drawn at its left end. */
-const LOWEST_RATE = 0.05;
+const MIN_RATE = 0.05;
 const RATE_TICKS: readonly number[] = [0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20];
 const LEGEND_STEP = 18;
 
 /** Both axes are logarithmic; never detected is drawn at the top. */
-export function renderCurves(title: string, curves: readonly ICurve[], worstMs: number): string {
-  const x = scaleLog([LOWEST_RATE, 40], [MARGIN.left, WIDTH - MARGIN.right]);
-  const y = scaleLog([10, worstMs], [HEIGHT - MARGIN.bottom, MARGIN.top]);
+export function renderCurves(title: string, curves: readonly ICurve[], maxMs: number): string {
+  const x = scaleLog([MIN_RATE, 40], [MARGIN.left, WIDTH - MARGIN.right]);
+  const y = scaleLog([10, maxMs], [HEIGHT - MARGIN.bottom, MARGIN.top]);
   const legend = scaleLinear([0, 1], [MARGIN.top, MARGIN.top + LEGEND_STEP]);
-  const toX = (point: ICurvePoint) => x(Math.max(LOWEST_RATE, point.falsePerTargetHour));
-  const toY = (point: ICurvePoint) => y(Math.min(worstMs, Math.max(10, point.detectionMs)));
+  const toX = (point: ICurvePoint) => x(Math.max(MIN_RATE, point.falsePerTargetHour));
+  const toY = (point: ICurvePoint) => y(Math.min(maxMs, Math.max(10, point.detectionMs)));
   const path = line<ICurvePoint>(toX, toY);
   const drawn = curves.map((curve, index) => {
     const dots = curve.points.map((point) => {
@@ -54,11 +54,11 @@
     `<rect width="${WIDTH}" height="${HEIGHT}" fill="white"/>`,
     `<text x="${MARGIN.left}" y="20" font-size="14">${title}</text>`,
     ...RATE_TICKS.map((tick) => {
-      return `<text x="${x(tick).toFixed(1)}" y="${HEIGHT - 30}" text-anchor="middle">${tick === LOWEST_RATE ? '0' : tick}</text>`;
+      return `<text x="${x(tick).toFixed(1)}" y="${HEIGHT - 30}" text-anchor="middle">${tick === MIN_RATE ? '0' : tick}</text>`;
     }),
     ...yTicks.map((tick) => {
       const at = y(tick).toFixed(1);
-      return `<text x="${MARGIN.left - 8}" y="${at}" text-anchor="end">${tick === worstMs ? 'never' : tick}</text><path d="M${MARGIN.left},${at}H${WIDTH - MARGIN.right}" stroke="#ddd"/>`;
+      return `<text x="${MARGIN.left - 8}" y="${at}" text-anchor="end">${tick === maxMs ? 'never' : tick}</text><path d="M${MARGIN.left},${at}H${WIDTH - MARGIN.right}" stroke="#ddd"/>`;
     }),
     `<text x="${WIDTH / 2}" y="${HEIGHT - 8}" text-anchor="middle">false ejections per target-hour</text>`,
     `<text transform="translate(16,${HEIGHT / 2}) rotate(-90)" text-anchor="middle">median detection time, ms</text>`,
--- a/packages/lab/src/bench/detection/node/bench.ts
+++ b/packages/lab/src/bench/detection/node/bench.ts
@@ -16,7 +16,7 @@
 import { renderCurves } from '../common/curvePlot.js';
 import { summarizeReplays } from '../common/detectionSummary.js';
 import type { IMeasuredCurves } from './curves.js';
-import { measureCurves, NEVER_MS, formatCurves } from './curves.js';
+import { measureCurves, UNDETECTED_MS, formatCurves } from './curves.js';
 
 const DEFAULT_SEEDS = [1, 2, 3, 4, 5];
 const DEFAULT_THREADS = [4];
@@ -161,7 +161,7 @@
     writeFileSync(join(out, 'detection-curves.md'), page + body);
   }
   for (const { member, trace, curves: drawn } of curves) {
-    const svg = renderCurves(`${member}, ${trace}`, drawn, NEVER_MS);
+    const svg = renderCurves(`${member}, ${trace}`, drawn, UNDETECTED_MS);
     writeFileSync(join(out, `detection-${member}-${trace}.svg`), svg);
   }
 }
--- a/packages/lab/src/bench/detection/node/curves.ts
+++ b/packages/lab/src/bench/detection/node/curves.ts
@@ -8,7 +8,7 @@
 import { summarizeReplays } from '../common/detectionSummary.js';
 
 /** Drawn for targets that were never detected. */
-export const NEVER_MS = 50_000;
+export const UNDETECTED_MS = 50_000;
 
 const MEMBERS = ['dobrescu', 'donautal'] as const;
 const TRACES = ['fail-5', 'fail-20', 'fail-50', 'slow-3x', 'one-way-cut'] as const;
@@ -90,7 +90,7 @@
         falsePerTargetHour: pick(controls, variant).falsePerTargetHour,
         detectionMs: pick([`${member}-${trace}`], variant).medianMs,
       }));
-      return { member, trace, curves: joinCurves(points) };
+      return { member, trace, curves: buildCurves(points) };
     });
   });
 }
@@ -101,7 +101,7 @@
   readonly detectionMs: number;
 }
 
-function joinCurves(points: readonly IMeasuredPoint[]): readonly ICurve[] {
+function buildCurves(points: readonly IMeasuredPoint[]): readonly ICurve[] {
   const names = [...new Set(points.map(({ variant }) => variant.curve))];
   return names.map((name) => {
     const own = points.filter(({ variant }) => variant.curve === name);
--- a/packages/lab/src/bench/distribution/common/distributionFleet.ts
+++ b/packages/lab/src/bench/distribution/common/distributionFleet.ts
@@ -53,7 +53,7 @@
   private readonly plans: PlanStore;
   private readonly abort = new AbortController();
   private readonly running: Promise<void>[] = [];
-  private awaited = Infinity;
+  private awaitedRevision = Infinity;
   private announcements = 0;
   private fetches = 0;
 
@@ -98,8 +98,8 @@
     this.announcements = 0;
     this.fetches = 0;
     this.platform.table.readCount = 0;
-    this.awaited = this.getHighestRevision() + 1;
-    await this.putInForce(`revision ${this.awaited}`);
+    this.awaitedRevision = this.getHighestRevision() + 1;
+    await this.putInForce(`revision ${this.awaitedRevision}`);
   }
 
   async stop(): Promise<void> {
@@ -109,10 +109,10 @@
   }
 
   /** One call between two nodes: a delay each way, or silence. */
-  async request<T>(answer: () => T): Promise<T> {
+  async request<T>(respond: () => T): Promise<T> {
     await this.clock.sleep(this.random.getJittered(DELAY_MS, 0.5));
     if (this.random.getFloat() < this.options.lostCalls) await new Promise(() => undefined);
-    const result = answer();
+    const result = respond();
     await this.clock.sleep(this.random.getJittered(DELAY_MS, 0.5));
     return result;
   }
@@ -134,7 +134,8 @@
       fanOut: options.fanOut,
     });
     distributor.onDidChange(({ config }) => {
-      if (config.fleetRevision >= this.awaited) this.arrivals.push(clock.getMonotonicTime());
+      if (config.fleetRevision >= this.awaitedRevision)
+        this.arrivals.push(clock.getMonotonicTime());
     });
     return distributor;
   }
--- a/packages/lab/src/bench/distribution/node/bench.ts
+++ b/packages/lab/src/bench/distribution/node/bench.ts
@@ -4,13 +4,13 @@
 import type { IDistributionOptions } from '../common/distributionFleet.js';
 import { DistributionFleet } from '../common/distributionFleet.js';
 
-const WATCHED_MS = 60_000;
+const OBSERVATION_MS = 60_000;
 const CHANGES = 3;
 /** Today's interval, the one that the two-year size allows, and one that leaves it to peers. */
 const POLLS_MS: readonly number[] = [2000, 7000, 10_500, 60_000];
 const FAN_OUTS: readonly number[] = [1, 2, 3, 4, 6, 8];
 
-interface IDistributionFigures {
+interface IDistributionResults {
   readonly reachedShare: number;
   readonly halfMs: number;
   readonly p99Ms: number;
@@ -32,8 +32,8 @@
       const neighbours = parseNumbers(options, 'neighbours', [8])[0] ?? 8;
       const base = { nodes, seed, neighbours, lostCalls: 0, withoutStore: 0 };
       const polls = parseNumbers(options, 'pollMs', POLLS_MS);
-      const plain = await measureAll(base, polls, parseNumbers(options, 'fanOut', FAN_OUTS));
-      tables.push(formatTable(`${nodes} nodes, every call answered`, plain));
+      const faultFree = await measureAll(base, polls, parseNumbers(options, 'fanOut', FAN_OUTS));
+      tables.push(formatTable(`${nodes} nodes, every call answered`, faultFree));
       log(`distribution: ${nodes} nodes with faults`);
       const withoutStore = Math.floor(nodes * 0.9);
       const faultyBase = { ...base, lostCalls: 0.1, withoutStore };
@@ -48,14 +48,14 @@
         'In one process on a manual clock: the distributors are the product, network and store fakes.',
         'Peers are drawn from eight neighbours of each node, unless --set neighbours says otherwise.',
         'One-way delay 1 to 3 ms; a lost announcement ends after 1 s, a lost fetch after 3 s.',
-        `Means of ${CHANGES} changes, each watched for ${WATCHED_MS / 1000} s. Messages are for each node and change.`,
+        `Means of ${CHANGES} changes, each watched for ${OBSERVATION_MS / 1000} s. Messages are for each node and change.`,
         'Announcements count those of the watched time, the ones without news included.',
       ],
     };
   }
 }
 
-type Row = readonly [IDistributionOptions, IDistributionFigures];
+type Row = readonly [IDistributionOptions, IDistributionResults];
 
 async function measureAll(
   base: Omit<IDistributionOptions, 'fanOut' | 'pollMs'>,
@@ -72,20 +72,20 @@
   return rows;
 }
 
-async function measureFleet(options: IDistributionOptions): Promise<IDistributionFigures> {
+async function measureFleet(options: IDistributionOptions): Promise<IDistributionResults> {
   const fleet = new DistributionFleet(options);
   await fleet.start();
-  const figures: IDistributionFigures[] = [];
-  for (let change = 0; change < CHANGES; change += 1) figures.push(await measureChange(fleet));
+  const results: IDistributionResults[] = [];
+  for (let change = 0; change < CHANGES; change += 1) results.push(await measureChange(fleet));
   await fleet.stop();
-  return computeMeans(figures);
+  return computeMeans(results);
 }
 
-async function measureChange(fleet: DistributionFleet): Promise<IDistributionFigures> {
+async function measureChange(fleet: DistributionFleet): Promise<IDistributionResults> {
   const { nodes } = fleet.options;
   const startMs = fleet.clock.getMonotonicTime();
   await fleet.confirmChange();
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   const times = fleet.arrivals.map((arrivalMs) => arrivalMs - startMs);
   times.sort((left, right) => left - right);
   const messages = fleet.getMessages();
@@ -97,19 +97,19 @@
     lastMs: findTime(1),
     announcements: messages.announcements / nodes,
     fetches: messages.fetches / nodes,
-    readsPerSecond: (fleet.platform.table.readCount * 1000) / WATCHED_MS,
+    readsPerSecond: (fleet.platform.table.readCount * 1000) / OBSERVATION_MS,
   };
 }
 
-function computeMeans(figures: readonly IDistributionFigures[]): IDistributionFigures {
-  const computeMean = (pick: (each: IDistributionFigures) => number) => {
-    return figures.reduce((sum, each) => sum + pick(each), 0) / figures.length;
+function computeMeans(results: readonly IDistributionResults[]): IDistributionResults {
+  const computeMean = (pick: (each: IDistributionResults) => number) => {
+    return results.reduce((sum, each) => sum + pick(each), 0) / results.length;
   };
   return {
     reachedShare: computeMean((each) => each.reachedShare),
     halfMs: computeMean((each) => each.halfMs),
     p99Ms: computeMean((each) => each.p99Ms),
-    lastMs: Math.max(...figures.map((each) => each.lastMs)),
+    lastMs: Math.max(...results.map((each) => each.lastMs)),
     announcements: computeMean((each) => each.announcements),
     fetches: computeMean((each) => each.fetches),
     readsPerSecond: computeMean((each) => each.readsPerSecond),
@@ -130,21 +130,21 @@
       'fetches',
       'store reads/s',
     ],
-    rows: rows.map(([options, figures]) => formatRow(options, figures)),
+    rows: rows.map(([options, results]) => formatRow(options, results)),
   };
 }
 
-function formatRow(options: IDistributionOptions, figures: IDistributionFigures): readonly Cell[] {
+function formatRow(options: IDistributionOptions, results: IDistributionResults): readonly Cell[] {
   return [
     options.pollMs,
     options.fanOut,
-    formatNumber(figures.reachedShare, 4),
-    formatNumber(figures.halfMs),
-    formatNumber(figures.p99Ms),
-    formatNumber(figures.lastMs),
-    formatNumber(figures.announcements),
-    formatNumber(figures.fetches),
-    formatNumber(figures.readsPerSecond),
+    formatNumber(results.reachedShare, 4),
+    formatNumber(results.halfMs),
+    formatNumber(results.p99Ms),
+    formatNumber(results.lastMs),
+    formatNumber(results.announcements),
+    formatNumber(results.fetches),
+    formatNumber(results.readsPerSecond),
   ];
 }
 
--- a/packages/lab/src/bench/hop/node/bench.ts
+++ b/packages/lab/src/bench/hop/node/bench.ts
@@ -6,7 +6,7 @@
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import type { HopWorld } from './hopWorld.js';
 import { BOOK_HOST, READ_HOST, startHopWorld } from './hopWorld.js';
-import type { IStreamFigures, IStreamOptions } from './requestStream.js';
+import type { IStreamResults, IStreamOptions } from './requestStream.js';
 import { runStream } from './requestStream.js';
 
 const RATES: readonly number[] = [100, 286, 1000, 2000];
@@ -33,7 +33,7 @@
         parseNumbers(options, 'serviceMs', [DEFAULT_SERVICE_MS])[0] ?? DEFAULT_SERVICE_MS;
       const nodeOptions = options.values.get('nodeOptions')?.split(' ') ?? [];
       const world = await startHopWorld({ seed: options.seed, meanServiceMs, nodeOptions });
-      store.add(toOwned(world));
+      store.add(toDisposable(world));
       const tables = await measureRates(world, options);
       return { tables, notes: listNotes(meanServiceMs) };
     } finally {
@@ -42,7 +42,7 @@
   }
 }
 
-function toOwned(world: HopWorld): IDisposable {
+function toDisposable(world: HopWorld): IDisposable {
   return { dispose: () => world.dispose() };
 }
 
@@ -62,8 +62,8 @@
 ): Promise<readonly IBenchTable[]> {
   const seconds = parseNumbers(options, 'seconds', [DEFAULT_SECONDS])[0] ?? DEFAULT_SECONDS;
   const tables: IBenchTable[] = [];
-  const wanted = options.values.get('paths')?.split(',');
-  const paths = listPaths(world).filter(({ name }) => wanted?.includes(name) ?? true);
+  const selectedPaths = options.values.get('paths')?.split(',');
+  const paths = listPaths(world).filter(({ name }) => selectedPaths?.includes(name) ?? true);
   for (const path of paths) {
     await runStream(makeStream(path, 200, WARM_UP_MS, options.seed));
   }
@@ -105,13 +105,13 @@
   seed: number,
 ): Promise<IBenchTable> {
   const rows: (readonly Cell[])[] = [];
-  let straight: IStreamFigures | undefined;
+  let straight: IStreamResults | undefined;
   for (const path of paths) {
     const before = await readUsage(world);
-    const figures = await runStream(makeStream(path, perSecond, durationMs, seed));
+    const results = await runStream(makeStream(path, perSecond, durationMs, seed));
     const after = await readUsage(world);
-    straight ??= figures;
-    rows.push(formatRow(path.name, figures, straight, before, after));
+    straight ??= results;
+    rows.push(formatRow(path.name, results, straight, before, after));
   }
   return {
     title: `${perSecond} requests/s`,
@@ -157,20 +157,20 @@
 
 function formatRow(
   name: string,
-  figures: IStreamFigures,
-  straight: IStreamFigures,
+  results: IStreamResults,
+  straight: IStreamResults,
   before: IUsage,
   after: IUsage,
 ): readonly Cell[] {
-  const requests = Math.max(1, figures.completed + figures.failed);
+  const requests = Math.max(1, results.completed + results.failed);
   return [
     name,
-    figures.completed,
-    figures.failed,
-    formatNumber(figures.p50Ms),
-    formatNumber(figures.p99Ms),
-    formatNumber(figures.p50Ms - straight.p50Ms),
-    formatNumber(figures.p99Ms - straight.p99Ms),
+    results.completed,
+    results.failed,
+    formatNumber(results.p50Ms),
+    formatNumber(results.p99Ms),
+    formatNumber(results.p50Ms - straight.p50Ms),
+    formatNumber(results.p99Ms - straight.p99Ms),
     formatNumber((after.otherCpuMs - before.otherCpuMs) / requests),
     formatNumber((after.homeCpuMs - before.homeCpuMs) / requests),
     formatNumber(after.homeMemoryBytes / BYTES_PER_MB),
--- a/packages/lab/src/bench/hop/node/requestStream.ts
+++ b/packages/lab/src/bench/hop/node/requestStream.ts
@@ -7,7 +7,7 @@
 
 const OK = 200;
 const US_PER_MS = 1000;
-const HIGHEST_US = 60_000_000;
+const MAX_US = 60_000_000;
 const CONNECTIONS = 64;
 
 /** What is sent where, and how often. */
@@ -23,7 +23,7 @@
 }
 
 /** What came of it. Latencies are from sending to the last byte, in ms. */
-export interface IStreamFigures {
+export interface IStreamResults {
   readonly completed: number;
   readonly failed: number;
   readonly p50Ms: number;
@@ -36,11 +36,11 @@
  * @example
  * const figures = await runStream({ addresses, host, isBooking: false, perSecond: 100, durationMs: 5000, seed: 1 });
  */
-export async function runStream(options: IStreamOptions): Promise<IStreamFigures> {
+export async function runStream(options: IStreamOptions): Promise<IStreamResults> {
   const pools = options.addresses.map((address) => {
     return new Pool(`http://${address}`, { connections: CONNECTIONS });
   });
-  const histogram = build({ highestTrackableValue: HIGHEST_US, numberOfSignificantValueDigits: 3 });
+  const histogram = build({ highestTrackableValue: MAX_US, numberOfSignificantValueDigits: 3 });
   const stream = new RequestStream(options, pools, histogram);
   await stream.run();
   await Promise.all(pools.map((pool) => pool.close()));
@@ -100,9 +100,9 @@
     try {
       const method = isBooking ? 'POST' : 'GET';
       const body = isBooking ? id : null;
-      const answer = await pool.request({ method, path: '/x', headers, body });
-      await answer.body.bytes();
-      if (answer.statusCode !== OK) this.failed += 1;
+      const response = await pool.request({ method, path: '/x', headers, body });
+      await response.body.bytes();
+      if (response.statusCode !== OK) this.failed += 1;
       else this.recordLatency(performance.now() - startMs);
     } catch {
       this.failed += 1;
@@ -110,6 +110,6 @@
   }
 
   private recordLatency(latencyMs: number): void {
-    this.histogram.recordValue(Math.min(HIGHEST_US, Math.round(latencyMs * US_PER_MS)));
+    this.histogram.recordValue(Math.min(MAX_US, Math.round(latencyMs * US_PER_MS)));
   }
 }
--- a/packages/lab/src/bench/in-force/node/bench.ts
+++ b/packages/lab/src/bench/in-force/node/bench.ts
@@ -19,23 +19,31 @@
 /** Settings that ship, in place of the lab's short ones. */
 const SHIPPED_TIMING = { configPollMs: 2000, vmListPollMs: 2000, isolationLimitMs: 30_000 };
 /** Calls that were under way when the cut began are over after this. */
-const CUT_SETTLE_MS = 4000;
-const HELD_MS = 6000;
-const IN_FORCE_LIMIT_MS = 60_000;
+const PARTITION_SETTLE_MS = 4000;
+const OBSERVATION_MS = 6000;
+const IN_FORCE_TIMEOUT_MS = 60_000;
 
 interface IRound {
   readonly name: string;
   readonly link: Partial<ILinkFaults>;
   /** Peers are cut by a signal to the node; the order of the rounds is that of its states. */
-  readonly cutsPeers: boolean;
+  readonly isPartitionedFromPeers: boolean;
 }
 
 const ROUNDS: readonly IRound[] = [
-  { name: 'none', link: {}, cutsPeers: false },
-  { name: 'calls to platform lost', link: { cutForward: true }, cutsPeers: false },
-  { name: 'answers of platform lost', link: { cutBackward: true }, cutsPeers: false },
-  { name: 'calls to platform and peers lost', link: { cutForward: true }, cutsPeers: true },
-  { name: 'hears neither platform nor peers', link: { cutBackward: true }, cutsPeers: true },
+  { name: 'none', link: {}, isPartitionedFromPeers: false },
+  { name: 'calls to platform lost', link: { cutForward: true }, isPartitionedFromPeers: false },
+  { name: 'answers of platform lost', link: { cutBackward: true }, isPartitionedFromPeers: false },
+  {
+    name: 'calls to platform and peers lost',
+    link: { cutForward: true },
+    isPartitionedFromPeers: true,
+  },
+  {
+    name: 'hears neither platform nor peers',
+    link: { cutBackward: true },
+    isPartitionedFromPeers: true,
+  },
 ];
 
 class InForceBench extends Bench {
@@ -75,7 +83,7 @@
       seed,
       nodeCount,
       nodeTiming: SHIPPED_TIMING,
-      nodeOptions: ['--import', fileURLToPath(new URL('cutPeers.js', import.meta.url))],
+      nodeOptions: ['--import', fileURLToPath(new URL('partitionPeers.js', import.meta.url))],
       choosePlatformAddress: async (own) => {
         const link = new FaultyLink({ to: own });
         await link.start();
@@ -97,17 +105,17 @@
   /** Milliseconds from the start of the confirming command; "no" for not within the cut. */
   async runRound(round: IRound): Promise<readonly Cell[]> {
     const nodes = this.lab.getNodes();
-    const cutNode = nodes.at(-1);
+    const partitionedNode = nodes.at(-1);
     const link = this.links.find((one) => {
-      return cutNode?.options.platformUrl === `http://${one.getAddress()}`;
+      return partitionedNode?.options.platformUrl === `http://${one.getAddress()}`;
     });
-    if (cutNode === undefined || link === undefined) throw new Error('no node runs');
+    if (partitionedNode === undefined || link === undefined) throw new Error('no node runs');
     const others = nodes.slice(0, -1);
     const operator = this.lab.getOperator(MEMBER);
     const file = await this.lab.writeIntent(MEMBER, this.lab.getPlaces());
     await link.setFaults(round.link);
-    if (round.cutsPeers) cutNode.child.sendSignal('SIGUSR2');
-    await sleep(CUT_SETTLE_MS);
+    if (round.isPartitionedFromPeers) partitionedNode.child.sendSignal('SIGUSR2');
+    await sleep(PARTITION_SETTLE_MS);
     const watch = await RevisionWatch.start(nodes);
     const submitted = await operator.run(['intent', 'submit', file]);
     const { id } = submitted.output as { readonly id: string };
@@ -115,19 +123,19 @@
     const confirmed = await operator.run(['plan', 'confirm', id]);
     const commandMs = performance.now() - startMs;
     if (confirmed.exitCode !== 0) throw new Error(confirmed.errors);
-    const lastMs = await watch.waitUntilAll(others, IN_FORCE_LIMIT_MS);
-    await sleep(HELD_MS);
-    const ownMs = watch.getReachedMs(cutNode);
+    const lastMs = await watch.waitUntilAll(others, IN_FORCE_TIMEOUT_MS);
+    await sleep(OBSERVATION_MS);
+    const partitionedNodeMs = watch.getReachedMs(partitionedNode);
     const healedMs = performance.now();
     await link.setFaults(NO_LINK_FAULTS);
-    if (round.cutsPeers) cutNode.child.sendSignal('SIGUSR2');
-    const reachedMs = await watch.waitUntilAll([cutNode], IN_FORCE_LIMIT_MS);
+    if (round.isPartitionedFromPeers) partitionedNode.child.sendSignal('SIGUSR2');
+    const reachedMs = await watch.waitUntilAll([partitionedNode], IN_FORCE_TIMEOUT_MS);
     await watch.stop();
     return [
       Math.round(commandMs),
       Math.round(lastMs - startMs),
-      ownMs === undefined ? 'no' : Math.round(ownMs - startMs),
-      ownMs === undefined ? Math.round(reachedMs - healedMs) : '',
+      partitionedNodeMs === undefined ? 'no' : Math.round(partitionedNodeMs - startMs),
+      partitionedNodeMs === undefined ? Math.round(reachedMs - healedMs) : '',
     ];
   }
 
--- a/packages/lab/src/bench/in-force/node/cutPeers.ts
+++ b/packages/lab/src/bench/in-force/node/partitionPeers.ts
@@ -7,42 +7,47 @@
 import type { LooseMethod } from '../../../prove/breaks/node/wrapMethod.js';
 import { executeLoose, wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
-const PeerCut = { Whole: 'whole', Mute: 'mute', Deaf: 'deaf' } as const;
+const PeerPartition = { None: 'none', Outbound: 'outbound', Inbound: 'inbound' } as const;
 
-type PeerCut = (typeof PeerCut)[keyof typeof PeerCut];
+type PeerPartition = (typeof PeerPartition)[keyof typeof PeerPartition];
 
-const STATES: readonly PeerCut[] = [PeerCut.Whole, PeerCut.Mute, PeerCut.Whole, PeerCut.Deaf];
+const STATES: readonly PeerPartition[] = [
+  PeerPartition.None,
+  PeerPartition.Outbound,
+  PeerPartition.None,
+  PeerPartition.Inbound,
+];
 
-let signals = 0;
+let signalCount = 0;
 
-function getCut(): PeerCut {
-  return STATES[signals % STATES.length] ?? PeerCut.Whole;
+function getPartition(): PeerPartition {
+  return STATES[signalCount % STATES.length] ?? PeerPartition.None;
 }
 
 /** What a call over a cut path looks like to the caller: silence until its own timeout. */
-async function waitInSilence(timeoutMs: number): Promise<never> {
+async function waitForTimeout(timeoutMs: number): Promise<never> {
   await sleep(timeoutMs);
   throw new Error('the path is cut');
 }
 
 process.on('SIGUSR2', () => {
-  signals += 1;
+  signalCount += 1;
 });
 
 await wrapMethod('fleet/dist/peers/node/peerClients.js', 'PeerClients', 'execute', (original) => {
   return function (address, call, limits) {
     const send = call as LooseMethod;
-    const sendOverCut = async (client: unknown, options: { readonly timeoutMs: number }) => {
-      const cut = getCut();
-      if (cut === PeerCut.Whole)
+    const sendOverPartition = async (client: unknown, options: { readonly timeoutMs: number }) => {
+      const partition = getPartition();
+      if (partition === PeerPartition.None)
         return await (send.call(this, client, options) as Promise<unknown>);
       // Of a deaf node only the answers are lost: the call itself arrives.
-      if (cut === PeerCut.Deaf) {
+      if (partition === PeerPartition.Inbound) {
         void (send.call(this, client, options) as Promise<unknown>).catch(() => undefined);
       }
-      return await waitInSilence(options.timeoutMs);
+      return await waitForTimeout(options.timeoutMs);
     };
-    return original.call(this, address, sendOverCut, limits);
+    return original.call(this, address, sendOverPartition, limits);
   };
 });
 
@@ -50,7 +55,7 @@
 
 await wrapMethod(DISTRIBUTOR, 'ConfigDistributor', 'receiveAnnouncement', (original) => {
   return function (revision, announcer) {
-    if (getCut() !== PeerCut.Deaf) return original.call(this, revision, announcer);
+    if (getPartition() !== PeerPartition.Inbound) return original.call(this, revision, announcer);
     const current = executeLoose(this, 'getCurrent') as { readonly fleetRevision: number };
     return current.fleetRevision;
   };
--- a/packages/lab/src/bench/in-force/node/revisionWatch.ts
+++ b/packages/lab/src/bench/in-force/node/revisionWatch.ts
@@ -33,8 +33,8 @@
   }
 
   /** Resolves with the instant at which the last of them was seen with it. */
-  async waitUntilAll(nodes: readonly NodeProcess[], limitMs: number): Promise<number> {
-    const endMs = performance.now() + limitMs;
+  async waitUntilAll(nodes: readonly NodeProcess[], timeoutMs: number): Promise<number> {
+    const endMs = performance.now() + timeoutMs;
     while (nodes.some((node) => !this.reached.has(node))) {
       if (performance.now() > endMs) throw new Error('not in force everywhere within the limit');
       await sleep(POLL_MS);
--- a/packages/lab/src/bench/node/main.ts
+++ b/packages/lab/src/bench/node/main.ts
@@ -36,8 +36,8 @@
 
   private formatJson(report: IBenchReport, loadAtStart: number): string {
     const machine = { cores: availableParallelism(), node: process.version, loadAtStart };
-    const whole = { bench: this.name, seed: Number(this.seed), machine, ...report };
-    return `${JSON.stringify(whole, undefined, 2)}\n`;
+    const output = { bench: this.name, seed: Number(this.seed), machine, ...report };
+    return `${JSON.stringify(output, undefined, 2)}\n`;
   }
 }
 
--- a/packages/lab/src/bench/placement/common/boundedPlacement.ts
+++ b/packages/lab/src/bench/placement/common/boundedPlacement.ts
@@ -7,7 +7,7 @@
 import { Placement, RendezvousPlacement } from '@parsleymux/fleet';
 import type { ISizedShard } from './placementCase.js';
 
-const CANDIDATES = 12;
+const CANDIDATE_COUNT = 12;
 
 /**
  * Needs to know every shard beforehand, and gives each only one candidate of its own.
@@ -49,7 +49,7 @@
     const loads = new Map<INode, number>();
     for (const shard of this.shards) {
       const bound = bounds.get(shard.failureDomains[0] ?? '') ?? Infinity;
-      const candidates = this.inner.rank(shard, CANDIDATES);
+      const candidates = this.inner.rank(shard, CANDIDATE_COUNT);
       const home = candidates.find((node) => {
         const load = loads.get(node) ?? 0;
         return load === 0 || load + shard.slots <= bound;
--- a/packages/lab/src/bench/placement/common/measurePlacement.ts
+++ b/packages/lab/src/bench/placement/common/measurePlacement.ts
@@ -5,10 +5,10 @@
 import { makeNode, makeNodes } from './placementCase.js';
 
 const CANDIDATES = 3;
-const CHANGES_TRIED = 10;
+const CHANGE_COUNT = 10;
 
 /** What was measured. Shares are of all slots. */
-export interface IPlacementFigures {
+export interface IPlacementResults {
   readonly maxToMean: number;
   readonly p99ToMean: number;
   /** Slots moved by the loss of one node, over the slots that it held. 1 is ideal. */
@@ -35,7 +35,7 @@
   size: IPlacementSize,
   shards: readonly ISizedShard[],
   clock: Clock,
-): IPlacementFigures {
+): IPlacementResults {
   const nodes = makeNodes(size);
   const placement = make();
   placement.setNodes(nodes);
@@ -88,8 +88,8 @@
 ): number {
   let moved = 0;
   let held = 0;
-  for (let index = 0; index < CHANGES_TRIED; index += 1) {
-    const lost = nodes[Math.floor((index * nodes.length) / CHANGES_TRIED)];
+  for (let index = 0; index < CHANGE_COUNT; index += 1) {
+    const lost = nodes[Math.floor((index * nodes.length) / CHANGE_COUNT)];
     const placement = make();
     placement.setNodes(nodes);
     placement.setNodes(nodes.filter((node) => node !== lost));
@@ -108,7 +108,7 @@
 ): number {
   let moved = 0;
   let gained = 0;
-  for (let index = 0; index < CHANGES_TRIED; index += 1) {
+  for (let index = 0; index < CHANGE_COUNT; index += 1) {
     const joined = makeNode(size, nodes.length + index);
     const placement = make();
     placement.setNodes(nodes);
@@ -125,11 +125,11 @@
   nodes: readonly INode[],
   shards: readonly ISizedShard[],
   clock: Clock,
-): Pick<IPlacementFigures, 'coldLookUpUs' | 'warmLookUpUs'> {
+): Pick<IPlacementResults, 'coldLookUpUs' | 'warmLookUpUs'> {
   const placement = make();
   const cold: number[] = [];
   const warm: number[] = [];
-  for (let round = 0; round < CHANGES_TRIED; round += 1) {
+  for (let round = 0; round < CHANGE_COUNT; round += 1) {
     placement.setNodes(nodes);
     cold.push(measurePass(placement, shards, clock));
     warm.push(measurePass(placement, shards, clock));
--- a/packages/lab/src/bench/placement/common/placementCase.ts
+++ b/packages/lab/src/bench/placement/common/placementCase.ts
@@ -3,9 +3,9 @@
 import type { INode, IShard } from '@parsleymux/fleet';
 
 const DOMAINS_PER_SERVICE = 3;
-const SMALLEST_SERVICE = 6;
+const MIN_SERVICE_TARGETS = 6;
 /** Spread of service sizes: the standard deviation of their logarithm. */
-const SIZE_SPREAD = 0.8;
+const SIZE_SIGMA = 0.8;
 
 /** A shard with the slots of its targets. */
 export interface ISizedShard extends IShard {
@@ -19,7 +19,7 @@
   readonly services: number;
   readonly targets: number;
   /** Targets that one shard has at most; 0: a service is one shard. */
-  readonly shardTargets: number;
+  readonly maxShardTargets: number;
   /** Number of the first node; other numbers are other addresses. */
   readonly firstNode: number;
 }
@@ -57,9 +57,9 @@
 export function makeShards(size: IPlacementSize, random: RandomSource): readonly ISizedShard[] {
   const weights = Array.from({ length: size.services }, () => sampleLogNormal(random));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  const spare = size.targets - size.services * SMALLEST_SERVICE;
+  const spare = size.targets - size.services * MIN_SERVICE_TARGETS;
   return weights.flatMap((weight, index) => {
-    const targets = SMALLEST_SERVICE + Math.round((spare * weight) / total);
+    const targets = MIN_SERVICE_TARGETS + Math.round((spare * weight) / total);
     return makeServiceShards(size, random, `member/service-${index}`, targets);
   });
 }
@@ -72,12 +72,18 @@
 ): readonly ISizedShard[] {
   const slotsPerTarget = 3 + random.getInteger(2);
   const domains = sampleDomains(size, random);
-  if (size.shardTargets === 0) {
+  if (size.maxShardTargets === 0) {
     return [{ id, failureDomains: domains, slots: targets * slotsPerTarget }];
   }
   return domains.flatMap((domain, index) => {
     const inDomain = Math.floor((targets + index) / DOMAINS_PER_SERVICE);
-    return makeDomainShards(`${id}/${domain}`, domain, inDomain, size.shardTargets, slotsPerTarget);
+    return makeDomainShards(
+      `${id}/${domain}`,
+      domain,
+      inDomain,
+      size.maxShardTargets,
+      slotsPerTarget,
+    );
   });
 }
 
@@ -93,10 +99,10 @@
   id: string,
   domain: string,
   targets: number,
-  shardTargets: number,
+  maxShardTargets: number,
   slotsPerTarget: number,
 ): readonly ISizedShard[] {
-  const parts = Math.ceil(targets / shardTargets);
+  const parts = Math.ceil(targets / maxShardTargets);
   return Array.from({ length: parts }, (_, part) => {
     const inPart = Math.floor((targets + part) / parts);
     return { id: `${id}/${part}`, failureDomains: [domain], slots: inPart * slotsPerTarget };
@@ -109,5 +115,5 @@
 
 function sampleLogNormal(random: RandomSource): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.getFloat()));
-  return Math.exp(SIZE_SPREAD * radius * Math.cos(2 * Math.PI * random.getFloat()));
+  return Math.exp(SIZE_SIGMA * radius * Math.cos(2 * Math.PI * random.getFloat()));
 }
--- a/packages/lab/src/bench/placement/common/segmentPlacement.ts
+++ b/packages/lab/src/bench/placement/common/segmentPlacement.ts
@@ -76,8 +76,8 @@
     return node !== undefined && wanted.delete(node.address) ? node : undefined;
   });
   for (const node of wanted.values()) {
-    const hole = bucket.segments.indexOf(undefined);
-    if (hole >= 0) bucket.segments[hole] = node;
+    const freeIndex = bucket.segments.indexOf(undefined);
+    if (freeIndex >= 0) bucket.segments[freeIndex] = node;
     else bucket.segments.push(node);
   }
 }
--- a/packages/lab/src/bench/placement/node/bench.ts
+++ b/packages/lab/src/bench/placement/node/bench.ts
@@ -4,7 +4,7 @@
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import { BoundedPlacement } from '../common/boundedPlacement.js';
-import type { IPlacementFigures, PlacementFactory } from '../common/measurePlacement.js';
+import type { IPlacementResults, PlacementFactory } from '../common/measurePlacement.js';
 import { measurePlacement } from '../common/measurePlacement.js';
 import type { IPlacementSize, ISizedShard } from '../common/placementCase.js';
 import { makeShards } from '../common/placementCase.js';
@@ -20,7 +20,7 @@
 const BOUND = 1.25;
 const DEFAULT_RUNS = 8;
 /** Distance between the addresses of two runs. */
-const NODES_APART = 10_000;
+const ADDRESS_STRIDE = 10_000;
 
 class PlacementBench extends Bench {
   override readonly summary = 'balance, movement and look-up cost of placement schemes';
@@ -28,9 +28,15 @@
   override run(options: IBenchOptions): Promise<IBenchReport> {
     const runs = parseNumbers(options, 'runs', [DEFAULT_RUNS])[0] ?? DEFAULT_RUNS;
     const tables = FLEETS.flatMap((fleet) => {
-      return SHARD_TARGETS.map((shardTargets) => {
-        const size = { ...fleet, services: SERVICES, targets: TARGETS, shardTargets, firstNode: 0 };
-        options.log(`placement: ${size.nodes} nodes, at most ${shardTargets} targets a shard`);
+      return SHARD_TARGETS.map((maxShardTargets) => {
+        const size = {
+          ...fleet,
+          services: SERVICES,
+          targets: TARGETS,
+          maxShardTargets,
+          firstNode: 0,
+        };
+        options.log(`placement: ${size.nodes} nodes, at most ${maxShardTargets} targets a shard`);
         return measureCase(size, options.seed, runs);
       });
     });
@@ -49,22 +55,22 @@
 
 function measureCase(size: IPlacementSize, seed: number, runs: number): IBenchTable {
   const clock = new SystemClock();
-  const figures = new Map<string, IPlacementFigures[]>();
+  const results = new Map<string, IPlacementResults[]>();
   let shardCount = 0;
   for (let run = 0; run < runs; run += 1) {
     const shards = makeShards(size, new SeededRandom(seed + run));
     shardCount += shards.length / runs;
     for (const [name, make] of listSchemes(shards)) {
-      const ofScheme = figures.get(name) ?? [];
-      const runSize = { ...size, firstNode: run * NODES_APART };
-      ofScheme.push(measurePlacement(make, runSize, shards, clock));
-      figures.set(name, ofScheme);
+      const schemeResults = results.get(name) ?? [];
+      const runSize = { ...size, firstNode: run * ADDRESS_STRIDE };
+      schemeResults.push(measurePlacement(make, runSize, shards, clock));
+      results.set(name, schemeResults);
     }
   }
   return {
     title:
       `${size.nodes} nodes, ${size.services} services, ${size.targets} targets, ` +
-      `at most ${size.shardTargets} targets a shard: ${Math.round(shardCount)} shards`,
+      `at most ${size.maxShardTargets} targets a shard: ${Math.round(shardCount)} shards`,
     columns: [
       'scheme',
       'max/mean slots',
@@ -75,7 +81,7 @@
       'cold look-up µs',
       'warm look-up µs',
     ],
-    rows: [...figures].map(([name, ofScheme]) => formatRow(name, ofScheme)),
+    rows: [...results].map(([name, schemeResults]) => formatRow(name, schemeResults)),
   };
 }
 
@@ -90,14 +96,14 @@
   ];
 }
 
-function formatRow(name: string, figures: readonly IPlacementFigures[]): readonly Cell[] {
-  const formatMean = (pick: (each: IPlacementFigures) => number) => {
-    return formatNumber(figures.reduce((sum, each) => sum + pick(each), 0) / figures.length);
+function formatRow(name: string, results: readonly IPlacementResults[]): readonly Cell[] {
+  const formatMean = (pick: (each: IPlacementResults) => number) => {
+    return formatNumber(results.reduce((sum, each) => sum + pick(each), 0) / results.length);
   };
   return [
     name,
     formatMean((each) => each.maxToMean),
-    formatNumber(Math.max(...figures.map((each) => each.maxToMean))),
+    formatNumber(Math.max(...results.map((each) => each.maxToMean))),
     formatMean((each) => each.p99ToMean),
     formatMean((each) => each.lossMovement),
     formatMean((each) => each.joinMovement),
--- a/packages/lab/src/bench/recovery/common/meteredPlatform.ts
+++ b/packages/lab/src/bench/recovery/common/meteredPlatform.ts
@@ -47,9 +47,9 @@
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly vms: VmList;
-  listed: readonly IVm[] = [];
-  isOut = false;
-  private readonly bySecond = new Map<number, number>();
+  listedVms: readonly IVm[] = [];
+  isUnavailable = false;
+  private readonly readsBySecond = new Map<number, number>();
   private refused = 0;
 
   constructor(private readonly options: IMeteredPlatformOptions) {
@@ -60,12 +60,12 @@
 
   /** Forgets what was counted. */
   reset(): void {
-    this.bySecond.clear();
+    this.readsBySecond.clear();
     this.refused = 0;
   }
 
   getLoad(): IMeteredLoad {
-    const counts = [...this.bySecond.values()];
+    const counts = [...this.readsBySecond.values()];
     return {
       reads: counts.reduce((sum, count) => sum + count, 0),
       refused: this.refused,
@@ -77,11 +77,11 @@
   async acceptRead(): Promise<void> {
     const { clock, delayMs, readsPerSecond } = this.options;
     const second = Math.floor(clock.getMonotonicTime() / MS_PER_SECOND);
-    const count = (this.bySecond.get(second) ?? 0) + 1;
-    this.bySecond.set(second, count);
+    const count = (this.readsBySecond.get(second) ?? 0) + 1;
+    this.readsBySecond.set(second, count);
     await clock.sleep(delayMs);
-    const isOver = readsPerSecond > 0 && count > readsPerSecond;
-    if (!isOver && !this.isOut) return;
+    const isOverLimit = readsPerSecond > 0 && count > readsPerSecond;
+    if (!isOverLimit && !this.isUnavailable) return;
     this.refused += 1;
     throw new PlatformError(PlatformFailure.Refused, 'refused');
   }
@@ -139,6 +139,6 @@
 
   override async list(): Promise<readonly IVm[]> {
     await this.meter.acceptRead();
-    return this.meter.listed;
+    return this.meter.listedVms;
   }
 }
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.test.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.test.ts
@@ -35,7 +35,7 @@
   await fleet.putInForce();
   fleet.startNodes(6);
   await fleet.clock.advanceBy(10_000);
-  fleet.platform.isOut = true;
+  fleet.platform.isUnavailable = true;
   const [fresh] = fleet.startNodes(1);
   await fleet.clock.advanceBy(10_000);
   assert.ok(fresh !== undefined);
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.ts
@@ -19,9 +19,9 @@
 const CALL_MS = 4;
 const BASE_POLL_MS = 2000;
 const HEAD_READS_PER_SECOND = 300;
-const MAX_SPREAD_MS = 20_000;
-const LAST_CALLS_MS = 10_000;
-const SEEDS = 3;
+const MAX_START_SPREAD_MS = 20_000;
+const STOP_MS = 10_000;
+const SEED_COUNT = 3;
 const FIRST_PORT = 10_000;
 
 /** Size of one case. */
@@ -87,7 +87,10 @@
     const nodes = this.membership.getLiveNodes().length;
     const fleetPerSecond = this.fleet.size.startsPerSecond;
     if (fleetPerSecond === 0) return 0;
-    return Math.min(MAX_SPREAD_MS, computeSharedInterval({ baseMs: 0, nodes, fleetPerSecond }));
+    return Math.min(
+      MAX_START_SPREAD_MS,
+      computeSharedInterval({ baseMs: 0, nodes, fleetPerSecond }),
+    );
   }
 
   private getHeadInterval(): number {
@@ -140,9 +143,9 @@
 
   /** Starts `count` nodes at this very instant; they know some that were there before. */
   startNodes(count: number): readonly RecoveryNode[] {
-    const seeds = [...this.nodes.keys()].slice(0, SEEDS);
+    const seeds = [...this.nodes.keys()].slice(0, SEED_COUNT);
     const nodes = Array.from({ length: count }, () => this.makeNode(seeds));
-    this.platform.listed = [...this.nodes.keys()].map((address) => {
+    this.platform.listedVms = [...this.nodes.keys()].map((address) => {
       return { address, failureDomain: 'north', state: VmState.Live };
     });
     for (const node of nodes) node.start();
@@ -151,7 +154,7 @@
 
   async stop(): Promise<void> {
     const stopped = [...this.nodes.values()].map((node) => node.stop());
-    await this.clock.advanceBy(LAST_CALLS_MS);
+    await this.clock.advanceBy(STOP_MS);
     await Promise.all(stopped);
   }
 
--- a/packages/lab/src/bench/recovery/node/bench.ts
+++ b/packages/lab/src/bench/recovery/node/bench.ts
@@ -5,7 +5,7 @@
 import { RecoveryFleet } from '../common/recoveryFleet.js';
 
 const READS_PER_SECOND = 2000;
-const WATCHED_MS = 120_000;
+const OBSERVATION_MS = 120_000;
 const OUTAGE_MS = 600_000;
 const SETTLE_MS = 90_000;
 
@@ -62,11 +62,11 @@
   await fleet.putInForce();
   const restart = await measureRestart(fleet);
   await fleet.clock.advanceBy(SETTLE_MS);
-  const calm = await measureCalm(fleet);
-  fleet.platform.isOut = true;
+  const calm = await measureSteadyState(fleet);
+  fleet.platform.isUnavailable = true;
   await fleet.clock.advanceBy(OUTAGE_MS);
-  const fresh = await measureFresh(fleet);
-  const back = await measureReturn(fleet);
+  const fresh = await measureNewNode(fleet);
+  const back = await measureRecovery(fleet);
   await fleet.stop();
   return [restart, calm, fresh, back];
 }
@@ -74,29 +74,29 @@
 async function measureRestart(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   const startMs = fleet.clock.getMonotonicTime();
   const nodes = fleet.startNodes(fleet.size.nodes);
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('all nodes start at once', fleet, listReadyTimes(nodes, startMs));
 }
 
-async function measureCalm(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+async function measureSteadyState(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('calm', fleet, []);
 }
 
 /** The VM list is out too: the node knows only the seeds of its settings. */
-async function measureFresh(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+async function measureNewNode(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
   const startMs = fleet.clock.getMonotonicTime();
   const nodes = fleet.startNodes(1);
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('a fresh node in an outage', fleet, listReadyTimes(nodes, startMs));
 }
 
-async function measureReturn(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+async function measureRecovery(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
-  fleet.platform.isOut = false;
-  await fleet.clock.advanceBy(WATCHED_MS);
+  fleet.platform.isUnavailable = false;
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('platform back', fleet, []);
 }
 
--- a/packages/lab/src/bench/routing/common/routingMode.ts
+++ b/packages/lab/src/bench/routing/common/routingMode.ts
@@ -23,14 +23,14 @@
 }
 
 /** A way from an entry to a home. */
-export interface IChoice {
+export interface IHomeChoice {
   readonly placed: IPlacedHome;
   /** One way from entry to home, in ms; 0 when they are one. */
   readonly hopMs: number;
 }
 
 /** What the choice is made from. */
-export interface IChoiceOptions {
+export interface IHomeChoiceOptions {
   readonly mode: RoutingMode;
   readonly homes: readonly IPlacedHome[];
   readonly entry: IEntry;
@@ -43,9 +43,10 @@
 const HOP_PROCESSING_MS = 0.15;
 
 /** Chooses the home for one request. */
-export function chooseHome(options: IChoiceOptions): IChoice {
+export function chooseHome(options: IHomeChoiceOptions): IHomeChoice {
   const { mode, homes, random } = options;
-  const placed = mode === 'home per domain' ? chooseBySpare(options) : pickAny(homes, random);
+  const placed =
+    mode === 'home per domain' ? chooseBySpareSlots(options) : pickRandom(homes, random);
   if (mode === 'direct') return { placed, hopMs: 0 };
   const isNear = placed.failureDomain === options.entry.failureDomain;
   const networkMs = isNear ? options.nearMs : options.farMs;
@@ -53,17 +54,17 @@
 }
 
 /** The entry's own domain while it has room, else the better of two others. */
-function chooseBySpare(options: IChoiceOptions): IPlacedHome {
+function chooseBySpareSlots(options: IHomeChoiceOptions): IPlacedHome {
   const { homes, entry, random } = options;
-  const getSpare = (placed: IPlacedHome) => entry.spareShares.get(placed) ?? 1;
+  const getSpareShare = (placed: IPlacedHome) => entry.spareShares.get(placed) ?? 1;
   const own = homes.find((placed) => placed.failureDomain === entry.failureDomain);
-  if (own !== undefined && getSpare(own) > 0) return own;
-  const first = pickAny(homes, random);
-  const second = pickAny(homes, random);
-  return getSpare(first) >= getSpare(second) ? first : second;
+  if (own !== undefined && getSpareShare(own) > 0) return own;
+  const first = pickRandom(homes, random);
+  const second = pickRandom(homes, random);
+  return getSpareShare(first) >= getSpareShare(second) ? first : second;
 }
 
-function pickAny(homes: readonly IPlacedHome[], random: RandomSource): IPlacedHome {
+function pickRandom(homes: readonly IPlacedHome[], random: RandomSource): IPlacedHome {
   const placed = homes[random.getInteger(homes.length)];
   if (placed === undefined) throw new Error('there is no home');
   return placed;
--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -13,11 +13,11 @@
 
 const NODES = 48;
 const DOMAINS: readonly string[] = ['domain-0', 'domain-1', 'domain-2'];
-const TAIL_MS = 10_000;
+const DRAIN_MS = 10_000;
 const MICROSECONDS = 1000;
 
 /** Figures of one run. */
-export interface IRoutingFigures {
+export interface IRoutingResults {
   /** Latency beyond the recorded work, of successes, in ms. */
   readonly addedP50Ms: number;
   readonly addedP99Ms: number;
@@ -37,7 +37,7 @@
   trace: ITrace,
   mode: RoutingMode,
   seed: number,
-): Promise<IRoutingFigures> {
+): Promise<IRoutingResults> {
   return new RoutingRun(trace, mode, seed).run();
 }
 
@@ -67,12 +67,12 @@
     this.homes = this.buildHomes();
   }
 
-  async run(): Promise<IRoutingFigures> {
+  async run(): Promise<IRoutingResults> {
     for (const request of this.trace.requests) {
       await this.clock.advanceTo(request.atMs);
       void this.send(request);
     }
-    await this.clock.advanceBy(TAIL_MS);
+    await this.clock.advanceBy(DRAIN_MS);
     for (const { home } of this.homes) await home.dispose();
     return this.summarize();
   }
@@ -91,7 +91,7 @@
     });
     try {
       await this.clock.sleep(hopMs);
-      const answer = await placed.home.handle(
+      const response = await placed.home.handle(
         {
           member: header.member,
           route: this.routes[request.route],
@@ -110,7 +110,7 @@
       // The home's spare slots come with each answer, and are all that an entry knows.
       entry.spareShares.set(placed, spare / placed.slots);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordAnswer(request, answer, latencyMs);
+      this.recorder.recordAnswer(request, response, latencyMs);
       const addedMs = Math.max(0, latencyMs - request.workMs);
       this.added.recordValue(Math.round(addedMs * MICROSECONDS));
     } catch (error) {
@@ -118,7 +118,7 @@
     }
   }
 
-  private summarize(): IRoutingFigures {
+  private summarize(): IRoutingResults {
     const targets = [...this.targets.values()];
     const arrivals = targets.reduce((sum, target) => sum + target.arrivals, 0);
     const collisions = targets.reduce((sum, target) => sum + target.collisions, 0);
--- a/packages/lab/src/bench/routing/node/bench.ts
+++ b/packages/lab/src/bench/routing/node/bench.ts
@@ -27,7 +27,7 @@
   'donautal-overload-3x',
 ];
 /** A service of the size of survey records and of cut lists. */
-const SMALL: IMemberProfile = { ...DOBRESCU, service: 'survey-records', targets: 6 };
+const SMALL_SERVICE: IMemberProfile = { ...DOBRESCU, service: 'survey-records', targets: 6 };
 
 class RoutingBench extends Bench {
   override readonly summary = 'shard homes against direct routing: latency, collisions, detection';
@@ -58,7 +58,7 @@
   log: (line: string) => void,
 ): Promise<IBenchTable> {
   const rows: Cell[][] = [];
-  for (const profile of [DOBRESCU, SMALL, DONAUTAL]) {
+  for (const profile of [DOBRESCU, SMALL_SERVICE, DONAUTAL]) {
     for (const load of STEADY_LOADS) {
       const scenario = { name: `steady-${load}`, durationMs: STEADY_MS, faults: [] };
       for (const seed of seeds) {
@@ -71,7 +71,7 @@
   }
   return {
     title: 'Nothing failing',
-    columns: ['service', 'load', 'seed', ...FIGURE_COLUMNS],
+    columns: ['service', 'load', 'seed', ...RESULT_COLUMNS],
     rows,
   };
 }
@@ -87,10 +87,10 @@
       rows.push(...(await runModes(buildTrace(name, seed), [name, seed], seed)));
     }
   }
-  return { title: 'Faults and overload', columns: ['trace', 'seed', ...FIGURE_COLUMNS], rows };
+  return { title: 'Faults and overload', columns: ['trace', 'seed', ...RESULT_COLUMNS], rows };
 }
 
-const FIGURE_COLUMNS: readonly string[] = [
+const RESULT_COLUMNS: readonly string[] = [
   'routing',
   'added p50 ms',
   'added p99 ms',
@@ -109,19 +109,19 @@
 ): Promise<readonly Cell[][]> {
   const rows: Cell[][] = [];
   for (const mode of ROUTING_MODES) {
-    const figures = await runRouting(trace, mode, seed);
-    const times = figures.detectionMs.map((timeMs) => timeMs?.toFixed(0) ?? 'never');
+    const results = await runRouting(trace, mode, seed);
+    const times = results.detectionMs.map((timeMs) => timeMs?.toFixed(0) ?? 'never');
     rows.push([
       ...head,
       mode,
-      formatNumber(figures.addedP50Ms),
-      formatNumber(figures.addedP99Ms),
-      formatNumber(100 * figures.collisionShare, 2),
-      formatNumber(100 * figures.shedShare, 2),
-      formatNumber(100 * figures.errorShare, 2),
-      figures.connections,
+      formatNumber(results.addedP50Ms),
+      formatNumber(results.addedP99Ms),
+      formatNumber(100 * results.collisionShare, 2),
+      formatNumber(100 * results.shedShare, 2),
+      formatNumber(100 * results.errorShare, 2),
+      results.connections,
       times.join(', ') || '-',
-      figures.falseEjections,
+      results.falseEjections,
     ]);
   }
   return rows;
--- a/packages/lab/src/bench/routing/node/homeCost.ts
+++ b/packages/lab/src/bench/routing/node/homeCost.ts
@@ -82,10 +82,10 @@
 }
 
 async function runConcurrently(send: () => Promise<unknown>, requests: number): Promise<void> {
-  let left = requests;
+  let remaining = requests;
   const runOne = async () => {
-    while (left > 0) {
-      left -= 1;
+    while (remaining > 0) {
+      remaining -= 1;
       await send();
     }
   };
@@ -114,13 +114,13 @@
       .finally(() => running.delete(task));
     running.add(task);
   };
-  let owedQuiet = 0;
-  let owedFlood = 0;
+  let dueQuiet = 0;
+  let dueFlood = 0;
   for (let passedMs = 0; passedMs < PHASE_MS; passedMs += TICK_MS) {
-    owedQuiet += quietRate * TICK_MS;
-    owedFlood += floodRate * TICK_MS;
-    for (; owedFlood >= 1; owedFlood -= 1) start(sendFlood, false);
-    for (; owedQuiet >= 1; owedQuiet -= 1) start(sendQuiet, true);
+    dueQuiet += quietRate * TICK_MS;
+    dueFlood += floodRate * TICK_MS;
+    for (; dueFlood >= 1; dueFlood -= 1) start(sendFlood, false);
+    for (; dueQuiet >= 1; dueQuiet -= 1) start(sendQuiet, true);
     await delay(TICK_MS);
   }
   await Promise.all(running);
--- a/packages/lab/src/bench/standins/node/bench.ts
+++ b/packages/lab/src/bench/standins/node/bench.ts
@@ -33,14 +33,14 @@
 };
 
 /** Closed loop over a fixed number of connections: the most that it carries, not a latency. */
-async function measure(name: string, platform: IHttpPlatform, act: Operation): Promise<Cell[]> {
+async function measure(name: string, platform: IHttpPlatform, execute: Operation): Promise<Cell[]> {
   const histogram = build();
   const endMs = performance.now() + RUN_MS;
   let sequence = 0;
   const runLoop = async () => {
     while (performance.now() < endMs) {
       const startMs = performance.now();
-      await act(platform, (sequence += 1));
+      await execute(platform, (sequence += 1));
       histogram.recordValue(Math.round((performance.now() - startMs) * MICROSECONDS));
     }
   };
--- a/packages/lab/src/bench/tenants/node/bench.ts
+++ b/packages/lab/src/bench/tenants/node/bench.ts
@@ -9,7 +9,7 @@
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 
 const SIZES: readonly number[] = [79, 10_000, 180_000];
-const KEYS_EACH = 2;
+const KEYS_PER_TENANT = 2;
 const CHANGES = 200;
 const LOOK_UPS = 20_000;
 /** Changed entries are kept for peers for some seconds; heap is read after that, in ms. */
@@ -31,7 +31,7 @@
     return {
       tables: [{ title: 'The list of tenants at one node', columns, rows }],
       notes: [
-        `Each tenant has ${KEYS_EACH} keys. All: the first copy is taken; one: a key of one tenant changes.`,
+        `Each tenant has ${KEYS_PER_TENANT} keys. All: the first copy is taken; one: a key of one tenant changes.`,
         'Key: a key is hashed and looked up.',
       ],
     };
@@ -70,7 +70,7 @@
 
 function makeChange(index: number, version: number): { key: string; value: ITenantRule } {
   const name = `tenant-${index}`;
-  const keys = Array.from({ length: KEYS_EACH }, (_, key) => {
+  const keys = Array.from({ length: KEYS_PER_TENANT }, (_, key) => {
     return computeKeyDigest(formatKey(index, key, version));
   });
   return { key: name, value: { name, keys, ratePerS: 5, burst: 5 } };
@@ -80,9 +80,9 @@
   return `key-${tenant}-${key}-${version}`;
 }
 
-function measureMs(act: () => void): number {
+function measureMs(execute: () => void): number {
   const startMs = performance.now();
-  act();
+  execute();
   return performance.now() - startMs;
 }
 
