--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -1,4 +1,4 @@
-/** Load on one guard: bookings that arrive at random, and what each cost. */
+/** Runs randomly arriving bookings through one claim guard and measures their cost. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
@@ -16,33 +16,33 @@
 const US = 1000;
 const MAX_US = 60_000_000;
 
-/** One setting that is measured. */
+/** Settings of one measurement. */
 export interface IClaimCase {
-  /** Whose bookings they are; a case of its own has rows of its own. */
+  /** Member that owns the bookings. Claim rows are stored per member, so cases do not share rows. */
   readonly member: string;
   readonly groupMs: number;
   readonly maxInFlight: number;
-  /** Mean arrivals a second. */
+  /** Mean arrival rate per second. */
   readonly perSecond: number;
   readonly durationMs: number;
   readonly responseBytes: number;
 }
 
-/** What the bookings of one case cost. */
+/** Results of one case. */
 export interface IClaimResults {
   readonly bookings: number;
   readonly refused: number;
-  /** From the arrival to the dispatch, in µs. */
+  /** Time from arrival to dispatch, in µs. */
   readonly claimUs: Histogram;
-  /** From the target's answer to the caller's, in µs. */
+  /** Time from the target's response to the response to the caller, in µs. */
   readonly recordUs: Histogram;
   readonly transactions: number;
   readonly rows: number;
-  /** Processor time of this process, callers included, in µs. */
+  /** Processor time of this process, including the simulated callers, in µs. */
   readonly cpuUs: number;
 }
 
-/** Services that a measurement runs on. */
+/** Services that a measurement uses. */
 export interface IClaimBenchServices {
   readonly platform: IPlatform;
   readonly clock: Clock;
@@ -52,7 +52,7 @@
 
 class NoPeer extends ClaimPeer {
   override lookUp(): Promise<IClaimLookUpAnswer> {
-    return Promise.reject(new Error('one node alone has no peers'));
+    return Promise.reject(new Error('a single node has no peers'));
   }
 }
 
@@ -60,7 +60,7 @@
  * Runs bookings with fresh keys through one guard.
  *
  * @example
- * const figures = await measureClaims(setting, services);
+ * const results = await measureClaims(setting, services);
  */
 export async function measureClaims(
   setting: IClaimCase,
@@ -106,7 +106,7 @@
     return { bookings, refused, claimUs, recordUs };
   }
 
-  /** Open loop: arrivals don't wait for earlier ones. */
+  /** Open loop: a booking starts when it is due, even if earlier ones are still running. */
   async runToEnd(): Promise<void> {
     const { clock, random } = this.services;
     const endMs = clock.getMonotonicTime() + this.setting.durationMs;
--- a/packages/lab/src/bench/claims/node/bench.ts
+++ b/packages/lab/src/bench/claims/node/bench.ts
@@ -1,4 +1,4 @@
-/** The trade of the group interval against latency and store writes, and the size of records. */
+/** Trade-off of the group commit interval between latency and store writes, and record sizes. */
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
 import { openHttpPlatform } from '@parsleymux/store';
 import type { PlatformProcess } from '../../../processes/node/platformProcess.js';
@@ -70,7 +70,7 @@
 
 let cases = 0;
 
-/** The usual case, changed in part, under a member of its own. */
+/** Creates a case from the defaults and `change`, under a member name used by no other case. */
 function makeCase(run: IBenchRun, change: Partial<IClaimCase>): IClaimCase {
   cases += 1;
   return {
@@ -128,7 +128,7 @@
   ];
 }
 
-/** Bytes that the store takes in for one booking, and what it then keeps. */
+/** Measures the bytes that the store receives for one booking and the largest row it stores. */
 async function measureSizes(run: IBenchRun): Promise<IBenchTable> {
   const rows: (readonly Cell[])[] = [];
   for (const responseBytes of RESPONSE_BYTES) {
@@ -150,7 +150,7 @@
     ]);
   }
   return {
-    title: `what one booking costs the store, at ${BYTES_RATE} bookings/s and 2 ms`,
+    title: `cost of one booking to the store, at ${BYTES_RATE} bookings/s and a 2 ms interval`,
     columns: [
       'answer bytes',
       'bytes sent',
@@ -169,10 +169,10 @@
 
 function formatNotes(delayMs: number, durationMs: number): readonly string[] {
   return [
-    `The store answers after ${delayMs} ms, in a process of its own; ${durationMs} ms each.`,
-    'Claim: arrival to dispatch. Record: the target’s answer to the caller’s.',
-    'Processor time is that of the node’s share with the callers of the bench, not of the store.',
-    'The machine is shared; latencies above the store’s own are upper bounds.',
+    `The store runs in a separate process and responds after ${delayMs} ms; each case runs for ${durationMs} ms.`,
+    'Claim: from arrival to dispatch. Record: from the target’s response to the response to the caller.',
+    'Processor time covers the claim guard and the simulated callers, not the store.',
+    'The machine is shared; latencies beyond the store’s delay are upper bounds.',
   ];
 }
 
--- a/packages/lab/src/bench/common/bench.ts
+++ b/packages/lab/src/bench/common/bench.ts
@@ -1,43 +1,43 @@
-/** What every benchmark is to the command that runs them. */
+/** The interface between benchmarks and the command that runs them. */
 
-/** One cell: numbers keep their unit in the column's name. */
+/** One table cell. The column name carries the unit of a number. */
 export type Cell = string | number;
 
-/** Measured figures, one row for each setting that was tried. */
+/** Measured values, one row per setting. */
 export interface IBenchTable {
   readonly title: string;
-  /** Names with units, such as "p99 ms". */
+  /** Column names with units, such as "p99 ms". */
   readonly columns: readonly string[];
   readonly rows: readonly (readonly Cell[])[];
 }
 
-/** All that one run measured. */
+/** Results of one run. */
 export interface IBenchReport {
   readonly tables: readonly IBenchTable[];
-  /** What a reader has to know to judge the figures. */
+  /** Context needed to interpret the values. */
   readonly notes: readonly string[];
 }
 
-/** How a run is shaped from the command line. */
+/** Options of a run, from the command line. */
 export interface IBenchOptions {
-  /** Seed of all randomness. */
+  /** Seed of all random number generators. */
   readonly seed: number;
   /** Values given as `--set name=value`. */
   readonly values: ReadonlyMap<string, string>;
-  /** Where progress may be written, one line at a time. */
+  /** Writes one line of progress. */
   readonly log: (line: string) => void;
 }
 
 /** A benchmark: `packages/lab/src/bench/NAME/node/bench.ts` exports one as `bench`. */
 export abstract class Bench {
-  /** One line for the list of benchmarks. */
+  /** One-line description. */
   abstract readonly summary: string;
 
   abstract run(options: IBenchOptions): Promise<IBenchReport>;
 }
 
 /**
- * Lists numbers given as "4,16,48", or the default.
+ * Parses a comma-separated option such as "4,16,48". Returns `defaults` if it is not set.
  *
  * @example
  * const nodes = parseNumbers(options, 'nodes', [48, 2100]);
@@ -53,7 +53,7 @@
 }
 
 /**
- * Rounds to `digits` significant digits, so that reports don't show noise.
+ * Rounds to `digits` significant digits, so that reports do not show noise.
  *
  * @example
  * formatNumber(0.123456); // 0.123
--- a/packages/lab/src/bench/common/formatReport.ts
+++ b/packages/lab/src/bench/common/formatReport.ts
@@ -1,8 +1,8 @@
-/** Benchmark reports as text. */
+/** Formats benchmark reports as text. */
 import type { Cell, IBenchReport, IBenchTable } from './bench.js';
 
 /**
- * Markdown tables and notes, ready for a decision note.
+ * Formats a report as Markdown tables followed by a list of notes.
  *
  * @example
  * process.stdout.write(formatReport(await bench.run(options)));
@@ -19,8 +19,8 @@
     return Math.max(...rows.map((row) => row[column]?.length ?? 0));
   });
   const lines = rows.map((row) => formatRow(row, widths));
-  const rule = `|${widths.map((width) => '-'.repeat(width + 2)).join('|')}|`;
-  return [`### ${table.title}`, '', lines[0], rule, ...lines.slice(1)].join('\n');
+  const separator = `|${widths.map((width) => '-'.repeat(width + 2)).join('|')}|`;
+  return [`### ${table.title}`, '', lines[0], separator, ...lines.slice(1)].join('\n');
 }
 
 function formatRow(row: readonly Cell[], widths: readonly number[]): string {
--- a/packages/lab/src/bench/connections/node/bench.ts
+++ b/packages/lab/src/bench/connections/node/bench.ts
@@ -1,6 +1,6 @@
 /**
- * Memory of one node by its open connections from callers: idle after one answer each, and all
- * asking at once. The brief's targets have about 400 connections, so that is the size to look at.
+ * Memory of one node by the number of open caller connections: idle after one response each, and
+ * with one request pending on each. Targets accept about 400 connections, so 400 is the relevant size.
  */
 import { once } from 'node:events';
 import type { Socket } from 'node:net';
@@ -19,7 +19,7 @@
 const ROUNDS_WHEN_BUSY = 5;
 const MEBIBYTE = 1024 * 1024;
 
-/** Memory of a process as its metrics tell, in MiB. */
+/** Memory of a process as reported by its metrics, in MiB. */
 interface IMemory {
   readonly resident: number;
   readonly heap: number;
@@ -34,7 +34,7 @@
       await world.start();
       await world.applyIntents();
       const [node] = world.getNodes();
-      if (node === undefined) throw new VError('no node runs');
+      if (node === undefined) throw new VError('no node is running');
       await waitUntilServing(node);
       const rows: Cell[][] = [];
       for (const count of parseNumbers(options, 'connections', [0, 100, 400, 1600])) {
@@ -74,7 +74,7 @@
   return socket;
 }
 
-/** One request; small answers come in one piece, and refusals count as answers here. */
+/** Sends one request. A small response arrives in one chunk; a refusal counts as a response. */
 async function requestOnce(socket: Socket): Promise<void> {
   socket.write(REQUEST);
   await once(socket, 'data');
@@ -103,14 +103,14 @@
   return {
     tables: [
       {
-        title: 'one node by open connections from callers',
+        title: 'one node by open caller connections',
         columns: ['connections', 'idle resident MiB', 'idle heap MiB', 'busy resident MiB'],
         rows,
       },
     ],
     notes: [
-      'Idle: each connection had one answer and then 3 s of rest. Busy: the highest of 5 readings while every connection waits for an answer; many are refused as overload.',
-      'The rows follow each other in one process, so memory that the heap keeps shows in later rows.',
+      'Idle: 3 s after one response on each connection. Busy: the highest of 5 readings while every connection waits for a response; many requests are refused as overload.',
+      'All rows are measured in one process, one after another, so later rows include memory that the heap retains from earlier ones.',
     ],
   };
 }
--- a/packages/lab/src/bench/control/common/fleetShape.ts
+++ b/packages/lab/src/bench/control/common/fleetShape.ts
@@ -1,4 +1,4 @@
-/** Configurations of a stated size, spread over members. */
+/** Generates configurations of a given size, distributed over members. */
 import { create } from '@bufbuild/protobuf';
 import type { Intent } from '@parsleymux/schema';
 import { IntentSchema } from '@parsleymux/schema';
@@ -6,7 +6,7 @@
 const DOMAINS = 3;
 const SLOTS = 4;
 
-/** Size of a whole fleet's configuration. */
+/** Size of a fleet's configuration. */
 export interface IFleetShape {
   readonly members: number;
   readonly services: number;
@@ -15,7 +15,7 @@
 }
 
 /**
- * Name of member number `index`.
+ * Returns the name of member number `index`.
  *
  * @example
  * formatMember(3); // 'member-3'
@@ -25,7 +25,7 @@
 }
 
 /**
- * Name of failure domain number `index`.
+ * Returns the failure domain of item number `index`; domains are assigned round-robin.
  *
  * @example
  * formatDomain(4); // 'domain-1'
@@ -35,7 +35,7 @@
 }
 
 /**
- * The intent of one member. Services, targets and routes are dealt out evenly.
+ * Creates the intent of one member. Services, targets and routes are distributed evenly.
  *
  * @example
  * const intent = makeMemberIntent(shape, 0, 'first');
@@ -76,7 +76,7 @@
   }));
 }
 
-/** Numbers of the things of which owner `index` among `owners` has its even share. */
+/** Lists the item numbers, out of `count`, that fall to owner `index` in an even split. */
 function listShare(count: number, owners: number, index: number): readonly number[] {
   const from = Math.floor((count * index) / owners);
   const to = Math.floor((count * (index + 1)) / owners);
--- a/packages/lab/src/bench/control/common/linearFit.test.ts
+++ b/packages/lab/src/bench/control/common/linearFit.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { computeLinearFit } from './linearFit.js';
 
-test('a line is found again, without standardError', () => {
+test('points on a line yield its slope and intercept, with zero standard error', () => {
   const points = [1, 2, 5, 9].map((x) => ({ x, y: 3 + 0.5 * x }));
   const { slope, intercept, standardError } = computeLinearFit(points);
   assert.ok(Math.abs(slope - 0.5) < 1e-12);
@@ -10,7 +10,7 @@
   assert.ok(standardError < 1e-9);
 });
 
-test('the standardError is the standard error of the slope', () => {
+test('standardError is the standard error of the slope', () => {
   const { slope, standardError } = computeLinearFit([
     { x: 0, y: 0 },
     { x: 1, y: 2 },
--- a/packages/lab/src/bench/control/common/linearFit.ts
+++ b/packages/lab/src/bench/control/common/linearFit.ts
@@ -1,12 +1,12 @@
-/** Straight lines through measured points. */
+/** Least-squares line fit of measured points. */
 
-/** One measurement. */
+/** One measured point. */
 export interface IPoint {
   readonly x: number;
   readonly y: number;
 }
 
-/** Least-squares line; `standardError` is the standard error of the slope. */
+/** A least-squares line. `standardError` is that of the slope. */
 export interface ILinearFit {
   readonly slope: number;
   readonly intercept: number;
@@ -14,10 +14,10 @@
 }
 
 /**
- * Fits a line. At least three points are needed for a standardError.
+ * Fits a line. With fewer than three points, `standardError` is NaN.
  *
  * @example
- * const { slope, intercept, standardError } = computeSlope(points);
+ * const { slope, intercept, standardError } = computeLinearFit(points);
  */
 export function computeLinearFit(points: readonly IPoint[]): ILinearFit {
   const count = points.length;
--- a/packages/lab/src/bench/control/node/bench.ts
+++ b/packages/lab/src/bench/control/node/bench.ts
@@ -1,4 +1,4 @@
-/** What control costs a running node, as functions of the fleet's size. docs/CAPACITY.md uses it. */
+/** Cost of control traffic to a running node by fleet size. docs/CAPACITY.md uses the results. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
@@ -125,12 +125,12 @@
 }
 
 const NOTES: readonly string[] = [
-  'Nodes are the product’s own (MuxNode with all ports), several to a process where said; no traffic.',
-  'CPU, heap and bytes are for each node: of the process, over its nodes. Heap is after a collection.',
-  'Bytes are payload both ways on all sockets; TCP and IP come on top.',
-  'Platform operations are of the whole fleet, the bench’s own confirmations included.',
-  'Base: 8 nodes (4 to a process), 20 members, 60 services, 600 targets, 240 routes, no changes.',
-  'Series nodes has 8 nodes to a process. Spread: standard error of the slope.',
+  'Nodes are complete (MuxNode with all ports), several per process where stated; no caller traffic.',
+  'CPU, heap and bytes are per node: the value of the process divided by its nodes. Heap is read after a garbage collection.',
+  'Bytes are payload in both directions on all sockets, without TCP and IP overhead.',
+  'Platform operations are those of the whole fleet, including the confirmations sent by the benchmark.',
+  'Base: 8 nodes (4 per process), 20 members, 60 services, 600 targets, 240 routes, no changes.',
+  'Series nodes has 8 nodes per process. Spread: standard error of the slope.',
 ];
 
 async function measureSeries(
@@ -181,14 +181,14 @@
   }
 }
 
-/** What the processes used at the beginning and the end of a measurement. */
+/** Resource usage of the processes before and after a measurement. */
 interface IUsageChange {
   readonly before: readonly INodeHostUsage[];
   readonly after: readonly INodeHostUsage[];
   readonly passedS: number;
 }
 
-/** Processor %, heap MB, resident MB, bytes to the platform and to peers a second; for each node. */
+/** Computes CPU %, heap MB, RSS MB of a process, and bytes/s to the platform and to peers, per node. */
 function computeUsagePerNode(change: IUsageChange, nodes: number): readonly number[] {
   const { before, after, passedS } = change;
   const sum = (usages: readonly INodeHostUsage[], pick: (usage: INodeHostUsage) => number) => {
--- a/packages/lab/src/bench/control/node/burnCost.ts
+++ b/packages/lab/src/bench/control/node/burnCost.ts
@@ -1,4 +1,4 @@
-/** Size of the row in which a node hands in its counts for the burn report. */
+/** Size of the row in which a node stores its counts for the burn report. */
 import { ManualClock, ResultCode, SeededRandom } from '@parsleymux/base';
 import type { IFleetConfig } from '@parsleymux/config';
 import { ConfigService } from '@parsleymux/config';
@@ -37,7 +37,7 @@
 }
 
 /**
- * One flush of a node that served requests of so many services since the last.
+ * Measures one flush of a node by the number of services it has served since the previous flush.
  *
  * @example
  * tables.push(await measureBurnRows());
@@ -57,7 +57,7 @@
     rows.push([services, table.bytes, formatNumber(table.bytes / FLUSH_S)]);
   }
   return {
-    title: 'One node’s counts for the burn report, handed in every minute',
+    title: 'One node’s counts for the burn report, stored every minute',
     columns: ['services served', 'bytes a minute', 'bytes/s'],
     rows,
   };
--- a/packages/lab/src/bench/control/node/callCost.ts
+++ b/packages/lab/src/bench/control/node/callCost.ts
@@ -1,4 +1,4 @@
-/** Bytes, time and processor time of one control call between two nodes, in one process. */
+/** Bytes, latency and processor time of one control call, with both ends in one process. */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -19,7 +19,7 @@
 const CALLS = 400;
 const KEY = Buffer.alloc(32, 1);
 
-/** Ignores what calls tell it. */
+/** Ignores contact reports from calls. */
 class NoMembership extends MembershipService {
   override readonly onDidChange = () => toDisposable(() => undefined);
 
@@ -67,7 +67,7 @@
 }
 
 /**
- * Measures announcements and fetches, on kept and on new connections.
+ * Measures announcements and fetches, on reused and on new connections.
  *
  * @example
  * tables.push(await measureCalls());
--- a/packages/lab/src/bench/control/node/configFootprint.ts
+++ b/packages/lab/src/bench/control/node/configFootprint.ts
@@ -1,4 +1,4 @@
-/** Size, memory and processor time of configurations, measured in this process. */
+/** Encoded size, heap use and decoding time of configurations, measured in this process. */
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { IFleetConfig } from '@parsleymux/config';
 import { RouteTable } from '@parsleymux/config';
@@ -12,7 +12,7 @@
 
 const BYTES_PER_MB = 1_000_000;
 
-/** Shapes up to the two-year size; the last one reads "customers" as members. */
+/** Sizes up to the one planned for in two years. The last one treats each customer as a member. */
 export const FOOTPRINT_SHAPES: readonly IFleetShape[] = [
   { members: 2, services: 98, targets: 2600, routes: 1200 },
   { members: 2, services: 245, targets: 6500, routes: 3000 },
@@ -25,7 +25,7 @@
 ];
 
 /**
- * Measures each shape. Run Node with `--expose-gc` for memory; without it those cells are 0.
+ * Measures each shape. Memory cells are 0 unless Node runs with `--expose-gc`.
  *
  * @example
  * const table = measureFootprints(FOOTPRINT_SHAPES);
@@ -61,21 +61,21 @@
   const decodeStart = performance.now();
   const config = decodeMembers(encoded);
   const decodeMs = performance.now() - decodeStart;
-  const decoded = readHeap();
+  const afterDecode = readHeap();
   const tableStart = performance.now();
   const table = new RouteTable(config);
   const tableMs = performance.now() - tableStart;
-  const tabled = readHeap();
+  const afterTable = readHeap();
   table.match('host-0.example', '/', 'GET');
   const sizes = encoded.map((bytes) => bytes.length);
   const total = sizes.reduce((sum, size) => sum + size, 0);
   return [
     formatNumber(total / BYTES_PER_MB),
-    formatNumber(sizes.reduce((most, size) => Math.max(most, size), 0) / 1000),
+    formatNumber(sizes.reduce((largest, size) => Math.max(largest, size), 0) / 1000),
     formatNumber(decodeMs),
-    formatNumber((decoded - before) / BYTES_PER_MB),
+    formatNumber((afterDecode - before) / BYTES_PER_MB),
     formatNumber(tableMs),
-    formatNumber((tabled - decoded) / BYTES_PER_MB),
+    formatNumber((afterTable - afterDecode) / BYTES_PER_MB),
   ];
 }
 
--- a/packages/lab/src/bench/control/node/connectionCost.ts
+++ b/packages/lab/src/bench/control/node/connectionCost.ts
@@ -1,4 +1,4 @@
-/** Memory of idle kept connections between nodes, both ends in this process. */
+/** Memory of idle keep-alive connections between nodes, with both ends in this process. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Pool } from 'undici';
@@ -9,7 +9,7 @@
 const KEEP_ALIVE_MS = 60_000;
 
 /**
- * Opens so many pools of one connection each, as an entry has to so many homes.
+ * Opens pools of one connection each, as an entry does to each home it uses.
  *
  * @example
  * tables.push(await measureConnections());
@@ -36,7 +36,7 @@
   server.closeAllConnections();
   server.close();
   return {
-    title: 'Idle kept connections, both ends in one process',
+    title: 'Idle keep-alive connections, both ends in one process',
     columns: ['connections', 'heap KB each', 'RSS KB each'],
     rows,
   };
--- a/packages/lab/src/bench/control/node/controlWorld.ts
+++ b/packages/lab/src/bench/control/node/controlWorld.ts
@@ -1,4 +1,4 @@
-/** A platform, nodes of which several share a process, and a configuration of a stated size. */
+/** Runs a platform, nodes with several per process, and a configuration of a given size. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { create } from '@bufbuild/protobuf';
@@ -26,17 +26,17 @@
 const LIVE_MEMBER = 'live';
 const TARGETS_PER_SERVICE = 6;
 
-/** One point of a series. */
+/** Fleet size and load of one point in a series. */
 export interface IControlPoint extends IFleetShape {
   readonly nodes: number;
   readonly nodesPerProcess: number;
   readonly changesPerSecond: number;
-  /** Targets that run and have a home; the configuration's other targets are addresses only. */
+  /** Targets that run and have a home. The other configured targets are addresses only. */
   readonly liveTargets: number;
 }
 
 /**
- * A running world.
+ * Processes of one measurement.
  *
  * @example
  * const world = new ControlWorld(point, seed);
@@ -76,7 +76,7 @@
     await this.createHomes();
   }
 
-  /** Confirms a change of one member, each in its turn. */
+  /** Confirms a change of one member, taking the members in turn. */
   async confirmChange(): Promise<void> {
     this.changes += 1;
     const member = this.changes % this.point.members;
@@ -141,7 +141,7 @@
   }
 
   private async putInForce(intent: Intent): Promise<void> {
-    if (this.plans === undefined) throw new Error('the world has not started');
+    if (this.plans === undefined) throw new Error('start() has not been called');
     const plan = await this.plans.propose(intent, 'bench');
     await this.plans.confirm({ member: intent.member, planId: plan.id, operator: 'bench' });
   }
@@ -162,8 +162,8 @@
     };
     const names = [...new Set(ready.targets.map(({ service }) => service))];
     const services = names.map((name) => {
-      const own = ready.targets.filter(({ service }) => service === name);
-      const list = own.map(({ address }) => {
+      const serviceTargets = ready.targets.filter(({ service }) => service === name);
+      const list = serviceTargets.map(({ address }) => {
         return { address, failureDomain: formatDomain(0), slots: 4, maxConnections: 400 };
       });
       return { name, floorSlots: 1, targets: list };
@@ -174,7 +174,7 @@
     await this.putInForce(create(IntentSchema, { member: LIVE_MEMBER, services, routes }));
   }
 
-  /** Homes are made by the first request of their service. */
+  /** Sends one request per live service: the first request creates the home. */
   private async createHomes(): Promise<void> {
     const [node] = this.listNodes();
     const count = Math.ceil(this.point.liveTargets / TARGETS_PER_SERVICE);
@@ -182,7 +182,8 @@
       const host = `${formatLiveService(index * TARGETS_PER_SERVICE)}.live`;
       const response = await request(`http://${node?.caller ?? ''}/x`, { headers: { host } });
       await response.body.dump();
-      if (response.statusCode !== 200) throw new Error(`${host} answered ${response.statusCode}`);
+      if (response.statusCode !== 200)
+        throw new Error(`${host} responded with status ${response.statusCode}`);
     }
   }
 }
--- a/packages/lab/src/bench/control/node/membershipCost.ts
+++ b/packages/lab/src/bench/control/node/membershipCost.ts
@@ -1,4 +1,4 @@
-/** Size, memory and processor time of the VM list, membership and placement, in this process. */
+/** Size, heap use and processing time of the VM list, membership and placement, in this process. */
 import { gzipSync } from 'node:zlib';
 import { ManualClock, SeededRandom, SystemClock } from '@parsleymux/base';
 import { ListedMembershipService, PeerAuthenticator, RendezvousPlacement } from '@parsleymux/fleet';
@@ -24,7 +24,7 @@
 }
 
 /**
- * One node's share of knowing the others.
+ * Measures what one node spends on membership and placement.
  *
  * @example
  * tables.push(await measureMembership());
@@ -81,7 +81,7 @@
   }));
 }
 
-/** The loop is ended after each read, so that one read and its application are timed. */
+/** Aborts the loop after each read, so that exactly one read and its application are timed. */
 async function measureApply(membership: ListedMembershipService): Promise<number> {
   const startMs = performance.now();
   for (let round = 0; round < ROUNDS; round += 1) {
@@ -110,7 +110,7 @@
 }
 
 /**
- * What one proof and its check cost a pair of nodes.
+ * Measures creating and verifying one proof that authenticates a peer.
  *
  * @example
  * tables.push(measureProofs());
@@ -122,7 +122,7 @@
   const startMs = performance.now();
   for (let index = 0; index < PROOFS; index += 1) {
     const proof = authenticator.makeProof('127.0.0.1:1', '/hop');
-    if (!authenticator.verifyProof(proof, '/hop')) throw new Error('the proof must hold');
+    if (!authenticator.verifyProof(proof, '/hop')) throw new Error('a valid proof was rejected');
   }
   const microseconds = ((performance.now() - startMs) * 1000) / PROOFS;
   return {
--- a/packages/lab/src/bench/control/node/nodeHostMain.ts
+++ b/packages/lab/src/bench/control/node/nodeHostMain.ts
@@ -1,7 +1,7 @@
 /**
- * Several nodes in one process: `node nodeHostMain.js '{"count": 8, "platformUrl": "..."}'`. Each
- * is the product's own node with all its ports. Prints the addresses and the address of
- * `GET /usage`; ends when its standard input does.
+ * Runs several nodes in one process: `node nodeHostMain.js '{"count": 8, "platformUrl": "..."}'`.
+ * Each is a complete node with all its ports. Prints the node addresses and the address of
+ * `GET /usage`, and exits when its standard input closes.
  */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -11,7 +11,7 @@
 import { MuxNode } from 'parsleymux';
 import { SocketMeter } from './socketMeter.js';
 
-/** What the process is told. */
+/** Configuration of the process, passed as its first argument. */
 export interface INodeHostConfig {
   readonly count: number;
   readonly host: string;
@@ -19,13 +19,13 @@
   readonly failureDomain: string;
 }
 
-/** What it prints when it is ready. */
+/** Line printed to standard output once all nodes have started. */
 export interface INodeHostReady {
   readonly usage: string;
   readonly nodes: readonly INodeAddresses[];
 }
 
-/** What `GET /usage` answers, for the whole process since its start. */
+/** Response of `GET /usage`: usage of the whole process since its start. */
 export interface INodeHostUsage {
   readonly atMs: number;
   readonly cpuMs: number;
--- a/packages/lab/src/bench/control/node/socketMeter.ts
+++ b/packages/lab/src/bench/control/node/socketMeter.ts
@@ -1,4 +1,4 @@
-/** Counts the bytes of all sockets of this process, by the port at the far or near end. */
+/** Counts the bytes on all sockets of this process, by remote and local port. */
 import { subscribe } from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
 
@@ -6,17 +6,17 @@
   readonly socket: Socket;
 }
 
-/** Payload bytes both ways; what TCP and IP add is not in them. */
+/** Payload bytes in both directions, without TCP and IP overhead. */
 export interface ISocketBytes {
   readonly platform: number;
   readonly others: number;
 }
 
 /**
- * Watches sockets from its creation on.
+ * Tracks all sockets opened after its creation.
  *
  * @example
- * const meter = new SocketMeter(platformPort, [controlPort]);
+ * const meter = new SocketMeter(platformPort, new Set([controlPort]));
  * meter.getBytes();
  */
 export class SocketMeter {
--- a/packages/lab/src/bench/detection-real/node/bench.ts
+++ b/packages/lab/src/bench/detection-real/node/bench.ts
@@ -1,7 +1,7 @@
 /**
- * The check of the replays by real processes: `npm run bench -- detection-real`. Target stand-ins
- * in processes of their own, over HTTP on loopback, under the same faults and policies. Times here
- * depend on the machine; what counts is whether the policies come in the same order.
+ * Checks the replays against real processes: `npm run bench -- detection-real`. Target stand-ins run
+ * in separate processes over HTTP on loopback, under the same faults and policies. Times depend on
+ * the machine; the check is whether the policies rank in the same order as in the replays.
  */
 import { SeededRandom } from '@parsleymux/base';
 import type { ITargetFaults } from '@parsleymux/standins';
@@ -15,7 +15,7 @@
 
 const WARM_UP_MS = 6000;
 const FAULT_MS = 22_000;
-/** Mean time between two requests under one policy, in ms. */
+/** Mean interval between requests under one policy, in ms. */
 const INTERVAL_MS = 8;
 const SERVICE = {
   member: 'donautal',
@@ -37,7 +37,8 @@
 ];
 
 class RealDetectionBench extends Bench {
-  override readonly summary = 'detection over loopback, to check the order that replays give';
+  override readonly summary =
+    'detection over loopback, to check the ranking of policies in replays';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
     const rows: Cell[][] = [];
@@ -55,8 +56,8 @@
         },
       ],
       notes: [
-        'one seed; the four policies run at once, each against targets of its own',
-        'the machine was shared, so the times are no more than an order',
+        'one seed; the four policies run concurrently, each against its own targets',
+        'the machine was shared, so the times only show the ranking of the policies',
       ],
     };
   }
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -1,4 +1,4 @@
-/** A home with the real transport on the real clock, and what its callers see. */
+/** Runs a home with the HTTP transport on the system clock and records what its callers see. */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
 import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
@@ -21,7 +21,7 @@
 const BOOKING_SHARE = 0.3;
 const FIRST_SERVER_ERROR = 500;
 const MICROSECONDS = 1000;
-/** Without a dispatch for longer than any deadline, a target counts as given no work. */
+/** Longer than any deadline: a target without a dispatch for this long receives no more requests. */
 const MIN_IDLE_MS = 6000;
 
 /** Options of a {@link RealHome}. */
@@ -32,7 +32,7 @@
   readonly seed: number;
 }
 
-/** What was measured since the fault began. */
+/** Results since the fault began. */
 export interface IRealDetectionResults {
   readonly detectionMs: number | undefined;
   readonly errorShare: number;
@@ -40,7 +40,7 @@
   readonly falseEjections: number;
 }
 
-/** Notes when requests for callers are sent to which target. */
+/** Records the time and target of each dispatch for a caller. */
 class RecordingTransport extends HttpTargetTransport {
   readonly dispatches: { readonly target: string; readonly atMs: number }[] = [];
 
@@ -52,7 +52,7 @@
   }
 }
 
-/** Sends requests through a home and measures. */
+/** Sends requests through a home and measures detection, errors and latency. */
 export class RealHome {
   private readonly transport = new RecordingTransport();
   private readonly home: LocalHomeService;
@@ -89,7 +89,7 @@
     });
   }
 
-  /** From now on the target is faulty, and figures count. */
+  /** Records the start of the fault of `target` and resets the measurements. */
   markFault(target: string): void {
     this.fault = { target, atMs: performance.now() };
     this.latencies = hdr.build({ highestTrackableValue: 120_000_000 });
@@ -97,7 +97,7 @@
     this.errors = 0;
   }
 
-  /** Poisson arrivals for `durationMs`. */
+  /** Sends requests with Poisson arrivals for `durationMs`. */
   async sendFor(durationMs: number, meanMs: number, random: RandomSource): Promise<void> {
     const clock = new SystemClock();
     const endMs = performance.now() + durationMs;
@@ -151,7 +151,10 @@
     }
   }
 
-  /** Time to the last dispatch for a caller before a long time without any. */
+  /**
+   * Time from the fault to the last dispatch for a caller before {@link MIN_IDLE_MS} without any;
+   * undefined if the target was not detected.
+   */
   private measureDetection(endMs: number): number | undefined {
     if (this.fault === undefined) return undefined;
     const { target, atMs: startMs } = this.fault;
--- a/packages/lab/src/bench/detection/common/curvePlot.ts
+++ b/packages/lab/src/bench/detection/common/curvePlot.ts
@@ -19,12 +19,12 @@
 const WIDTH = 720;
 const HEIGHT = 420;
 const MARGIN = { top: 40, right: 20, bottom: 50, left: 70 };
-/** A logarithmic axis has no zero; what was never seen is drawn at its left end. */
+/** A logarithmic axis has no zero: a rate of 0 is drawn at the left end. */
 const MIN_RATE = 0.05;
 const RATE_TICKS: readonly number[] = [0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20];
 const LEGEND_STEP = 18;
 
-/** Both axes are logarithmic; never detected is drawn at the top. */
+/** Renders the curves with logarithmic axes. Targets never detected are drawn at `maxMs`, the top. */
 export function renderCurves(title: string, curves: readonly ICurve[], maxMs: number): string {
   const x = scaleLog([MIN_RATE, 40], [MARGIN.left, WIDTH - MARGIN.right]);
   const y = scaleLog([10, maxMs], [HEIGHT - MARGIN.bottom, MARGIN.top]);
--- a/packages/lab/src/bench/detection/common/detectionSummary.ts
+++ b/packages/lab/src/bench/detection/common/detectionSummary.ts
@@ -1,9 +1,9 @@
-/** Figures of several replays of one kind, put together. */
+/** Aggregates the results of several replays. */
 import type { IReplayResult } from '../../../replay/common/replayResult.js';
 
 /** One row of the detection table. */
 export interface IDetectionSummary {
-  /** Over all faulty targets of all seeds, in ms; Infinity for those never detected. */
+  /** Over all faulty targets of all seeds, in ms. Targets never detected count as Infinity. */
   readonly medianMs: number;
   readonly p99Ms: number;
   readonly missed: number;
@@ -17,7 +17,7 @@
   readonly violations: number;
 }
 
-/** Puts results of the same trace and policy, or of several traces, together. */
+/** Summarizes the results of one policy on one or several traces. */
 export function summarizeReplays(results: readonly IReplayResult[]): IDetectionSummary {
   const times = results.flatMap((result) => result.detectionMs.map((timeMs) => timeMs ?? Infinity));
   const sorted = [...times].sort((left, right) => left - right);
@@ -37,7 +37,7 @@
   };
 }
 
-/** The value below which `share` of the sorted values lie; NaN when there are none. */
+/** Returns the value below which `share` of the sorted values lie; NaN if there are none. */
 export function getQuantile(sorted: readonly number[], share: number): number {
   const index = Math.min(sorted.length - 1, Math.floor(share * sorted.length));
   return sorted[index] ?? NaN;
--- a/packages/lab/src/bench/detection/node/bench.ts
+++ b/packages/lab/src/bench/detection/node/bench.ts
@@ -1,6 +1,6 @@
 /**
  * Detection by every policy on every trace: `npm run bench -- detection --json`. Values: seeds,
- * threads, traces (a part of the name), curve (0 to leave it out), out (a directory for pages).
+ * threads, traces (a substring of the name), curve (0 to omit), out (output directory for pages).
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -20,7 +20,7 @@
 
 const DEFAULT_SEEDS = [1, 2, 3, 4, 5];
 const DEFAULT_THREADS = [4];
-/** Traces about load alone; the benchmark of overload has them. */
+/** Traces that test load only; the overload benchmark covers them. */
 const LOAD_PATTERN = /-(overload-.*|caller-flood)$/;
 const MEMBERS = ['dobrescu', 'donautal'] as const;
 
@@ -55,17 +55,19 @@
   curves: readonly IMeasuredCurves[],
 ): IBenchReport {
   const tables = MEMBERS.flatMap((member) => {
-    const own = traces.filter((trace) => trace.startsWith(member));
-    return own.length === 0 ? [] : [buildTable(member, own, results), buildTotals(member, results)];
+    const memberTraces = traces.filter((trace) => trace.startsWith(member));
+    return memberTraces.length === 0
+      ? []
+      : [buildTable(member, memberTraces, results), buildTotals(member, results)];
   });
   const violations = results.reduce((sum, result) => sum + result.violations, 0);
   return {
     tables: [...tables, ...curves.map(formatCurves)],
     notes: [
-      `${jobs.length} replays; simulated time, so the machine's load does not matter`,
+      `${jobs.length} replays; simulated time, so the machine's load has no effect`,
       `invariant violations in all of them: ${violations}`,
-      'detection: from the start of the fault to the first decision against the target, or to the last dispatch for a caller before 9 s without any, whichever is later',
-      'a false ejection takes a healthy target out; a demotion makes it the last choice for a while',
+      'detection: from the start of the fault to the first decision to suspect or eject the target, or to the last dispatch for a caller before 9 s without any, whichever is later',
+      'a false ejection removes a healthy target from use; a demotion temporarily makes it the last choice',
     ],
   };
 }
@@ -77,8 +79,10 @@
 ): IBenchTable {
   const rows = traces.flatMap((trace) => {
     return POLICY_NAMES.map((policy) => {
-      const own = results.filter((result) => result.trace === trace && result.policy === policy);
-      const summary = summarizeReplays(own);
+      const replays = results.filter(
+        (result) => result.trace === trace && result.policy === policy,
+      );
+      const summary = summarizeReplays(replays);
       return [
         trace.slice(member.length + 1),
         policy,
@@ -115,15 +119,15 @@
 
 function buildTotals(member: string, results: readonly IReplayResult[]): IBenchTable {
   const rows = POLICY_NAMES.map((policy: PolicyName) => {
-    const own = results.filter((result) => {
+    const replays = results.filter((result) => {
       return result.trace.startsWith(member) && result.policy === policy;
     });
-    const control = own.filter((result) => result.trace.includes('-control'));
-    const all = summarizeReplays(own);
-    const quiet = summarizeReplays(control.length === 0 ? own : control);
+    const controls = replays.filter((result) => result.trace.includes('-control'));
+    const all = summarizeReplays(replays);
+    const faultFree = summarizeReplays(controls.length === 0 ? replays : controls);
     return [
       policy,
-      formatNumber(quiet.falsePerTargetHour, 2),
+      formatNumber(faultFree.falsePerTargetHour, 2),
       formatNumber(all.falsePerTargetHour, 2),
       `${all.missed}/${all.faulty}`,
       all.slotsOverFloor,
--- a/packages/lab/src/bench/detection/node/curves.ts
+++ b/packages/lab/src/bench/detection/node/curves.ts
@@ -1,4 +1,4 @@
-/** Detection time against false ejections over the threshold of each policy. */
+/** Detection time against false ejections for varying thresholds of each policy. */
 import type { IPolicySettings, PolicyName } from '../../../replay/common/policies.js';
 import type { IReplayJob } from '../../../replay/node/replayPool.js';
 import { runReplays } from '../../../replay/node/replayPool.js';
@@ -7,13 +7,13 @@
 import type { ICurve, ICurvePoint } from '../common/curvePlot.js';
 import { summarizeReplays } from '../common/detectionSummary.js';
 
-/** Drawn for targets that were never detected. */
+/** Detection time drawn for targets that were never detected, in ms. */
 export const UNDETECTED_MS = 50_000;
 
 const MEMBERS = ['dobrescu', 'donautal'] as const;
 const TRACES = ['fail-5', 'fail-20', 'fail-50', 'slow-3x', 'one-way-cut'] as const;
 const CONTROLS = ['control', 'control-errors'] as const;
-/** Replays for the curves are many; so many seeds of those given are enough. */
+/** Limits the number of replays: the curves use only this many of the given seeds. */
 const MAX_SEEDS = 3;
 
 interface IVariant {
@@ -55,7 +55,7 @@
   readonly curves: readonly ICurve[];
 }
 
-/** Replays every variant on the gray traces and on the control. */
+/** Replays every variant on the gray-failure traces and on the control traces. */
 export async function measureCurves(
   seeds: readonly number[],
   threads: number,
@@ -77,10 +77,10 @@
   log(`${jobs.length} replays for the curves`);
   const results = await runReplays(jobs, threads);
   const pick = (traces: readonly string[], variant: IVariant) => {
-    const own = results.filter((result, index) => {
+    const replays = results.filter((result, index) => {
       return traces.includes(result.trace) && variantOf[index] === variant;
     });
-    return summarizeReplays(own);
+    return summarizeReplays(replays);
   };
   return MEMBERS.flatMap((member) => {
     const controls = CONTROLS.map((name) => `${member}-${name}`);
@@ -104,11 +104,11 @@
 function buildCurves(points: readonly IMeasuredPoint[]): readonly ICurve[] {
   const names = [...new Set(points.map(({ variant }) => variant.curve))];
   return names.map((name) => {
-    const own = points.filter(({ variant }) => variant.curve === name);
+    const curvePoints = points.filter(({ variant }) => variant.curve === name);
     return {
       name,
-      color: own[0]?.variant.color ?? 'black',
-      points: own.map(({ variant, falsePerTargetHour, detectionMs }) => ({
+      color: curvePoints[0]?.variant.color ?? 'black',
+      points: curvePoints.map(({ variant, falsePerTargetHour, detectionMs }) => ({
         label: variant.label,
         falsePerTargetHour,
         detectionMs,
@@ -117,7 +117,7 @@
   });
 }
 
-/** The same curves as a table. */
+/** Formats curves as a table. */
 export function formatCurves(measured: IMeasuredCurves): IBenchTable {
   const rows = measured.curves.flatMap((curve) => {
     return curve.points.map((point) => [curve.name, point.label, ...formatPoint(point)]);
--- a/packages/lab/src/bench/distribution/common/distributionFleet.ts
+++ b/packages/lab/src/bench/distribution/common/distributionFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Many nodes' configuration distributors in one process, on a manual clock, with the store in
- * memory and direct calls for the network. Everything between them is the product's own code.
+ * Configuration distributors of many nodes in one process, on a manual clock, with an in-memory
+ * store and direct calls as the network. The distributors are the production code.
  */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
@@ -14,18 +14,18 @@
 /** Mean one-way delay between two nodes, in ms. */
 const DELAY_MS = 2;
 
-/** What one fleet is made of. */
+/** Size, timing and faults of a fleet. */
 export interface IDistributionOptions {
   readonly nodes: number;
   readonly fanOut: number;
-  /** Mean time between two head reads of a node, in ms. */
+  /** Mean interval between a node's reads of the head revision, in ms. */
   readonly pollMs: number;
   readonly seed: number;
-  /** Share of calls between nodes that are lost. */
+  /** Fraction of calls between nodes that are lost. */
   readonly lostCalls: number;
-  /** Peers that a node chooses from; 0: the whole fleet. */
+  /** Number of peers that a node picks from; 0 means the whole fleet. */
   readonly neighbours: number;
-  /** Nodes that can't reach the store; the first ones can. */
+  /** Number of nodes that cannot reach the store, counted from the end of the list. */
   readonly withoutStore: number;
 }
 
@@ -36,7 +36,7 @@
 }
 
 /**
- * One fleet.
+ * A simulated fleet.
  *
  * @example
  * const fleet = new DistributionFleet(options);
@@ -47,7 +47,7 @@
   readonly clock = new ManualClock();
   readonly platform: IMemoryPlatform;
   readonly distributors: readonly ConfigDistributor[];
-  /** Instants at which each node had the awaited revision, in ms. */
+  /** Times at which nodes received the awaited revision, in ms. */
   readonly arrivals: number[] = [];
   private readonly random: RandomSource;
   private readonly plans: PlanStore;
@@ -70,7 +70,7 @@
     this.distributors = Array.from({ length: options.nodes }, (_, index) => this.makeNode(index));
   }
 
-  /** Puts a first configuration in force and lets every node learn it. */
+  /** Puts a first configuration in force and waits until it has been distributed. */
   async start(): Promise<void> {
     await this.putInForce('first');
     for (const distributor of this.distributors) {
@@ -79,7 +79,7 @@
     await this.clock.advanceBy(3 * this.options.pollMs);
   }
 
-  /** Calls since the last change was confirmed. */
+  /** Returns the calls since the last change was confirmed. */
   getMessages(): IMessageCounts {
     return { announcements: this.announcements, fetches: this.fetches };
   }
@@ -92,7 +92,7 @@
     this.fetches += 1;
   }
 
-  /** Confirms one change; arrivals are counted from now on. */
+  /** Confirms one change and resets the arrivals and counters. */
   async confirmChange(): Promise<void> {
     this.arrivals.length = 0;
     this.announcements = 0;
@@ -108,7 +108,7 @@
     await Promise.all(this.running);
   }
 
-  /** One call between two nodes: a delay each way, or silence. */
+  /** One call between two nodes: delayed in each direction, or lost and never completed. */
   async request<T>(respond: () => T): Promise<T> {
     await this.clock.sleep(this.random.getJittered(DELAY_MS, 0.5));
     if (this.random.getFloat() < this.options.lostCalls) await new Promise(() => undefined);
@@ -147,7 +147,7 @@
   }
 }
 
-/** One node as another one calls it. */
+/** Calls another node directly. */
 class DirectPeer extends ConfigPeer {
   constructor(
     private readonly fleet: DistributionFleet,
--- a/packages/lab/src/bench/distribution/node/bench.ts
+++ b/packages/lab/src/bench/distribution/node/bench.ts
@@ -1,4 +1,4 @@
-/** How fast, and with how many messages, a configuration change reaches every node. */
+/** Time and number of messages until a configuration change reaches every node. */
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import type { IDistributionOptions } from '../common/distributionFleet.js';
@@ -6,7 +6,10 @@
 
 const OBSERVATION_MS = 60_000;
 const CHANGES = 3;
-/** Today's interval, the one that the two-year size allows, and one that leaves it to peers. */
+/**
+ * Intervals between head reads: the default, the one allowed for the fleet size planned for in two
+ * years (2100 nodes), a longer one, and one so long that changes arrive mainly through peers.
+ */
 const POLLS_MS: readonly number[] = [2000, 7000, 10_500, 60_000];
 const FAN_OUTS: readonly number[] = [1, 2, 3, 4, 6, 8];
 
@@ -33,7 +36,7 @@
       const base = { nodes, seed, neighbours, lostCalls: 0, withoutStore: 0 };
       const polls = parseNumbers(options, 'pollMs', POLLS_MS);
       const faultFree = await measureAll(base, polls, parseNumbers(options, 'fanOut', FAN_OUTS));
-      tables.push(formatTable(`${nodes} nodes, every call answered`, faultFree));
+      tables.push(formatTable(`${nodes} nodes, no call lost`, faultFree));
       log(`distribution: ${nodes} nodes with faults`);
       const withoutStore = Math.floor(nodes * 0.9);
       const faultyBase = { ...base, lostCalls: 0.1, withoutStore };
@@ -45,11 +48,11 @@
     return {
       tables,
       notes: [
-        'In one process on a manual clock: the distributors are the product, network and store fakes.',
-        'Peers are drawn from eight neighbours of each node, unless --set neighbours says otherwise.',
-        'One-way delay 1 to 3 ms; a lost announcement ends after 1 s, a lost fetch after 3 s.',
-        `Means of ${CHANGES} changes, each watched for ${OBSERVATION_MS / 1000} s. Messages are for each node and change.`,
-        'Announcements count those of the watched time, the ones without news included.',
+        'In one process on a manual clock: the distributors are production code; network and store are fakes.',
+        'Peers are picked from eight neighbours of each node, unless set with --set neighbours.',
+        'One-way delay 1 to 3 ms; a lost announcement times out after 1 s, a lost fetch after 3 s.',
+        `Means of ${CHANGES} changes, each observed for ${OBSERVATION_MS / 1000} s. Messages are per node and change.`,
+        'Announcements include all those in the observed time, also ones without a new revision.',
       ],
     };
   }
--- a/packages/lab/src/bench/hop/node/bench.ts
+++ b/packages/lab/src/bench/hop/node/bench.ts
@@ -1,4 +1,4 @@
-/** What the proxy adds to a request, against the same requests sent straight to the targets. */
+/** Cost that the proxy adds to a request, compared with requests sent directly to the targets. */
 import type { IDisposable } from '@parsleymux/base';
 import { DisposableStore } from '@parsleymux/base';
 import type { NodeProcess } from '../../../processes/node/nodeProcess.js';
@@ -48,11 +48,11 @@
 
 function listNotes(meanServiceMs: number): readonly string[] {
   return [
-    `One service of 24 targets with 16 slots; service time of ${meanServiceMs} ms in the mean, log-normal, sigma 0.5.`,
-    'Each rate runs its paths one after another in the same run; added is against the straight one.',
-    'Latency is from sending to the last byte, as the caller on the same machine sees it.',
-    'Processor time is of the whole process, control and garbage collection included.',
-    'A booking is claimed in the table before it is dispatched, and its outcome recorded after.',
+    `One service of 24 targets with 16 slots; log-normal service time with a mean of ${meanServiceMs} ms and sigma 0.5.`,
+    'Each rate runs its paths one after another in the same run; added latency is relative to the straight path.',
+    'Latency is from sending to the last byte, measured by a caller on the same machine.',
+    'Processor time is that of the whole process, including control traffic and garbage collection.',
+    'A booking is claimed in the table before it is dispatched, and its outcome is recorded afterwards.',
   ];
 }
 
--- a/packages/lab/src/bench/hop/node/hopWorld.ts
+++ b/packages/lab/src/bench/hop/node/hopWorld.ts
@@ -1,4 +1,4 @@
-/** Two nodes before the targets of one service, each a process of its own. */
+/** Runs two nodes in front of the targets of one service, in separate processes. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -19,13 +19,13 @@
 import { ProcessFleet } from '../../../processes/node/processFleet.js';
 import { startTargetGroup } from '../../../processes/node/targetGroup.js';
 
-/** The one member of the world. */
+/** The only member. */
 export const MEMBER = 'member';
-/** Its one service. */
+/** The only service of the member. */
 export const SERVICE = 'service';
-/** Host name of the route that is idempotent. */
+/** Host name of the idempotent route. */
 export const READ_HOST = 'read.example';
-/** Host name of the route that is not. */
+/** Host name of the non-idempotent route. */
 export const BOOK_HOST = 'book.example';
 
 const NODE_COUNT = 2;
@@ -34,19 +34,19 @@
 const TARGETS_PER_DOMAIN = 8;
 const SLOTS = 16;
 const SETTLE_MS = 1500;
-/** Today's settings of a node in use, instead of the short ones of the lab. */
+/** Default intervals of a production node, in place of the shorter ones of the lab. */
 const TIMING = { configPollMs: 2000, vmListPollMs: 2000 };
 
 /** Options of {@link startHopWorld}. */
 export interface IHopWorldOptions {
   readonly seed: number;
   readonly meanServiceMs: number;
-  /** Options of Node for the nodes, such as those of its profiler. */
+  /** Options of Node.js for the nodes, such as profiler options. */
   readonly nodeOptions: readonly string[];
 }
 
 /**
- * A running world.
+ * The running processes.
  *
  * @example
  * const { home, other } = await startHopWorld(options);
@@ -55,7 +55,7 @@
   constructor(
     readonly fleet: ProcessFleet,
     readonly targets: readonly ITargetPlace[],
-    /** Home of the service. */
+    /** The home of the service. */
     readonly home: NodeProcess,
     readonly other: NodeProcess,
     private readonly directory: string,
--- a/packages/lab/src/bench/hop/node/requestStream.ts
+++ b/packages/lab/src/bench/hop/node/requestStream.ts
@@ -1,4 +1,4 @@
-/** An open-loop stream of requests to one or more addresses, with its latencies. */
+/** Sends an open-loop stream of requests to one or more addresses and measures latencies. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { SeededRandom } from '@parsleymux/base';
 import type { Histogram } from 'hdr-histogram-js';
@@ -10,19 +10,19 @@
 const MAX_US = 60_000_000;
 const CONNECTIONS = 64;
 
-/** What is sent where, and how often. */
+/** Destination, kind and rate of the requests. */
 export interface IStreamOptions {
-  /** Taken in turn. */
+  /** Used in round-robin order. */
   readonly addresses: readonly string[];
   readonly host: string;
-  /** Sends non-idempotent requests, each with a key of its own. */
+  /** Sends non-idempotent requests, each with its own idempotency key. */
   readonly isBooking: boolean;
   readonly perSecond: number;
   readonly durationMs: number;
   readonly seed: number;
 }
 
-/** What came of it. Latencies are from sending to the last byte, in ms. */
+/** Results of a stream. Latencies are from sending to the last byte, in ms. */
 export interface IStreamResults {
   readonly completed: number;
   readonly failed: number;
@@ -31,10 +31,10 @@
 }
 
 /**
- * Sends requests as a Poisson stream, however slow the answers are.
+ * Sends requests with Poisson arrivals, without waiting for earlier responses.
  *
  * @example
- * const figures = await runStream({ addresses, host, isBooking: false, perSecond: 100, durationMs: 5000, seed: 1 });
+ * const results = await runStream({ addresses, host, isBooking: false, perSecond: 100, durationMs: 5000, seed: 1 });
  */
 export async function runStream(options: IStreamOptions): Promise<IStreamResults> {
   const pools = options.addresses.map((address) => {
--- a/packages/lab/src/bench/in-force/node/bench.ts
+++ b/packages/lab/src/bench/in-force/node/bench.ts
@@ -1,7 +1,7 @@
 /**
- * How long a confirmed plan takes until it is in force on real nodes: `npm run bench -- in-force`.
- * One node is cut one way from the platform, and in some rounds from its peers too; the plan is
- * confirmed with `parsleyctl` at another node, and later the cut heals.
+ * Time until a confirmed plan is in force on real nodes: `npm run bench -- in-force`. One node has a
+ * one-way partition from the platform, in some rounds also from its peers. The plan is confirmed
+ * with `parsleyctl` at another node; afterwards the partition is healed.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
@@ -16,9 +16,9 @@
 import { RevisionWatch } from './revisionWatch.js';
 
 const MEMBER = 'relinieri';
-/** Settings that ship, in place of the lab's short ones. */
+/** Default settings, in place of the shorter ones of the lab. */
 const SHIPPED_TIMING = { configPollMs: 2000, vmListPollMs: 2000, isolationLimitMs: 30_000 };
-/** Calls that were under way when the cut began are over after this. */
+/** Long enough for calls in flight at the start of the partition to end. */
 const PARTITION_SETTLE_MS = 4000;
 const OBSERVATION_MS = 6000;
 const IN_FORCE_TIMEOUT_MS = 60_000;
@@ -26,7 +26,10 @@
 interface IRound {
   readonly name: string;
   readonly link: Partial<ILinkFaults>;
-  /** Peers are cut by a signal to the node; the order of the rounds is that of its states. */
+  /**
+   * A signal to the node toggles the partition. The rounds that use it are in the order of the
+   * states in partitionPeers.ts.
+   */
   readonly isPartitionedFromPeers: boolean;
 }
 
@@ -47,7 +50,8 @@
 ];
 
 class InForceBench extends Bench {
-  override readonly summary = 'time until a plan is in force on real nodes, one of them cut off';
+  override readonly summary =
+    'time until a plan is in force on real nodes, one of them partitioned';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
     const [nodeCount = 8] = parseNumbers(options, 'nodes', [8]);
@@ -70,7 +74,7 @@
   }
 }
 
-/** Nodes of which the last one can be cut off. */
+/** A fleet whose last node can be partitioned. */
 class InForceWorld {
   private constructor(
     private readonly lab: LabWorld,
@@ -84,8 +88,8 @@
       nodeCount,
       nodeTiming: SHIPPED_TIMING,
       nodeOptions: ['--import', fileURLToPath(new URL('partitionPeers.js', import.meta.url))],
-      choosePlatformAddress: async (own) => {
-        const link = new FaultyLink({ to: own });
+      choosePlatformAddress: async (directAddress) => {
+        const link = new FaultyLink({ to: directAddress });
         await link.start();
         links.push(link);
         return link.getAddress();
@@ -102,14 +106,14 @@
     return world;
   }
 
-  /** Milliseconds from the start of the confirming command; "no" for not within the cut. */
+  /** Returns ms from the start of the confirm command; "no" if not reached during the partition. */
   async runRound(round: IRound): Promise<readonly Cell[]> {
     const nodes = this.lab.getNodes();
     const partitionedNode = nodes.at(-1);
     const link = this.links.find((one) => {
       return partitionedNode?.options.platformUrl === `http://${one.getAddress()}`;
     });
-    if (partitionedNode === undefined || link === undefined) throw new Error('no node runs');
+    if (partitionedNode === undefined || link === undefined) throw new Error('no node is running');
     const others = nodes.slice(0, -1);
     const operator = this.lab.getOperator(MEMBER);
     const file = await this.lab.writeIntent(MEMBER, this.lab.getPlaces());
@@ -149,7 +153,7 @@
   return {
     tables: [
       {
-        title: `A plan confirmed with parsleyctl, ${nodeCount} nodes, the last one cut off`,
+        title: `A plan confirmed with parsleyctl, ${nodeCount} nodes, the last one partitioned`,
         columns: [
           'cut',
           'command ms',
@@ -161,9 +165,9 @@
       },
     ],
     notes: [
-      'from the start of the confirming command, which itself takes some time to start',
+      'times are from the start of the confirm command, and include the startup of that process',
       'revisions are read every 40 ms; settings as shipped (poll 2 s, isolation 30 s)',
-      'one machine, so network times are those of loopback',
+      'all processes run on one machine, so network latency is that of loopback',
     ],
   };
 }
--- a/packages/lab/src/bench/in-force/node/partitionPeers.ts
+++ b/packages/lab/src/bench/in-force/node/partitionPeers.ts
@@ -1,7 +1,7 @@
 /**
- * Loaded by a node before anything else: cuts its control calls one way on SIGUSR2. Each signal
- * goes on to the next state: whole, mute, whole, deaf. Peers address each other directly, so no
- * relay can stand between them.
+ * Preloaded into a node: SIGUSR2 partitions its control calls one way. Each signal advances to the
+ * next state: none, outbound, none, inbound. The faults are injected into the process because peers
+ * address each other directly, so no relay can be placed between them.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LooseMethod } from '../../../prove/breaks/node/wrapMethod.js';
@@ -24,10 +24,10 @@
   return STATES[signalCount % STATES.length] ?? PeerPartition.None;
 }
 
-/** What a call over a cut path looks like to the caller: silence until its own timeout. */
+/** Simulates a call over a partitioned path: no response until the timeout of the caller. */
 async function waitForTimeout(timeoutMs: number): Promise<never> {
   await sleep(timeoutMs);
-  throw new Error('the path is cut');
+  throw new Error('the path is partitioned');
 }
 
 process.on('SIGUSR2', () => {
@@ -41,7 +41,7 @@
       const partition = getPartition();
       if (partition === PeerPartition.None)
         return await (send.call(this, client, options) as Promise<unknown>);
-      // Of a deaf node only the answers are lost: the call itself arrives.
+      // An inbound partition loses only the responses: the call itself arrives.
       if (partition === PeerPartition.Inbound) {
         void (send.call(this, client, options) as Promise<unknown>).catch(() => undefined);
       }
--- a/packages/lab/src/bench/in-force/node/revisionWatch.ts
+++ b/packages/lab/src/bench/in-force/node/revisionWatch.ts
@@ -1,4 +1,4 @@
-/** Notes when each node has a revision newer than the one at the start. */
+/** Records when each node applies a configuration revision newer than the one at the start. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { parseCounter } from '../../../processes/node/nodeMetrics.js';
 import type { NodeProcess } from '../../../processes/node/nodeProcess.js';
@@ -6,7 +6,7 @@
 const POLL_MS = 40;
 
 /**
- * Reads the nodes' metrics until stopped.
+ * Polls the metrics of the nodes until stopped.
  *
  * @example
  * const watch = await RevisionWatch.start(nodes);
@@ -18,25 +18,26 @@
   private loops: Promise<unknown> = Promise.resolve();
   private isStopped = false;
 
-  /** Takes the revisions that are in force now as the former ones. */
+  /** Starts polling; the highest revision now in force is the baseline. */
   static async start(nodes: readonly NodeProcess[]): Promise<RevisionWatch> {
     const watch = new RevisionWatch();
     const revisions = await Promise.all(nodes.map((node) => fetchRevision(node)));
-    const former = Math.max(...revisions.map((revision) => revision ?? 0));
-    watch.loops = Promise.all(nodes.map((node) => watch.watchNode(node, former)));
+    const initialRevision = Math.max(...revisions.map((revision) => revision ?? 0));
+    watch.loops = Promise.all(nodes.map((node) => watch.watchNode(node, initialRevision)));
     return watch;
   }
 
-  /** When the node was seen with a newer revision, on the clock of `performance.now`. */
+  /** Time at which a newer revision was first observed, on the clock of `performance.now`. */
   getReachedMs(node: NodeProcess): number | undefined {
     return this.reached.get(node);
   }
 
-  /** Resolves with the instant at which the last of them was seen with it. */
+  /** Waits until all `nodes` have a newer revision. Returns the time at which the last one had it. */
   async waitUntilAll(nodes: readonly NodeProcess[], timeoutMs: number): Promise<number> {
     const endMs = performance.now() + timeoutMs;
     while (nodes.some((node) => !this.reached.has(node))) {
-      if (performance.now() > endMs) throw new Error('not in force everywhere within the limit');
+      if (performance.now() > endMs)
+        throw new Error(`not in force on all nodes within ${timeoutMs} ms`);
       await sleep(POLL_MS);
     }
     return Math.max(...nodes.map((node) => this.reached.get(node) ?? 0));
@@ -47,10 +48,11 @@
     await this.loops;
   }
 
-  private async watchNode(node: NodeProcess, former: number): Promise<void> {
+  private async watchNode(node: NodeProcess, initialRevision: number): Promise<void> {
     while (!this.isStopped && !this.reached.has(node)) {
       const revision = await fetchRevision(node);
-      if (revision !== undefined && revision > former) this.reached.set(node, performance.now());
+      if (revision !== undefined && revision > initialRevision)
+        this.reached.set(node, performance.now());
       await sleep(POLL_MS);
     }
   }
--- a/packages/lab/src/bench/node/main.ts
+++ b/packages/lab/src/bench/node/main.ts
@@ -12,14 +12,16 @@
 class BenchCommand extends Command {
   static override readonly paths = [Command.Default];
   static override readonly usage = Command.Usage({
-    description: 'Runs one benchmark and prints what it measured.',
+    description: 'Runs one benchmark and prints its results.',
     examples: [['The placement benchmark, as JSON', '$0 placement --json']],
   });
 
   readonly name = Option.String();
   readonly json = Option.Boolean('--json', false, { description: 'Print JSON.' });
-  readonly seed = Option.String('--seed', DEFAULT_SEED, { description: 'Seed of randomness.' });
-  readonly set = Option.Array('--set', [], { description: 'A value of the benchmark.' });
+  readonly seed = Option.String('--seed', DEFAULT_SEED, {
+    description: 'Seed of the random number generators.',
+  });
+  readonly set = Option.Array('--set', [], { description: 'Sets an option of the benchmark.' });
 
   override async execute(): Promise<void> {
     const bench = await loadBench(this.name);
@@ -43,14 +45,14 @@
 
 function parsePair(pair: string): readonly [string, string] {
   const index = pair.indexOf('=');
-  if (index <= 0) throw new UsageError(`--set wants name=value, got "${pair}"`);
+  if (index <= 0) throw new UsageError(`--set expects name=value, got "${pair}"`);
   return [pair.slice(0, index), pair.slice(index + 1)];
 }
 
 async function loadBench(name: string): Promise<Bench> {
   const names = listBenches();
   if (!names.includes(name)) {
-    throw new UsageError(`no benchmark "${name}"; there are: ${names.join(', ')}`);
+    throw new UsageError(`unknown benchmark "${name}"; available: ${names.join(', ')}`);
   }
   const loaded = (await import(formatModule(name).href)) as { readonly bench: Bench };
   return loaded.bench;
--- a/packages/lab/src/bench/overload/node/bench.ts
+++ b/packages/lab/src/bench/overload/node/bench.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes of load that the slots can't carry: `npm run bench -- overload`. Values: seeds,
+ * Behavior under load beyond the capacity of the slots: `npm run bench -- overload`. Values: seeds,
  * threads.
  */
 import type { IReplayResult } from '../../../replay/common/replayResult.js';
@@ -29,7 +29,7 @@
     return {
       tables: [
         {
-          title: 'The worst of the seeds, while the trouble lasts',
+          title: 'Worst of the seeds, during the overload or fault',
           columns: [
             'trace',
             'goodput, % of the slots',
@@ -44,8 +44,8 @@
       ],
       notes: [
         `seeds ${seeds.join(', ')}; simulated time`,
-        'goodput: work of requests answered well, as a share of what all slots can do meanwhile',
-        'other callers: all but the one that floods, where one does',
+        'goodput: work of successful requests, as a share of the work that all slots can do in that time',
+        'other callers: all but the flooding one, in traces with a caller flood',
       ],
     };
   }
--- a/packages/lab/src/bench/placement/common/boundedPlacement.ts
+++ b/packages/lab/src/bench/placement/common/boundedPlacement.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing with bounded loads: shards are placed one after another, each at the best
- * candidate that has not reached a bound above the mean. Kept in the benchmark only.
+ * Rendezvous hashing with bounded loads: shards are placed one after another, each on the best
+ * candidate whose load stays within a multiple of the mean. Used only for comparison.
  */
 import { hashToInteger } from '@parsleymux/base';
 import type { INode, IShard } from '@parsleymux/fleet';
@@ -10,7 +10,7 @@
 const CANDIDATE_COUNT = 12;
 
 /**
- * Needs to know every shard beforehand, and gives each only one candidate of its own.
+ * Requires all shards in advance, and bounds the load of only the first candidate of each.
  *
  * @example
  * const placement = new BoundedPlacement(shards, 1.25);
--- a/packages/lab/src/bench/placement/common/measurePlacement.ts
+++ b/packages/lab/src/bench/placement/common/measurePlacement.ts
@@ -1,4 +1,4 @@
-/** Balance, movement and cost of one placement scheme on one case. */
+/** Measures balance, movement and look-up cost of a placement scheme on one case. */
 import type { Clock } from '@parsleymux/base';
 import type { INode, Placement } from '@parsleymux/fleet';
 import type { IPlacementSize, ISizedShard } from './placementCase.js';
@@ -7,28 +7,28 @@
 const CANDIDATES = 3;
 const CHANGE_COUNT = 10;
 
-/** What was measured. Shares are of all slots. */
+/** Results of one measurement. Loads are measured in slots per node. */
 export interface IPlacementResults {
   readonly maxToMean: number;
   readonly p99ToMean: number;
-  /** Slots moved by the loss of one node, over the slots that it held. 1 is ideal. */
+  /** Slots moved when a node is lost, divided by the slots it held. 1 is ideal. */
   readonly lossMovement: number;
-  /** Slots moved by a join, over the slots that the new node got. 1 is ideal. */
+  /** Slots moved when a node joins, divided by the slots it received. 1 is ideal. */
   readonly joinMovement: number;
-  /** Look-up of three candidates just after the live set changed, in µs. */
+  /** Look-up of three candidates directly after the live set changed, in µs. */
   readonly coldLookUpUs: number;
-  /** The same look-up again, in µs. */
+  /** The same look-up repeated, in µs. */
   readonly warmLookUpUs: number;
 }
 
-/** Makes a scheme anew, so that one measurement does not warm the next. */
+/** Creates a new instance, so that one measurement does not warm the caches of the next. */
 export type PlacementFactory = () => Placement;
 
 /**
  * Measures one scheme.
  *
  * @example
- * const figures = measurePlacement(() => new RendezvousPlacement(), size, shards, clock);
+ * const results = measurePlacement(() => new RendezvousPlacement(), size, shards, clock);
  */
 export function measurePlacement(
   make: PlacementFactory,
--- a/packages/lab/src/bench/placement/common/placementCase.ts
+++ b/packages/lab/src/bench/placement/common/placementCase.ts
@@ -1,13 +1,13 @@
-/** Fleets and shards of a stated size, drawn from a seed. */
+/** Generates fleets and shards of a given size from a seed. */
 import type { RandomSource } from '@parsleymux/base';
 import type { INode, IShard } from '@parsleymux/fleet';
 
 const DOMAINS_PER_SERVICE = 3;
 const MIN_SERVICE_TARGETS = 6;
-/** Spread of service sizes: the standard deviation of their logarithm. */
+/** Standard deviation of the logarithm of service sizes. */
 const SIZE_SIGMA = 0.8;
 
-/** A shard with the slots of its targets. */
+/** A shard and the total slots of its targets. */
 export interface ISizedShard extends IShard {
   readonly slots: number;
 }
@@ -18,14 +18,14 @@
   readonly domains: number;
   readonly services: number;
   readonly targets: number;
-  /** Targets that one shard has at most; 0: a service is one shard. */
+  /** Maximum number of targets per shard; 0 means one shard per service. */
   readonly maxShardTargets: number;
-  /** Number of the first node; other numbers are other addresses. */
+  /** Number of the first node; node addresses are derived from node numbers. */
   readonly firstNode: number;
 }
 
 /**
- * Nodes are spread evenly over the domains.
+ * Creates nodes, spread evenly over the domains.
  *
  * @example
  * placement.setNodes(makeNodes(size));
@@ -35,7 +35,7 @@
 }
 
 /**
- * Node number `index`, counted from the first.
+ * Creates node number `index`, counted from the first.
  *
  * @example
  * const joining = makeNode(size, size.nodes);
@@ -49,7 +49,7 @@
 }
 
 /**
- * Shards of all services. Sizes are log-normal; each service lies in three domains.
+ * Creates the shards of all services. Sizes are log-normal; each service spans three domains.
  *
  * @example
  * const shards = makeShards(size, new SeededRandom(1));
@@ -87,7 +87,7 @@
   });
 }
 
-/** Three neighbouring domains, beginning anywhere, so that all domains hold targets alike. */
+/** Picks three consecutive domains from a random start, so that targets spread evenly. */
 function sampleDomains(size: IPlacementSize, random: RandomSource): readonly string[] {
   const first = random.getInteger(size.domains);
   return Array.from({ length: DOMAINS_PER_SERVICE }, (_, index) => {
--- a/packages/lab/src/bench/placement/common/segmentPlacement.ts
+++ b/packages/lab/src/bench/placement/common/segmentPlacement.ts
@@ -1,35 +1,35 @@
 /**
- * Placement by drawing segments, after the scheme of "SUORA: A Scalable and Uniform Data
- * Distribution Algorithm for Heterogeneous Storage Systems" and of ASURA before it: failure domains
- * are the buckets, each node owns a segment of its bucket's number line, and a shard's
- * pseudo-random sequence is drawn until it hits one. Kept in the benchmark only.
+ * Placement by drawing segments, after "SUORA: A Scalable and Uniform Data Distribution Algorithm
+ * for Heterogeneous Storage Systems" and its predecessor ASURA: failure domains are the buckets,
+ * each node owns a segment of its bucket's number line, and numbers are drawn from a shard's
+ * pseudo-random sequence until one falls into an owned segment. Used only for comparison.
  */
 import { hashToInteger } from '@parsleymux/base';
 import type { INode, IShard } from '@parsleymux/fleet';
 import { Placement } from '@parsleymux/fleet';
 
-/** Range of the lowest generator; each further one doubles it. */
+/** Range of the lowest generator; each higher one doubles it. */
 const FIRST_RANGE = 4;
 const MAX_DRAWS = 10_000;
 
-/** How a node's segment number is found. */
+/** How a node's segment number is determined. */
 export const SegmentNumbering = {
-  /** A number that all nodes agree on and that outlives restarts: the smallest one free. */
+  /** The smallest free number, agreed on by all nodes and stable across restarts. */
   Agreed: 'agreed',
-  /** The rank of its address in the live set, which every node computes alone. */
+  /** The rank of its address in the live set, which every node computes independently. */
   ByAddress: 'by address',
 } as const;
 
 export type SegmentNumbering = (typeof SegmentNumbering)[keyof typeof SegmentNumbering];
 
 interface IBucket {
-  /** By segment number; a hole where a node left. */
+  /** Nodes by segment number; undefined where a node was removed. */
   segments: (INode | undefined)[];
   size: number;
 }
 
 /**
- * Draws until segments of enough different nodes are hit.
+ * Draws numbers until they have fallen into the segments of enough different nodes.
  *
  * @example
  * const placement = new SegmentPlacement(SegmentNumbering.Agreed);
@@ -92,8 +92,8 @@
 }
 
 /**
- * The generators of ASURA: a number that falls into the range of the generator below is replaced
- * by that one's next number, so that a longer line leaves earlier hits where they were.
+ * The generators of ASURA: a number that falls into the range of the next lower generator is
+ * replaced by that generator's next number, so extending the line does not move earlier hits.
  */
 class SegmentSequence {
   private readonly counters: number[] = [];
--- a/packages/lab/src/bench/placement/node/bench.ts
+++ b/packages/lab/src/bench/placement/node/bench.ts
@@ -1,4 +1,4 @@
-/** Compares ways to place shards on nodes, at today's size and at the two-year one. */
+/** Compares placement schemes at the current fleet size and at the one planned for in two years. */
 import { SeededRandom, SystemClock } from '@parsleymux/base';
 import { RendezvousPlacement } from '@parsleymux/fleet';
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
@@ -19,7 +19,7 @@
 ];
 const BOUND = 1.25;
 const DEFAULT_RUNS = 8;
-/** Distance between the addresses of two runs. */
+/** Difference between the first node numbers of two runs, so that runs share no addresses. */
 const ADDRESS_STRIDE = 10_000;
 
 class PlacementBench extends Bench {
@@ -43,11 +43,11 @@
     return Promise.resolve({
       tables,
       notes: [
-        'At most 0 targets a shard: a service is one shard; otherwise (service, domain), split.',
-        'Movement is slots moved over slots that had to move; 1 is ideal.',
-        'Look-ups give three candidates; cold ones come first after a change of the live set.',
-        `Means of ${runs} runs, each with services and addresses of its own; worst is over all runs.`,
-        'Each service lies in three domains.',
+        'At most 0 targets a shard: one shard per service; otherwise one per service and domain, split to the maximum.',
+        'Movement is slots moved divided by slots that had to move; 1 is ideal.',
+        'Look-ups return three candidates; a cold look-up is the first after a change of the live set.',
+        `Means of ${runs} runs, each with different services and addresses; worst is over all runs.`,
+        'Each service spans three domains.',
       ],
     });
   }
--- a/packages/lab/src/bench/recovery/common/meteredPlatform.ts
+++ b/packages/lab/src/bench/recovery/common/meteredPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory that counts its load by the second, and refuses what goes over its rates. */
+/** An in-memory platform that counts reads per second and refuses reads above its rate limit. */
 import type { Clock } from '@parsleymux/base';
 import type { IMemoryPlatform } from '@parsleymux/config/testing';
 import type {
@@ -19,11 +19,11 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Load of one kind. */
+/** Read load since the last reset. */
 export interface IMeteredLoad {
   readonly reads: number;
   readonly refused: number;
-  /** Most reads asked for within one second of the clock. */
+  /** Highest number of reads requested within one second of the clock. */
   readonly peakReadsPerSecond: number;
 }
 
@@ -31,14 +31,14 @@
 export interface IMeteredPlatformOptions {
   readonly inner: IMemoryPlatform;
   readonly clock: Clock;
-  /** Time that one operation takes, in ms. */
+  /** Duration of one operation, in ms. */
   readonly delayMs: number;
-  /** Reads served a second; the rest is refused. 0: no limit. */
+  /** Reads served per second; further reads are refused. 0 means no limit. */
   readonly readsPerSecond: number;
 }
 
 /**
- * Meters every read, whichever of the three services it is of.
+ * Meters the reads of all three services together.
  *
  * @example
  * const platform = new MeteredPlatform({ inner, clock, delayMs: 5, readsPerSecond: 2000 });
@@ -58,7 +58,7 @@
     this.vms = new MeteredVmList(this);
   }
 
-  /** Forgets what was counted. */
+  /** Resets the counters. */
   reset(): void {
     this.readsBySecond.clear();
     this.refused = 0;
@@ -73,7 +73,7 @@
     };
   }
 
-  /** Counts one read, and refuses it when its second is full or the platform is out. */
+  /** Counts one read, and refuses it if the limit is exceeded or the platform is unavailable. */
   async acceptRead(): Promise<void> {
     const { clock, delayMs, readsPerSecond } = this.options;
     const second = Math.floor(clock.getMonotonicTime() / MS_PER_SECOND);
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.test.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.test.ts
@@ -12,10 +12,10 @@
   seed: 3,
 };
 
-test('a fleet that restarts as a whole stays within the reads that the platform serves', async () => {
-  // Symptom: the platform refuses reads of everyone for seconds after a restart of the fleet.
-  // Sequence: all nodes start at the same instant and each reads every member's configuration.
-  // Cause: nobody waits for the configuration that others are about to have.
+test('a restart of the whole fleet stays within the read rate of the platform', async () => {
+  // Guards against overload of the platform after a restart of the fleet: all nodes start at the same
+  // time and each reads every member's configuration from the store, instead of waiting for the
+  // configuration that peers are about to fetch. The platform then refuses reads for seconds.
   const fleet = new RecoveryFleet(SIZE);
   await fleet.putInForce();
   const nodes = fleet.startNodes(SIZE.nodes);
@@ -28,9 +28,9 @@
   await fleet.stop();
 });
 
-test('a fresh node becomes ready during an outage, from the seeds of its settings', async () => {
-  // Symptom: a VM replaced during an outage never serves. Sequence: the platform goes out, VM
-  // list included; a node starts. Cause: peers and configuration known from the platform only.
+test('a new node becomes ready during a platform outage from the seed peers in its settings', async () => {
+  // Guards against a VM replaced during an outage never becoming ready, because it can learn of peers
+  // and of the configuration only from the platform, which is unavailable together with its VM list.
   const fleet = new RecoveryFleet({ ...SIZE, nodes: 6, members: 3 });
   await fleet.putInForce();
   fleet.startNodes(6);
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.ts
@@ -1,4 +1,4 @@
-/** The control parts of many nodes in one process, on a manual clock, before a metered platform. */
+/** Control components of many nodes in one process, on a manual clock and a metered platform. */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import type { IConfigSnapshot } from '@parsleymux/config';
@@ -28,18 +28,18 @@
 export interface IRecoverySize {
   readonly nodes: number;
   readonly members: number;
-  /** Reads that the platform serves a second. */
+  /** Reads that the platform serves per second. */
   readonly readsPerSecond: number;
-  /** Fresh nodes of the fleet that read from the store in one second; 0: all at once. */
+  /** New nodes of the fleet that read from the store per second; 0 means all at the same time. */
   readonly startsPerSecond: number;
   readonly seed: number;
 }
 
-/** The control parts of one node. */
+/** Control components of one node. */
 export class RecoveryNode {
   readonly membership: ListedMembershipService;
   readonly config: ConfigDistributor;
-  /** Instant at which the node could serve, in ms. */
+  /** Time at which the node became ready, in ms. */
   readyMs = Infinity;
   private readonly abort = new AbortController();
   private running: Promise<unknown> = Promise.resolve();
@@ -76,9 +76,9 @@
     );
   }
 
-  /** Ends the loops; their last calls end as the clock advances. */
+  /** Stops the loops. Calls in flight complete as the clock advances. */
   async stop(): Promise<void> {
-    this.abort.abort(new Error('the node stops'));
+    this.abort.abort(new Error('the node is stopped'));
     await this.running;
     this.membership.dispose();
   }
@@ -103,7 +103,7 @@
 }
 
 /**
- * The fleet of one case.
+ * The simulated fleet of one case.
  *
  * @example
  * const fleet = new RecoveryFleet(size);
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Puts one small configuration of each member in force. */
+  /** Puts a small configuration of each member in force. */
   async putInForce(): Promise<void> {
     for (let index = 0; index < this.size.members; index += 1) {
       const member = `member-${index}`;
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Starts `count` nodes at this very instant; they know some that were there before. */
+  /** Starts `count` nodes at the same time, with some existing nodes as their seed peers. */
   startNodes(count: number): readonly RecoveryNode[] {
     const seeds = [...this.nodes.keys()].slice(0, SEED_COUNT);
     const nodes = Array.from({ length: count }, () => this.makeNode(seeds));
--- a/packages/lab/src/bench/recovery/node/bench.ts
+++ b/packages/lab/src/bench/recovery/node/bench.ts
@@ -1,4 +1,4 @@
-/** What the platform sees, and how long nodes take, when a fleet starts or the platform returns. */
+/** Platform load and time to readiness when a fleet starts or the platform recovers. */
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import type { IRecoverySize, RecoveryNode } from '../common/recoveryFleet.js';
@@ -10,7 +10,7 @@
 const SETTLE_MS = 90_000;
 
 class RecoveryBench extends Bench {
-  override readonly summary = 'load on the platform when a fleet restarts or the platform returns';
+  override readonly summary = 'load on the platform when a fleet restarts or the platform recovers';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
     const rows: (readonly Cell[])[] = [];
@@ -31,7 +31,7 @@
 
 function makeTable(rows: readonly (readonly Cell[])[]): IBenchTable {
   return {
-    title: `A platform that serves ${READS_PER_SECOND} reads a second`,
+    title: `A platform that serves ${READS_PER_SECOND} reads per second`,
     columns: [
       'event',
       'nodes',
@@ -49,11 +49,11 @@
 
 function listNotes(): readonly string[] {
   return [
-    'In one process on a manual clock: membership and distributor are the product, the rest fakes.',
-    'Starts/s: fresh nodes of the whole fleet that read from the store in one second; 0: all at once.',
-    'Reads are of the table, of objects and of the VM list, refused ones included.',
-    `After an outage of ${OUTAGE_MS / 60_000} minutes the nodes were ready all the time: no times.`,
-    'A fresh node starts during the outage and gets its configuration from the three seeds of its settings.',
+    'In one process on a manual clock: membership and distributor are production code, the rest are fakes.',
+    'Starts/s: new nodes of the whole fleet that read from the store per second; 0: all at the same time.',
+    'Reads are those of the table, objects and the VM list, including refused ones.',
+    `Nodes stay ready through the outage of ${OUTAGE_MS / 60_000} minutes, so its end has no ready times.`,
+    'The fresh node starts during the outage and gets its configuration from the three seed peers in its settings.',
   ];
 }
 
@@ -62,13 +62,13 @@
   await fleet.putInForce();
   const restart = await measureRestart(fleet);
   await fleet.clock.advanceBy(SETTLE_MS);
-  const calm = await measureSteadyState(fleet);
+  const steady = await measureSteadyState(fleet);
   fleet.platform.isUnavailable = true;
   await fleet.clock.advanceBy(OUTAGE_MS);
-  const fresh = await measureNewNode(fleet);
-  const back = await measureRecovery(fleet);
+  const newNode = await measureNewNode(fleet);
+  const recovery = await measureRecovery(fleet);
   await fleet.stop();
-  return [restart, calm, fresh, back];
+  return [restart, steady, newNode, recovery];
 }
 
 async function measureRestart(fleet: RecoveryFleet): Promise<readonly Cell[]> {
@@ -84,7 +84,7 @@
   return formatRow('calm', fleet, []);
 }
 
-/** The VM list is out too: the node knows only the seeds of its settings. */
+/** The VM list is unavailable too, so the node knows only the seed peers in its settings. */
 async function measureNewNode(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
   const startMs = fleet.clock.getMonotonicTime();
--- a/packages/lab/src/bench/routing/common/routingMode.ts
+++ b/packages/lab/src/bench/routing/common/routingMode.ts
@@ -1,35 +1,35 @@
-/** The ways to route that are compared: by one home, by a home in each failure domain, directly. */
+/** The routing modes compared: through one home, through a home per failure domain, or directly. */
 import type { RandomSource } from '@parsleymux/base';
 import type { LocalHomeService } from '@parsleymux/routing';
 
-/** Names of the ways. */
+/** Names of the routing modes. */
 export const ROUTING_MODES = ['one home', 'home per domain', 'direct'] as const;
 
 export type RoutingMode = (typeof ROUTING_MODES)[number];
 
-/** A home and where it is. */
+/** A home and its location. */
 export interface IPlacedHome {
   readonly home: LocalHomeService;
   readonly failureDomain: string;
-  /** Slots of the targets that it serves. */
+  /** Total slots of the targets that it schedules. */
   readonly slots: number;
 }
 
-/** A node that takes callers' requests. */
+/** A node that receives requests from callers. */
 export interface IEntry {
   readonly failureDomain: string;
-  /** Share of its slots that each home last reported as free; negative when requests wait. */
+  /** Fraction of its slots that each home last reported as free; negative if requests are queued. */
   readonly spareShares: ReadonlyMap<IPlacedHome, number>;
 }
 
-/** A way from an entry to a home. */
+/** The home chosen for a request and the delay to it. */
 export interface IHomeChoice {
   readonly placed: IPlacedHome;
-  /** One way from entry to home, in ms; 0 when they are one. */
+  /** One-way delay from entry to home, in ms; 0 if they are the same node. */
   readonly hopMs: number;
 }
 
-/** What the choice is made from. */
+/** Inputs of the choice. */
 export interface IHomeChoiceOptions {
   readonly mode: RoutingMode;
   readonly homes: readonly IPlacedHome[];
@@ -39,7 +39,7 @@
   readonly random: RandomSource;
 }
 
-/** Time that a hop between nodes takes beyond the network, one way, in ms. */
+/** One-way processing time of a hop between nodes, in addition to the network delay, in ms. */
 const HOP_PROCESSING_MS = 0.15;
 
 /** Chooses the home for one request. */
@@ -53,12 +53,12 @@
   return { placed, hopMs: networkMs + HOP_PROCESSING_MS };
 }
 
-/** The entry's own domain while it has room, else the better of two others. */
+/** The home in the entry's domain if it has free slots, else the better of two random homes. */
 function chooseBySpareSlots(options: IHomeChoiceOptions): IPlacedHome {
   const { homes, entry, random } = options;
   const getSpareShare = (placed: IPlacedHome) => entry.spareShares.get(placed) ?? 1;
-  const own = homes.find((placed) => placed.failureDomain === entry.failureDomain);
-  if (own !== undefined && getSpareShare(own) > 0) return own;
+  const local = homes.find((placed) => placed.failureDomain === entry.failureDomain);
+  if (local !== undefined && getSpareShare(local) > 0) return local;
   const first = pickRandom(homes, random);
   const second = pickRandom(homes, random);
   return getSpareShare(first) >= getSpareShare(second) ? first : second;
--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -1,4 +1,4 @@
-/** Runs one trace under one way to route, on a clock of its own. */
+/** Runs one trace under one routing mode, on a separate manual clock. */
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import { LocalHomeService, PassThroughGuard, TableEjectionLedger } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
@@ -16,23 +16,23 @@
 const DRAIN_MS = 10_000;
 const MICROSECONDS = 1000;
 
-/** Figures of one run. */
+/** Results of one run. */
 export interface IRoutingResults {
-  /** Latency beyond the recorded work, of successes, in ms. */
+  /** Latency of successful requests beyond their recorded work, in ms. */
   readonly addedP50Ms: number;
   readonly addedP99Ms: number;
-  /** Share of arrivals at targets that found every slot taken. */
+  /** Fraction of arrivals at targets that found every slot in use. */
   readonly collisionShare: number;
   readonly shedShare: number;
-  /** Refused, failed, or shed without another target. */
+  /** Fraction of requests refused, failed, or shed without another target to retry on. */
   readonly errorShare: number;
-  /** Most connections that one target had open. */
+  /** Maximum number of connections open to one target. */
   readonly connections: number;
   readonly detectionMs: readonly (number | undefined)[];
   readonly falseEjections: number;
 }
 
-/** Runs and measures. */
+/** Runs a trace and measures it. */
 export async function runRouting(
   trace: ITrace,
   mode: RoutingMode,
@@ -107,7 +107,7 @@
       );
       const spare = placed.home.getSpareSlots(header.member, header.service.name);
       await this.clock.sleep(hopMs);
-      // The home's spare slots come with each answer, and are all that an entry knows.
+      // An entry knows a home's spare slots only from the last response of that home.
       entry.spareShares.set(placed, spare / placed.slots);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
       this.recorder.recordAnswer(request, response, latencyMs);
@@ -205,7 +205,7 @@
   }
 }
 
-/** The part of the service in one failure domain, with its share of the floor, rounded up. */
+/** Restricts the service to one failure domain, with its share of the floor rounded up. */
 function pickDomain(header: ITraceHeader, domain: string): ITraceHeader {
   const { service } = header;
   const targets = service.targets.filter((target) => target.failureDomain === domain);
--- a/packages/lab/src/bench/routing/node/bench.ts
+++ b/packages/lab/src/bench/routing/node/bench.ts
@@ -1,6 +1,6 @@
 /**
- * Homes against direct routing on the same traces: `npm run bench -- routing --json`. Values:
- * seeds, steady (0 to leave out), out (a directory for the page).
+ * Homes compared with direct routing on the same traces: `npm run bench -- routing --json`. Values:
+ * seeds, out (output directory for the page).
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -26,7 +26,7 @@
   'donautal-slow-3x',
   'donautal-overload-3x',
 ];
-/** A service of the size of survey records and of cut lists. */
+/** A service of the size of survey records and cut lists. */
 const SMALL_SERVICE: IMemberProfile = { ...DOBRESCU, service: 'survey-records', targets: 6 };
 
 class RoutingBench extends Bench {
@@ -42,9 +42,9 @@
     const report = {
       tables,
       notes: [
-        'all but the cost of a home is simulated time: the load of the machine does not matter there',
-        'direct: 48 nodes, each with its own view of slots and outcomes; the ledger is shared',
-        'added: latency beyond the recorded work; a hop costs the network and 0.15 ms each way',
+        'all tables but the cost of a home use simulated time, where the load of the machine has no effect',
+        'direct: 48 nodes, each with a local view of slots and outcomes; the ledger is shared',
+        'added: latency beyond the recorded work; a hop costs the network delay plus 0.15 ms each way',
       ],
     };
     const out = options.values.get('out');
@@ -70,7 +70,7 @@
     }
   }
   return {
-    title: 'Nothing failing',
+    title: 'No faults',
     columns: ['service', 'load', 'seed', ...RESULT_COLUMNS],
     rows,
   };
--- a/packages/lab/src/bench/routing/node/homeCost.ts
+++ b/packages/lab/src/bench/routing/node/homeCost.ts
@@ -1,4 +1,4 @@
-/** What a home costs on a real clock, and what one member's flood does to another's latency. */
+/** Cost of a home on the system clock, and the effect of one member's flood on another's latency. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
 import type { ITargetResponse } from '@parsleymux/routing';
@@ -25,7 +25,7 @@
 const MICROSECONDS = 1000;
 const FLOOD_LOAD = 3;
 
-/** Answers after the target's mean work, or at once. */
+/** Responds after the target's mean work time, or immediately. */
 class TimerTransport extends TargetTransport {
   constructor(private readonly workMs: number) {
     super();
@@ -51,7 +51,7 @@
   }
 }
 
-/** The table of both measurements. */
+/** Runs both measurements and returns their table. */
 export async function measureHomeCost(): Promise<IBenchTable> {
   const microseconds = await measureProcessorTime();
   const alone = await measureQuietMember(false);
@@ -92,7 +92,7 @@
   await Promise.all(Array.from({ length: CONCURRENCY }, runOne));
 }
 
-/** p99 of a member at its ordinary load, in one process with another that is quiet or floods. */
+/** Measures the p99 of a member at normal load, sharing the process with one that may flood. */
 async function measureQuietMember(isFlooded: boolean): Promise<number> {
   const quiet = createHome(DOBRESCU, computeMeanWork(DOBRESCU));
   const flooded = createHome(DONAUTAL, computeMeanWork(DONAUTAL));
--- a/packages/lab/src/bench/standins/node/bench.ts
+++ b/packages/lab/src/bench/standins/node/bench.ts
@@ -1,6 +1,6 @@
 /**
- * What the platform stand-in carries by itself. A run in which the stand-in were the bottleneck
- * would measure the stand-in; these figures say up to which load that can't be so.
+ * Throughput of the platform stand-in alone. A run in which the stand-in is the bottleneck would
+ * measure the stand-in; these results give the load up to which it is not.
  */
 import type { IHttpPlatform } from '@parsleymux/store';
 import { openHttpPlatform } from '@parsleymux/store';
@@ -32,7 +32,7 @@
   return platform.table.read([`bench/1/${sequence % 100}/0`]);
 };
 
-/** Closed loop over a fixed number of connections: the most that it carries, not a latency. */
+/** Closed loop over a fixed number of connections: measures maximum throughput, not latency. */
 async function measure(name: string, platform: IHttpPlatform, execute: Operation): Promise<Cell[]> {
   const histogram = build();
   const endMs = performance.now() + RUN_MS;
@@ -52,7 +52,7 @@
 }
 
 class StandInsBench extends Bench {
-  override readonly summary = 'operations a second that the platform stand-in carries';
+  override readonly summary = 'operations per second that the platform stand-in sustains';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
     const fleet = new ProcessFleet();
@@ -73,7 +73,7 @@
           rows,
         },
       ],
-      notes: ['Closed loop on loopback; the client shares the machine with the stand-in.'],
+      notes: ['Closed loop over loopback; the client shares the machine with the stand-in.'],
     };
   }
 }
--- a/packages/lab/src/bench/tenants/node/bench.ts
+++ b/packages/lab/src/bench/tenants/node/bench.ts
@@ -1,4 +1,4 @@
-/** Measures what a node pays for the list of tenants: heap, changes and look-ups. */
+/** Cost of the tenant list to a node: heap, changes and look-ups. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -12,7 +12,7 @@
 const KEYS_PER_TENANT = 2;
 const CHANGES = 200;
 const LOOK_UPS = 20_000;
-/** Changed entries are kept for peers for some seconds; heap is read after that, in ms. */
+/** Changed entries are retained for peers for some seconds; heap is read after that, in ms. */
 const SETTLE_MS = 5500;
 const BYTES_PER_MB = 1_048_576;
 
@@ -29,10 +29,10 @@
     }
     const columns = ['tenants', 'heap MB', 'all ms', 'one ms', 'key µs'];
     return {
-      tables: [{ title: 'The list of tenants at one node', columns, rows }],
+      tables: [{ title: 'The tenant list on one node', columns, rows }],
       notes: [
-        `Each tenant has ${KEYS_PER_TENANT} keys. All: the first copy is taken; one: a key of one tenant changes.`,
-        'Key: a key is hashed and looked up.',
+        `Each tenant has ${KEYS_PER_TENANT} keys. All: applying the first full copy; one: changing a key of one tenant.`,
+        'Key: hashing and looking up one key.',
       ],
     };
   }
