--- a/packages/lab/src/bench/claims/node/bench.ts
+++ b/packages/lab/src/bench/claims/node/bench.ts
@@ -137,14 +137,14 @@
     const setting = makeCase(run, { responseBytes });
     const { bookings } = await measureClaims(setting, services);
     const after = await store.fetchCounters();
-    const kept = await measureLargestRow(run, setting.member);
+    const storedRowBytes = await measureLargestRow(run, setting.member);
     const received = (after.bytesReceived - before.bytesReceived) / bookings;
     const writes = (after.writes - before.writes) / bookings;
     const rowsWritten = (after.rowsWritten - before.rowsWritten) / bookings;
     rows.push([
       responseBytes,
       formatNumber(received),
-      kept,
+      storedRowBytes,
       formatNumber(rowsWritten),
       formatNumber(writes),
     ]);
--- a/packages/lab/src/bench/control/node/bench.ts
+++ b/packages/lab/src/bench/control/node/bench.ts
@@ -168,13 +168,13 @@
     const startMs = performance.now();
     await runChanges(world, durationMs);
     const platformAfter = await world.readPlatform();
-    const passedS = (performance.now() - startMs) / 1000;
+    const elapsedS = (performance.now() - startMs) / 1000;
     const after = await world.readUsages();
-    const changes = { before, after, passedS };
+    const changes = { before, after, elapsedS };
     return [
       ...computeUsagePerNode(changes, point.nodes),
-      (platformAfter.reads - platformBefore.reads) / passedS,
-      (platformAfter.writes - platformBefore.writes) / passedS,
+      (platformAfter.reads - platformBefore.reads) / elapsedS,
+      (platformAfter.writes - platformBefore.writes) / elapsedS,
     ];
   } finally {
     await world.dispose();
@@ -185,17 +185,17 @@
 interface IUsageChange {
   readonly before: readonly INodeHostUsage[];
   readonly after: readonly INodeHostUsage[];
-  readonly passedS: number;
+  readonly elapsedS: number;
 }
 
 /** Computes CPU %, heap MB, RSS MB of a process, and bytes/s to the platform and to peers, per node. */
 function computeUsagePerNode(change: IUsageChange, nodes: number): readonly number[] {
-  const { before, after, passedS } = change;
+  const { before, after, elapsedS } = change;
   const sum = (usages: readonly INodeHostUsage[], pick: (usage: INodeHostUsage) => number) => {
     return usages.reduce((total, usage) => total + pick(usage), 0);
   };
   const computeRate = (pick: (usage: INodeHostUsage) => number) => {
-    return (sum(after, pick) - sum(before, pick)) / passedS / nodes;
+    return (sum(after, pick) - sum(before, pick)) / elapsedS / nodes;
   };
   return [
     computeRate((usage) => usage.cpuMs) / 10,
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -21,7 +21,7 @@
 const BOOKING_SHARE = 0.3;
 const FIRST_SERVER_ERROR = 500;
 const MICROSECONDS = 1000;
-/** Longer than any deadline: a target without a dispatch for this long receives no more requests. */
+/** Longer than any deadline: a target without a dispatch for this long counts as out of use. */
 const MIN_IDLE_MS = 6000;
 
 /** Options of a {@link RealHome}. */
--- a/packages/lab/src/bench/distribution/common/distributionFleet.ts
+++ b/packages/lab/src/bench/distribution/common/distributionFleet.ts
@@ -159,8 +159,8 @@
 
   override announce(fleetRevision: number): Promise<number> {
     this.fleet.recordAnnouncement();
-    const back = new DirectPeer(this.fleet, this.to, this.from);
-    return this.fleet.request(() => this.getTarget().receiveAnnouncement(fleetRevision, back));
+    const announcer = new DirectPeer(this.fleet, this.to, this.from);
+    return this.fleet.request(() => this.getTarget().receiveAnnouncement(fleetRevision, announcer));
   }
 
   override fetchAfter(fleetRevision: number): Promise<IConfigSnapshot> {
@@ -190,8 +190,8 @@
   override pick(count: number): readonly ConfigPeer[] {
     this.neighbours ??= this.listNeighbours();
     const picked = new Set<number>();
-    const wanted = Math.min(count, this.neighbours.length);
-    while (picked.size < wanted) {
+    const wantedCount = Math.min(count, this.neighbours.length);
+    while (picked.size < wantedCount) {
       picked.add(this.neighbours[this.random.getInteger(this.neighbours.length)] ?? 0);
     }
     return [...picked].map((index) => new DirectPeer(this.fleet, this.self, index));
--- a/packages/lab/src/bench/in-force/node/revisionWatch.ts
+++ b/packages/lab/src/bench/in-force/node/revisionWatch.ts
@@ -37,7 +37,7 @@
     const endMs = performance.now() + timeoutMs;
     while (nodes.some((node) => !this.reached.has(node))) {
       if (performance.now() > endMs)
-        throw new Error(`not in force on all nodes within ${timeoutMs} ms`);
+        throw new Error('not in force on all nodes within the timeout');
       await sleep(POLL_MS);
     }
     return Math.max(...nodes.map((node) => this.reached.get(node) ?? 0));
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.ts
@@ -179,9 +179,9 @@
 
   override pick(count: number): readonly ConfigPeer[] {
     const live = this.self.membership.getLiveNodes();
-    const wanted = Math.min(count, live.length - 1);
+    const wantedCount = Math.min(count, live.length - 1);
     const picked = new Set<string>();
-    while (picked.size < wanted) {
+    while (picked.size < wantedCount) {
       const address = live[this.random.getInteger(live.length)]?.address ?? '';
       if (address !== this.self.address) picked.add(address);
     }
@@ -200,8 +200,8 @@
 
   override async announce(fleetRevision: number): Promise<number> {
     await this.fleet.clock.sleep(CALL_MS);
-    const back = new DirectPeer(this.fleet, this.to, this.from);
-    return this.getTarget().receiveAnnouncement(fleetRevision, back);
+    const announcer = new DirectPeer(this.fleet, this.to, this.from);
+    return this.getTarget().receiveAnnouncement(fleetRevision, announcer);
   }
 
   override async fetchAfter(fleetRevision: number): Promise<IConfigSnapshot> {
--- a/packages/lab/src/bench/routing/node/homeCost.ts
+++ b/packages/lab/src/bench/routing/node/homeCost.ts
@@ -116,7 +116,7 @@
   };
   let dueQuiet = 0;
   let dueFlood = 0;
-  for (let passedMs = 0; passedMs < PHASE_MS; passedMs += TICK_MS) {
+  for (let elapsedMs = 0; elapsedMs < PHASE_MS; elapsedMs += TICK_MS) {
     dueQuiet += quietRate * TICK_MS;
     dueFlood += floodRate * TICK_MS;
     for (; dueFlood >= 1; dueFlood -= 1) start(sendFlood, false);
