--- a/packages/claims/src/guard/common/claimSteps.test.ts
+++ b/packages/claims/src/guard/common/claimSteps.test.ts
@@ -1,15 +1,15 @@
-/** Kills and pauses one node between every two of its steps, and looks at what retries get. */
+/** Kills and pauses one node between every two of its steps and checks the results of retries. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { ResultCode } from '@parsleymux/base';
-import type { ITestRequest } from '../../test/claimWorld.js';
-import { ClaimWorld, getError } from '../../test/claimWorld.js';
+import type { ITestRequest } from '../../test/claimTestFleet.js';
+import { ClaimTestFleet, getError } from '../../test/claimTestFleet.js';
 import { TableFault } from '../../test/fakeTable.js';
 import { TargetBehavior } from '../../test/fakeTarget.js';
 import type { IProcessFault } from '../../test/processGate.js';
 
-const RETRY_EVERY_MS = 40;
+const RETRY_INTERVAL_MS = 40;
 const PAUSE_MS = 20_000;
 const END_MS = 120_000;
 
@@ -20,54 +20,62 @@
 }
 
 const SCENARIOS: readonly IScenario[] = [
-  { name: 'answered', request: {}, faults: [] },
-  { name: 'large answer', request: { behavior: TargetBehavior.AnswerHuge }, faults: [] },
+  { name: 'response', request: {}, faults: [] },
+  { name: 'large response', request: { behavior: TargetBehavior.RespondOversized }, faults: [] },
   { name: 'shed', request: { behavior: TargetBehavior.Shed }, faults: [] },
-  { name: 'silent target', request: { behavior: TargetBehavior.FallSilent }, faults: [] },
-  { name: 'claim answer lost', request: {}, faults: [TableFault.LoseAnswer] },
-  { name: 'claim lands late', request: {}, faults: [TableFault.LandLate, TableFault.LoseRequest] },
   {
-    name: 'release answer lost',
+    name: 'target without response',
+    request: { behavior: TargetBehavior.ExecuteWithoutResponse },
+    faults: [],
+  },
+  { name: 'claim response lost', request: {}, faults: [TableFault.LoseResponse] },
+  {
+    name: 'claim committed late',
+    request: {},
+    faults: [TableFault.CommitLate, TableFault.LoseRequest],
+  },
+  {
+    name: 'release response lost',
     request: { behavior: TargetBehavior.Shed },
-    faults: [TableFault.None, TableFault.LoseAnswer],
+    faults: [TableFault.None, TableFault.LoseResponse],
   },
   { name: 'outcome lost', request: {}, faults: [TableFault.None, TableFault.LoseRequest] },
   {
     name: 'look-up by targets',
-    request: { behavior: TargetBehavior.FallSilent, lookUpPath: '/jobs/by-key/{key}' },
+    request: { behavior: TargetBehavior.ExecuteWithoutResponse, lookUpPath: '/jobs/by-key/{key}' },
     faults: [],
   },
 ];
 
-/** Runs a request through node a, which suffers `fault`, and the same key through b, again and again. */
+/** Runs a request through node a, which has the fault `fault`, and retries it repeatedly through node b. */
 async function runScenario(
   scenario: IScenario,
   fault: IProcessFault | undefined,
   firstRetryMs: number,
 ): Promise<number> {
-  const world = new ClaimWorld();
-  const gate = world.addNode('a', fault);
-  world.addNode('b');
+  const fleet = new ClaimTestFleet();
+  const gate = fleet.addNode('a', fault);
+  fleet.addNode('b');
   let calls = 0;
-  world.table.chooseFault = () => scenario.faults[calls++] ?? TableFault.None;
-  world.send('a', { ...scenario.request, deadlineMs: 1000 });
-  await world.clock.advanceBy(firstRetryMs);
+  fleet.table.chooseFault = () => scenario.faults[calls++] ?? TableFault.None;
+  fleet.send('a', { ...scenario.request, deadlineMs: 1000 });
+  await fleet.clock.advanceBy(firstRetryMs);
   for (let retries = 0; retries < 4; retries++) {
-    world.send('b', { ...scenario.request, behavior: TargetBehavior.Answer, deadlineMs: 500 });
-    await world.clock.advanceBy(RETRY_EVERY_MS);
+    fleet.send('b', { ...scenario.request, behavior: TargetBehavior.Respond, deadlineMs: 500 });
+    await fleet.clock.advanceBy(RETRY_INTERVAL_MS);
   }
-  await world.clock.advanceBy(PAUSE_MS);
-  if (gate.isDead) world.addNode('a');
-  await world.clock.advanceBy(END_MS);
+  await fleet.clock.advanceBy(PAUSE_MS);
+  if (gate.isDead) fleet.addNode('a');
+  await fleet.clock.advanceBy(END_MS);
   const { lookUpPath } = scenario.request;
-  const last = await world.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
-  world.assertPromises();
-  assertIsFinal(last);
-  return gate.getSteps();
+  const last = await fleet.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
+  fleet.assertInvariants();
+  assertFinalResult(last);
+  return gate.getStepCount();
 }
 
-/** With everything mended, no key may be stuck between states. */
-function assertIsFinal(call: ReturnType<ClaimWorld['send']>): void {
+/** After all faults have ended, no key may remain in an intermediate state. */
+function assertFinalResult(call: ReturnType<ClaimTestFleet['send']>): void {
   assert.ok(call.result);
   if (call.result.status === 'fulfilled') return;
   const allowed: readonly ResultCode[] = [ResultCode.OutcomeUnknown, ResultCode.AnswerNotKept];
@@ -76,9 +84,9 @@
 
 for (const scenario of SCENARIOS) {
   test(`killed or paused between every two steps: ${scenario.name}`, async () => {
-    // Symptom: a booking ran twice, or a refusal said "not run" of one that ran. Sequence: the
-    // claimer died or stood still at some step, and retries went through another node. Cause:
-    // a right to dispatch that lapses with time, or that is passed on without proof.
+    // Guards against a key that runs twice, or that ran and is refused as not run: the claimer is
+    // killed or paused at some step while retries go through another node. The right to dispatch
+    // must neither expire nor be transferred without proof that the claimer did not dispatch.
     const steps = await runScenario(scenario, undefined, 0);
     assert.ok(steps > 5);
     await fc.assert(
@@ -94,25 +102,24 @@
   });
 }
 
-test('a claimer that is paused and listed as gone keeps its right to dispatch', async () => {
-  // Symptom: a booking ran twice. Sequence: the claimer stood still just before it dispatched,
-  // long enough to be listed as gone; a retry asked the targets, who truthfully knew nothing of
-  // the key, and ran it; the claimer went on. Cause: "never ran" was believed of a claim whose
-  // claimer had not given it up.
-  const steps = await runPausedAndListedGone(0);
-  for (let step = 1; step <= steps; step++) await runPausedAndListedGone(step);
+test('a paused claimer that is no longer listed keeps its right to dispatch', async () => {
+  // Guards against a key that runs twice: the claimer is paused just before it dispatches, for long
+  // enough to be unlisted; the targets correctly report to a retry that the key did not run, the
+  // retry runs it, and the claimer resumes. "Not run" must not be accepted for a running claim.
+  const steps = await runPausedAndUnlisted(0);
+  for (let step = 1; step <= steps; step++) await runPausedAndUnlisted(step);
 });
 
-async function runPausedAndListedGone(step: number): Promise<number> {
-  const world = new ClaimWorld();
-  const gate = world.addNode('a', { step, pauseMs: 100_000 });
-  world.addNode('b', undefined, { isLive: () => false });
+async function runPausedAndUnlisted(step: number): Promise<number> {
+  const fleet = new ClaimTestFleet();
+  const gate = fleet.addNode('a', { step, pauseMs: 100_000 });
+  fleet.addNode('b', undefined, { isLive: () => false });
   const lookUpPath = '/jobs/by-key/{key}';
-  world.send('a', { lookUpPath });
-  await world.clock.advanceBy(70_000);
-  await world.execute('b', { lookUpPath });
-  await world.clock.advanceBy(END_MS);
-  await world.execute('b', { lookUpPath });
-  world.assertPromises();
-  return gate.getSteps();
+  fleet.send('a', { lookUpPath });
+  await fleet.clock.advanceBy(70_000);
+  await fleet.execute('b', { lookUpPath });
+  await fleet.clock.advanceBy(END_MS);
+  await fleet.execute('b', { lookUpPath });
+  fleet.assertInvariants();
+  return gate.getStepCount();
 }
--- a/packages/claims/src/test/fakeTable.ts
+++ b/packages/claims/src/test/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory whose answers can be lost and whose writes can be late. For tests. */
+/** In-memory table for tests whose responses can be lost and whose writes can be delayed. */
 import type { Clock } from '@parsleymux/base';
 import type {
   IScanOptions,
@@ -8,17 +8,17 @@
 } from '@parsleymux/store';
 import { ObjectStore, PlatformError, PlatformFailure, TableService } from '@parsleymux/store';
 
-/** What happens to one call. */
+/** Fault of one call. */
 export const TableFault = {
   None: 'none',
-  /** Refused; nothing done. */
+  /** The call is refused and has no effect. */
   Refuse: 'refuse',
-  /** Lost on the way there; the caller can't know. */
+  /** The request is lost; the outcome is unknown to the caller. */
   LoseRequest: 'lose-request',
-  /** Done, and the answer lost. */
-  LoseAnswer: 'lose-answer',
-  /** The caller is told nothing; the write lands `lateMs` after. */
-  LandLate: 'land-late',
+  /** The call takes effect, and its response is lost. */
+  LoseResponse: 'lose-response',
+  /** The response is lost, and the write is committed `lateCommitMs` later. */
+  CommitLate: 'commit-late',
 } as const;
 
 export type TableFault = (typeof TableFault)[keyof typeof TableFault];
@@ -28,19 +28,20 @@
 /** Options of a {@link FakeTable}. */
 export interface IFakeTableOptions {
   readonly clock: Clock;
-  /** Time that each call takes, in ms. Default 1. */
+  /** Latency of each call, in ms. Default 1. */
   readonly latencyMs?: number;
 }
 
-/** Rows with versions, as the platform keeps them. */
+/** Versioned rows, as in the platform's table. */
 export class FakeTable extends TableService {
   /** Chooses the fault of each call. */
   chooseFault: () => TableFault = () => TableFault.None;
-  /** Transactions that reached the table, and rows that they wrote. */
+  /** Number of transactions that reached the table. */
   transactions = 0;
+  /** Number of rows that were written. */
   rowsWritten = 0;
-  /** Delay of writes that land late, in ms. */
-  lateMs = 50;
+  /** Delay of a late commit, in ms. */
+  lateCommitMs = 50;
   private readonly lastVersions = new Map<string, number>();
   private readonly rows = new Map<string, ITableRow>();
   private readonly clock: Clock;
@@ -70,29 +71,29 @@
     await this.clock.sleep(this.latencyMs);
     switch (fault) {
       case TableFault.None:
-        return this.applyNow(transaction);
+        return this.applyTransaction(transaction);
       case TableFault.Refuse:
         throw new PlatformError(PlatformFailure.Refused, 'refused');
-      case TableFault.LoseAnswer:
-        this.applyNow(transaction);
+      case TableFault.LoseResponse:
+        this.applyTransaction(transaction);
         break;
-      case TableFault.LandLate:
-        this.clock.startTimer(this.lateMs, () => this.applyNow(transaction));
+      case TableFault.CommitLate:
+        this.clock.startTimer(this.lateCommitMs, () => this.applyTransaction(transaction));
         break;
       case TableFault.LoseRequest:
         break;
     }
-    throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
+    throw new PlatformError(PlatformFailure.Unknown, 'response lost');
   }
 
   private async checkReadFault(): Promise<void> {
     const fault = this.chooseFault();
     await this.clock.sleep(this.latencyMs);
     if (fault === TableFault.None) return;
-    throw new PlatformError(PlatformFailure.Unknown, 'answer lost');
+    throw new PlatformError(PlatformFailure.Unknown, 'response lost');
   }
 
-  private applyNow(transaction: ITableTransaction): ITransactionResult {
+  private applyTransaction(transaction: ITableTransaction): ITransactionResult {
     this.transactions += 1;
     const failed = transaction.conditions.filter(
       ({ key, version }) => (this.rows.get(key)?.version ?? 0) !== version,
@@ -111,8 +112,8 @@
   }
 }
 
-/** Objects in memory. */
-export class FakeObjects extends ObjectStore {
+/** In-memory object store. */
+export class FakeObjectStore extends ObjectStore {
   readonly bytes = new Map<string, Uint8Array>();
 
   override get(key: string): Promise<Uint8Array | undefined> {
--- a/packages/claims/src/test/fakeTarget.ts
+++ b/packages/claims/src/test/fakeTarget.ts
@@ -1,4 +1,4 @@
-/** A target that counts executions and misbehaves as told. For tests. */
+/** Target for tests that counts executions and simulates faults. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IResponse, IRoutedRequest } from '@parsleymux/routing';
@@ -6,37 +6,37 @@
 import { LookUpResult, OutcomeLookUp } from '../outcome/common/outcomeLookUp.js';
 import type { ProcessGate } from './processGate.js';
 
-/** What a target does with one request. */
+/** Behavior of a target for one request. */
 export const TargetBehavior = {
-  Answer: 'answer',
-  /** Executes, and is not heard of again. */
-  FallSilent: 'fall-silent',
-  /** Executes only after the home gave up. */
+  Respond: 'respond',
+  /** Executes without a response. */
+  ExecuteWithoutResponse: 'execute-without-response',
+  /** Executes after the home has timed out. */
   ExecuteLate: 'execute-late',
-  /** Says that it did not execute. */
+  /** Reports that it did not execute. */
   Shed: 'shed',
-  /** Executes, and its answer breaks off. */
-  BreakOff: 'break-off',
-  /** Executes, with an answer above every limit. */
-  AnswerHuge: 'answer-huge',
+  /** Executes, and its response is truncated. */
+  TruncateResponse: 'truncate-response',
+  /** Executes, and its response exceeds the size limit. */
+  RespondOversized: 'respond-oversized',
 } as const;
 
 export type TargetBehavior = (typeof TargetBehavior)[keyof typeof TargetBehavior];
 
-/** One execution. */
+/** An execution of a request. */
 export interface IExecution {
-  /** The request's caller, which tests make unique. */
+  /** Caller of the request, which tests make unique. */
   readonly request: string;
   readonly startMs: number;
-  readonly answer: string;
+  readonly response: string;
 }
 
 const SERVICE_MS = 20;
-const SILENCE_MS = 300;
+const NO_RESPONSE_MS = 300;
 const LATE_MS = 2000;
-const HUGE_BYTES = (1 << 20) + 1;
+const OVERSIZED_BYTES = (1 << 20) + 1;
 
-/** All targets of a service with the home before them, which checks the deadline. */
+/** Simulates all targets of a service and the home, which checks the deadline. */
 export class FakeTarget extends OutcomeLookUp {
   private readonly executions = new Map<string, IExecution[]>();
 
@@ -44,12 +44,12 @@
     super();
   }
 
-  /** Executions under a member's key. */
+  /** Returns the executions under the request's member and key. */
   getExecutions(request: IRoutedRequest): readonly IExecution[] {
     return this.executions.get(formatName(request)) ?? [];
   }
 
-  /** Sends from a process that may be killed or paused on either side of the dispatch. */
+  /** Serves a request. `gate` may kill or pause the sending process before or after the dispatch. */
   async serve(
     request: IRoutedRequest,
     behavior: TargetBehavior,
@@ -61,9 +61,9 @@
     }
     await gate?.advance();
     if (behavior === TargetBehavior.Shed) throw makeError(ResultCode.TargetShed, RunState.NotRun);
-    const answer = this.executeAs(request, behavior);
+    const response = this.executeWithBehavior(request, behavior);
     try {
-      return await answer;
+      return await response;
     } finally {
       await gate?.advance();
     }
@@ -72,42 +72,47 @@
   override lookUp(request: IRoutedRequest): Promise<ITargetOutcome> {
     const execution = this.getExecutions(request)[0];
     if (execution === undefined) return Promise.resolve({ result: LookUpResult.NotRun });
-    const body = Buffer.from(execution.answer);
-    return Promise.resolve({ result: LookUpResult.Ran, answer: { ...makeAnswer(''), body } });
+    const body = Buffer.from(execution.response);
+    return Promise.resolve({ result: LookUpResult.Ran, response: { ...makeResponse(''), body } });
   }
 
-  private async executeAs(request: IRoutedRequest, behavior: TargetBehavior): Promise<IResponse> {
+  private async executeWithBehavior(
+    request: IRoutedRequest,
+    behavior: TargetBehavior,
+  ): Promise<IResponse> {
     if (behavior === TargetBehavior.ExecuteLate) {
       this.clock.startTimer(LATE_MS, () => this.execute(request));
-      await this.clock.sleep(SILENCE_MS);
+      await this.clock.sleep(NO_RESPONSE_MS);
       throw makeError(ResultCode.TargetTimeout, RunState.MayHaveRun);
     }
     const text = this.execute(request);
-    await this.clock.sleep(behavior === TargetBehavior.FallSilent ? SILENCE_MS : SERVICE_MS);
+    await this.clock.sleep(
+      behavior === TargetBehavior.ExecuteWithoutResponse ? NO_RESPONSE_MS : SERVICE_MS,
+    );
     switch (behavior) {
-      case TargetBehavior.FallSilent:
+      case TargetBehavior.ExecuteWithoutResponse:
         throw makeError(ResultCode.TargetTimeout, RunState.MayHaveRun);
-      case TargetBehavior.BreakOff:
-        return { ...makeAnswer(text), body: streamHalf(text) };
-      case TargetBehavior.AnswerHuge:
-        return { ...makeAnswer(text), body: new Uint8Array(HUGE_BYTES) };
+      case TargetBehavior.TruncateResponse:
+        return { ...makeResponse(text), body: streamHalf(text) };
+      case TargetBehavior.RespondOversized:
+        return { ...makeResponse(text), body: new Uint8Array(OVERSIZED_BYTES) };
       default:
-        return makeAnswer(text);
+        return makeResponse(text);
     }
   }
 
   private execute(request: IRoutedRequest): string {
     const name = formatName(request);
     const earlier = this.executions.get(name) ?? [];
-    const answer = `booked ${name} as ${earlier.length + 1} for ${request.caller}`;
+    const response = `booked ${name} as ${earlier.length + 1} for ${request.caller}`;
     const startMs = this.clock.getMonotonicTime();
-    this.executions.set(name, [...earlier, { request: request.caller, startMs, answer }]);
-    return answer;
+    this.executions.set(name, [...earlier, { request: request.caller, startMs, response }]);
+    return response;
   }
 }
 
-/** An answer of a target that executed. */
-export function makeAnswer(text: string): IResponse {
+/** Makes the response of a target that executed. */
+export function makeResponse(text: string): IResponse {
   return {
     status: 201,
     headers: [['content-type', 'text/plain']],
@@ -122,7 +127,7 @@
 }
 
 function makeError(code: ResultCode, runState: RunState): MuxError {
-  return new MuxError({ code, runState, message: 'fake target' });
+  return new MuxError({ code, runState, message: 'simulated fault' });
 }
 
 async function* streamHalf(text: string): AsyncIterable<Uint8Array> {
--- a/packages/config/src/plans/common/planErrors.ts
+++ b/packages/config/src/plans/common/planErrors.ts
@@ -1,16 +1,16 @@
-/** The refusals of intents and plans, worded so that they name only the operator's own things. */
+/** Errors of rejected intents and plans. Their messages name only resources of the operator's member. */
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { IIntentProblem } from '../../intents/common/intentValidator.js';
 
 const MAX_PROBLEMS_SHOWN = 20;
 const STORE_RETRY_AFTER_MS = 5000;
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
 
 /**
- * The intent can't be planned.
+ * The intent is invalid.
  *
  * @example
  * throw createMalformedIntentError([{ path: 'member', message: 'is missing' }]);
@@ -20,17 +20,17 @@
   const lines = shown.map((problem) => `${problem.path}: ${problem.message}`);
   const more = problems.length - shown.length;
   if (more > 0) lines.push(`and ${more} more`);
-  return refuse(ResultCode.MalformedIntent, lines.join('; '));
+  return createRefusal(ResultCode.MalformedIntent, lines.join('; '));
 }
 
 /**
- * There is no such plan of this member.
+ * The member has no plan with this identifier.
  *
  * @example
  * throw createPlanNotFoundError('p1');
  */
 export function createPlanNotFoundError(planId: string): MuxError {
-  return refuse(ResultCode.PlanNotFound, `there is no plan "${planId}"`);
+  return createRefusal(ResultCode.PlanNotFound, `there is no plan "${planId}"`);
 }
 
 /**
@@ -43,17 +43,17 @@
   const message =
     `plan "${planId}" starts from revision ${base}, but revision ${current} is in force; ` +
     'submit the intent again';
-  return refuse(ResultCode.PlanStale, message);
+  return createRefusal(ResultCode.PlanStale, message);
 }
 
 /**
- * The plan was confirmed or discarded before.
+ * The plan was confirmed or discarded already.
  *
  * @example
  * throw createPlanDecidedError('p1', 'discarded');
  */
 export function createPlanDecidedError(planId: string, state: string): MuxError {
-  return refuse(ResultCode.PlanAlreadyDecided, `plan "${planId}" was ${state} already`);
+  return createRefusal(ResultCode.PlanAlreadyDecided, `plan "${planId}" was ${state} already`);
 }
 
 /**
@@ -63,32 +63,35 @@
  * throw createFloorError(['service "a": floor 8 slots; before 8, during 4, after 8']);
  */
 export function createFloorError(arithmetic: readonly string[]): MuxError {
-  return refuse(ResultCode.FloorWouldBreak, `the floor would break: ${arithmetic.join('; ')}`);
+  return createRefusal(
+    ResultCode.FloorWouldBreak,
+    `the floor would break: ${arithmetic.join('; ')}`,
+  );
 }
 
 /**
- * Another member has the host name. Who it is stays untold.
+ * The host name belongs to another member, which the message does not disclose.
  *
  * @example
  * throw createHostTakenError('booking.example');
  */
 export function createHostTakenError(host: string): MuxError {
-  return refuse(ResultCode.HostTaken, `the host name "${host}" is taken`);
+  return createRefusal(ResultCode.HostTaken, `the host name "${host}" is taken`);
 }
 
 /**
- * Another member has the target address. Who it is stays untold.
+ * The target address belongs to another member, which the message does not disclose.
  *
  * @example
  * throw createTargetTakenError('127.0.0.1:9001');
  */
 export function createTargetTakenError(address: string): MuxError {
-  return refuse(ResultCode.TargetAddressTaken, `the target address "${address}" is taken`);
+  return createRefusal(ResultCode.TargetAddressTaken, `the target address "${address}" is taken`);
 }
 
 /**
- * The platform's service gave no usable answer. When the change may have been made all the
- * same, the message says so: asking again is harmless and settles it.
+ * The platform's store returned no usable response. If the change may have been made nevertheless,
+ * the message says so: repeating the request is safe and settles the outcome.
  *
  * @example
  * throw createStoreError(false, error);
--- a/packages/ctl/src/cli/node/cli.ts
+++ b/packages/ctl/src/cli/node/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: its commands, its help, and what happens on a wrong word. */
+/** The command line: its commands, help and usage errors. */
 import type { BaseContext, CommandClass } from 'clipanion';
 import { Cli } from 'clipanion';
 import { ClaimSettleCommand, ClaimShowCommand } from '../../commands/node/claimCommands.js';
@@ -60,7 +60,7 @@
  */
 export async function execute(words: readonly string[], context: BaseContext): Promise<number> {
   const cli = createCli(isTerminal(context.stdout));
-  if (isHelpWanted(words)) {
+  if (isHelpRequested(words)) {
     const known = COMMANDS.find((command) => hasPath(command, words));
     context.stdout.write(formatHelp(cli.usage(known ?? null, { detailed: known !== undefined })));
     return ExitStatus.Ok;
@@ -68,7 +68,7 @@
   try {
     return await cli.run(cli.process([...words], context), context);
   } catch (error) {
-    context.stderr.write(formatUsageFailure(error, words, cli));
+    context.stderr.write(formatUsageError(error, words, cli));
     return ExitStatus.Usage;
   }
 }
@@ -83,11 +83,11 @@
   return cli;
 }
 
-function isHelpWanted(words: readonly string[]): boolean {
+function isHelpRequested(words: readonly string[]): boolean {
   return words.length === 0 || words.includes('--help') || words.includes('-h');
 }
 
-/** The library writes "#0" where an option takes a value. */
+/** Replaces the "#0" that the library prints as the placeholder of an option's value. */
 function formatHelp(text: string): string {
   return text.replaceAll(' #0', ' VALUE');
 }
@@ -96,10 +96,11 @@
   return 'isTTY' in stream && stream.isTTY === true;
 }
 
-/** For a known command its usage; for an unknown one the nearest that is known. */
-function formatUsageFailure(error: unknown, words: readonly string[], cli: Cli): string {
+/** Formats the usage of a known command, or the most similar command for an unknown one. */
+function formatUsageError(error: unknown, words: readonly string[], cli: Cli): string {
   const known = COMMANDS.find((command) => hasPath(command, words));
-  const lines = known === undefined ? describeUnknown(words) : [describeFailure(error, known, cli)];
+  const lines =
+    known === undefined ? describeUnknownCommand(words) : [describeUsageError(error, known, cli)];
   return `${[...lines, `"${BINARY_NAME} --help" lists the commands`].join('\n')}\n`;
 }
 
@@ -108,16 +109,16 @@
   return paths.some((path) => path.every((word, index) => words[index] === word));
 }
 
-function describeUnknown(words: readonly string[]): readonly string[] {
+function describeUnknownCommand(words: readonly string[]): readonly string[] {
   const paths = COMMANDS.flatMap((command) => command.paths ?? []);
   const nearest = findNearestCommand(words, paths);
-  const lines = [`there is no command "${words.join(' ')}"`];
+  const lines = [`unknown command "${words.join(' ')}"`];
   if (nearest !== undefined) lines.push(`did you mean "${BINARY_NAME} ${nearest}"?`);
   return lines;
 }
 
-function describeFailure(error: unknown, command: CommandClass, cli: Cli): string {
+function describeUsageError(error: unknown, command: CommandClass, cli: Cli): string {
   const name = `${BINARY_NAME} ${command.paths?.[0]?.join(' ') ?? ''}`;
   const reason = error instanceof Error && error.name === 'UsageError' ? `: ${error.message}` : '';
-  return `"${name}" is called wrongly${reason}; it takes\n  ${formatHelp(cli.usage(command).trim())}`;
+  return `invalid use of "${name}"${reason}; usage:\n  ${formatHelp(cli.usage(command).trim())}`;
 }
--- a/packages/node/src/app/node/nodeCore.ts
+++ b/packages/node/src/app/node/nodeCore.ts
@@ -1,4 +1,4 @@
-/** The parts of a node that decide and serve, joined together. Ports are opened by MuxNode. */
+/** Creates and connects the components of a node; MuxNode opens its ports. */
 import { randomInt } from 'node:crypto';
 import type { Clock, InvariantRegistry, Logger, RandomSource } from '@parsleymux/base';
 import { DisposableStore, SeededRandom } from '@parsleymux/base';
@@ -20,13 +20,13 @@
 import type { NodeMetrics } from '../../metrics/node/nodeMetrics.js';
 import { LivePeerSource } from '../../peer/node/connectConfigPeer.js';
 import { ConnectTargetObserver } from '../../peer/node/connectTargetObserver.js';
-import { makeConfigPacing } from '../common/configPacing.js';
+import { makeConfigIntervals } from '../common/configIntervals.js';
 import { findConnectionShare } from '../common/connectionShare.js';
 import type { ITlsMaterial } from '../../tls/node/tlsFilesWatcher.js';
 import type { IPortTls } from '../../tls/node/portTls.js';
 import type { NodeState } from '../common/nodeState.js';
-import type { IClaimParts } from './claimParts.js';
-import { createClaimParts } from './claimParts.js';
+import type { IClaimComponents } from './claimComponents.js';
+import { createClaimComponents } from './claimComponents.js';
 
 const MAX_SEED = 0x7fff_ffff;
 
@@ -45,7 +45,7 @@
   readonly log: Logger;
 }
 
-/** The joined parts. Disposing of `store` closes all of them. */
+/** The connected components. Disposing of `store` closes all of them. */
 export interface INodeCore {
   readonly store: DisposableStore;
   readonly random: RandomSource;
@@ -54,7 +54,7 @@
   readonly peers: LivePeerSource;
   readonly config: ConfigDistributor;
   readonly transport: HttpTargetTransport;
-  readonly claims: IClaimParts;
+  readonly claims: IClaimComponents;
   readonly home: LocalHomeService;
   readonly router: HomeRouter;
   readonly hopServer: HopServer;
@@ -62,37 +62,37 @@
 }
 
 /**
- * Builds the parts from the lowest layer up.
+ * Creates the components, starting with the lowest layer.
  *
  * @example
  * const core = createNodeCore(options);
  * await core.store.dispose();
  */
 export function createNodeCore(options: INodeCoreOptions): INodeCore {
-  const fleet = createFleetParts(options);
-  const parts: ICoreParts = { ...options, ...fleet };
-  const transport = createTransport(parts);
-  const claims = createClaimParts({
-    ...parts,
+  const fleet = createFleetComponents(options);
+  const components: ICoreComponents = { ...options, ...fleet };
+  const transport = createTransport(components);
+  const claims = createClaimComponents({
+    ...components,
     transport,
     registry: options.metrics.registry,
     nodeAddress: options.self.address,
   });
-  const home = createHome(parts, transport, claims.guard);
-  const router = createRouter(parts, home);
-  const hopServer = createHopServer(parts, home);
+  const home = createHome(components, transport, claims.guard);
+  const router = createRouter(components, home);
+  const hopServer = createHopServer(components, home);
   return { ...fleet, transport, claims, home, router, hopServer };
 }
 
-/** The platform's client, and what this node knows through it and through its peers. */
-type IFleetParts = Pick<
+/** The client of the platform, and the components that use it and the peers as sources. */
+type IFleetComponents = Pick<
   INodeCore,
   'store' | 'random' | 'platform' | 'membership' | 'clients' | 'peers' | 'config'
 >;
 
-type ICoreParts = INodeCoreOptions & IFleetParts;
+type ICoreComponents = INodeCoreOptions & IFleetComponents;
 
-function createFleetParts(options: INodeCoreOptions): IFleetParts {
+function createFleetComponents(options: INodeCoreOptions): IFleetComponents {
   const { self, clock, authenticator } = options;
   const store = new DisposableStore();
   const random = new SeededRandom(randomInt(MAX_SEED));
@@ -117,7 +117,7 @@
 
 function createConfig(
   options: INodeCoreOptions,
-  sources: Pick<IFleetParts, 'platform' | 'peers' | 'random' | 'membership'>,
+  sources: Pick<IFleetComponents, 'platform' | 'peers' | 'random' | 'membership'>,
 ): ConfigDistributor {
   const { clock, invariants, timing } = options;
   const { membership, ...rest } = sources;
@@ -125,14 +125,14 @@
     ...rest,
     clock,
     invariants,
-    ...makeConfigPacing(membership, timing.configPollMs),
+    ...makeConfigIntervals(membership, timing.configPollMs),
     isolationLimitMs: timing.isolationLimitMs,
   });
 }
 
-function createTransport(parts: ICoreParts): HttpTargetTransport {
-  const { clock, invariants, config, metrics } = parts;
-  return parts.store.add(
+function createTransport(components: ICoreComponents): HttpTargetTransport {
+  const { clock, invariants, config, metrics } = components;
+  return components.store.add(
     new HttpTargetTransport({
       clock,
       invariants,
@@ -144,27 +144,28 @@
   );
 }
 
-function createHopServer(parts: ICoreParts, home: LocalHomeService): HopServer {
-  const { clock, config, state } = parts;
+function createHopServer(components: ICoreComponents, home: LocalHomeService): HopServer {
+  const { clock, config, state } = components;
   return new HopServer({
     clock,
     config,
     home,
     state,
     isStale: () => config.isStale(),
-    maxBodyBytes: parts.limits.requestBodyBytes,
+    maxBodyBytes: components.limits.requestBodyBytes,
   });
 }
 
 function createHome(
-  parts: ICoreParts,
+  components: ICoreComponents,
   transport: HttpTargetTransport,
   guard: DispatchGuard,
 ): LocalHomeService {
-  const { platform, clock, random, invariants, self, config, clients, membership, log } = parts;
-  const { registry } = parts.metrics;
+  const { platform, clock, random, invariants, self, config, clients, membership, log } =
+    components;
+  const { registry } = components.metrics;
   const { table } = platform;
-  return parts.store.add(
+  return components.store.add(
     new LocalHomeService({
       configService: config,
       clock,
@@ -175,23 +176,23 @@
       invariants,
       observer: new ConnectTargetObserver({ clients, membership, random, self }),
       metrics: new HomeMetrics(registry),
-      maxAnswerBytes: parts.limits.answerBodyBytes,
-      onStandingChange: ({ member, service, target, standing, reason }) => {
-        log.info('target standing', { member, service, target, standing, reason });
+      maxResponseBytes: components.limits.answerBodyBytes,
+      onHealthStatusChange: ({ member, service, target, standing, reason }) => {
+        log.info('target health status changed', { member, service, target, standing, reason });
       },
     }),
   );
 }
 
-function createRouter(parts: ICoreParts, home: LocalHomeService): HomeRouter {
-  const { clock, authenticator, membership, config, metrics, store } = parts;
-  const hop = store.add(new HopClient({ clock, authenticator, tls: parts.tls.peer }));
+function createRouter(components: ICoreComponents, home: LocalHomeService): HomeRouter {
+  const { clock, authenticator, membership, config, metrics, store } = components;
+  const hop = store.add(new HopClient({ clock, authenticator, tls: components.tls.peer }));
   const placement = new RendezvousPlacement();
   placement.setNodes(membership.getLiveNodes());
   store.add(
     membership.onDidChange((nodes) => {
       placement.setNodes(nodes);
-      hop.closeAbsent(nodes.map(({ address }) => address));
+      hop.closeRemovedPeers(nodes.map(({ address }) => address));
     }),
   );
   return new HomeRouter({
@@ -201,8 +202,8 @@
     placement,
     hop,
     home,
-    self: parts.self.address,
-    isLeaving: () => parts.state.isLeaving(),
+    self: components.self.address,
+    isShuttingDown: () => components.state.isShuttingDown(),
     isStale: () => config.isStale(),
     onDidTry: (outcome) => {
       metrics.recordHopTry(outcome);
@@ -210,7 +211,7 @@
   });
 }
 
-/** Certificates for control calls are read at start; a renewed authority needs a restart. */
+/** Certificates for control calls are read at start, so a renewed certificate authority needs a restart. */
 function makePeerTls(tls: IPortTls): { readonly tls?: ITlsMaterial } {
   return tls.peer === undefined ? {} : { tls: tls.peer.getMaterial() };
 }
--- a/packages/node/src/hop/node/hopClient.test.ts
+++ b/packages/node/src/hop/node/hopClient.test.ts
@@ -14,7 +14,7 @@
 
 const clock = new SystemClock();
 
-async function openHop(t: TestContext, listener: RequestListener) {
+async function openHopServer(t: TestContext, listener: RequestListener) {
   const server = createServer(listener);
   const peer = await listenOn(server, '127.0.0.1:0');
   const authenticator = new PeerAuthenticator({ keys: [], clock, selfAddress: '127.0.0.1:1' });
@@ -47,11 +47,11 @@
   };
 }
 
-function writeAs(response: ServerResponse, exchange: string, text: string): void {
+function writeResponseTo(response: ServerResponse, exchange: string, text: string): void {
   response.writeHead(200, {
     [HopHeader.Code]: '0',
     [HopHeader.RunState]: 'ran',
-    [HopHeader.Kind]: HopKind.Answer,
+    [HopHeader.Kind]: HopKind.Response,
     [HopHeader.Exchange]: exchange,
     'content-length': text.length,
   });
@@ -62,56 +62,56 @@
   return String(request.headers[HopHeader.Exchange]);
 }
 
-async function takeFailure(run: Promise<unknown>): Promise<HopFailure> {
+async function getFailure(run: Promise<unknown>): Promise<HopFailure> {
   const outcome: unknown = await run.catch((error: unknown) => error);
   assert.ok(outcome instanceof HopError, `expected a HopError, got ${String(outcome)}`);
   return outcome.failure;
 }
 
-test('an answer to another exchange is never given to a caller', async (t) => {
-  // Symptom: two callers of one entry get each other's answers.
-  // Sequence: a home answers two requests in the wrong order, each on the other's connection.
-  // Cause: HTTP/1.1 has no identifier of its own; both answers are whole and well-formed.
-  const held: [IncomingMessage, ServerResponse][] = [];
-  const send = await openHop(t, (request, response) => {
-    held.push([request, response]);
-    if (held.length < 2) return;
-    const [first, second] = held;
-    writeAs(second![1], getExchange(first![0]), 'to first');
-    writeAs(first![1], getExchange(second![0]), 'to second');
+test('a response to another exchange is never passed to a caller', async (t) => {
+  // Guards against two callers of one entry that get each other's responses. It arises when a home
+  // responds to two requests in the wrong order, each on the other's connection: HTTP/1.1 has no exchange
+  // identifier, and both responses are complete and well-formed.
+  const pending: [IncomingMessage, ServerResponse][] = [];
+  const send = await openHopServer(t, (request, response) => {
+    pending.push([request, response]);
+    if (pending.length < 2) return;
+    const [first, second] = pending;
+    writeResponseTo(second![1], getExchange(first![0]), 'to first');
+    writeResponseTo(first![1], getExchange(second![0]), 'to second');
   });
-  const failures = await Promise.all([takeFailure(send('/first')), takeFailure(send('/second'))]);
+  const failures = await Promise.all([getFailure(send('/first')), getFailure(send('/second'))]);
   assert.deepEqual(failures, [HopFailure.Lost, HopFailure.Lost]);
 });
 
-test('an answer that is cut anywhere is a lost exchange, not a short answer', async (t) => {
-  const send = await openHop(t, (request, response) => {
+test('a truncated response is a lost exchange, not a short response', async (t) => {
+  const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
-      [HopHeader.Kind]: HopKind.Answer,
+      [HopHeader.Kind]: HopKind.Response,
       [HopHeader.Exchange]: getExchange(request),
       'content-length': 10,
     });
     response.write('half');
     setImmediate(() => response.destroy());
   });
-  assert.equal(await takeFailure(send('/')), HopFailure.Lost);
+  assert.equal(await getFailure(send('/')), HopFailure.Lost);
 });
 
-test('a streamed answer that is cut throws after what came', async (t) => {
-  const send = await openHop(t, (request, response) => {
+test('a streamed response that is truncated throws after the received part', async (t) => {
+  const send = await openHopServer(t, (request, response) => {
     response.writeHead(200, {
       [HopHeader.Code]: '0',
-      [HopHeader.Kind]: HopKind.Answer,
+      [HopHeader.Kind]: HopKind.Response,
       [HopHeader.Exchange]: getExchange(request),
       [HopHeader.Streamed]: '1',
     });
     response.write('half');
     setImmediate(() => response.destroy());
   });
-  const answer = await send('/');
-  assert.ok(!(answer.body instanceof Uint8Array));
-  const body = answer.body;
+  const received = await send('/');
+  assert.ok(!(received.body instanceof Uint8Array));
+  const body = received.body;
   await assert.rejects(async () => {
     for await (const chunk of body) assert.equal(Buffer.from(chunk).toString(), 'half');
   });
--- a/packages/operators/src/burn/common/burnPlot.ts
+++ b/packages/operators/src/burn/common/burnPlot.ts
@@ -1,10 +1,10 @@
-/** The plot of one service's burn over three days. */
+/** Renders the plot of one service's burn rate over three days. */
 import { MS_PER_DAY, MS_PER_HOUR } from '@parsleymux/base';
 import type { ServiceBurn } from '@parsleymux/schema';
 import { scaleSymlog, scaleUtc } from 'd3-scale';
 import { line } from 'd3-shape';
 import type { ISlotCounts } from './burnRates.js';
-import { computeBurnAt } from './burnRates.js';
+import { computeBurnRatesAt } from './burnRates.js';
 
 const WIDTH = 960;
 const HEIGHT = 260;
@@ -12,11 +12,13 @@
 const PLOT_SPAN_MS = 3 * MS_PER_DAY;
 const TICK_LENGTH = 5;
 const LABEL_GAP = 14;
-const TOP_OF_CALM = 20;
+/** Minimum upper end of the burn axis, so that all of the guides are visible. */
+const MIN_TOP_BURN = 20;
 const X_TICKS = 7;
-/** Even, over a month, and the limits of the two alerts that page. */
+/** No burn, a burn that spends exactly the budget, and the limits of the two page alerts. */
 const GUIDES = [0, 1, 6, 14.4] as const;
-const MORE_TICKS = [100, 1000] as const;
+/** Guides that are drawn only if the burn reaches them. */
+const HIGH_BURN_GUIDES = [100, 1000] as const;
 
 const AVAILABILITY_COLOR = '#a4161a';
 const LATENCY_COLOR = '#1c5d99';
@@ -35,7 +37,7 @@
 }
 
 /**
- * An SVG with the burn over the hour before each slot's end.
+ * Renders an SVG with the burn rate over the hour before each slot.
  *
  * @example
  * const svg = renderBurnPlot(service, Number(report.atMs));
@@ -44,8 +46,8 @@
   const series = listSeries(service);
   const highest = Math.max(...series.flatMap(({ points }) => points.map(({ burn }) => burn)), 0);
   const x = scaleUtc([nowMs - PLOT_SPAN_MS, nowMs], [MARGIN.left, WIDTH - MARGIN.right]);
-  const y = scaleSymlog([0, Math.max(TOP_OF_CALM, highest)], [HEIGHT - MARGIN.bottom, MARGIN.top]);
-  const guides = [...GUIDES, ...MORE_TICKS.filter((tick) => tick <= highest)];
+  const y = scaleSymlog([0, Math.max(MIN_TOP_BURN, highest)], [HEIGHT - MARGIN.bottom, MARGIN.top]);
+  const guides = [...GUIDES, ...HIGH_BURN_GUIDES.filter((tick) => tick <= highest)];
   const parts = [
     ...guides.map((burn) => renderGuide(y(burn), String(burn))),
     ...x
@@ -77,7 +79,7 @@
     },
   }));
   const burns = slots.map(({ slotMs }) => {
-    return { atMs: slotMs, ...computeBurnAt(slots, service.objective, slotMs, MS_PER_HOUR) };
+    return { atMs: slotMs, ...computeBurnRatesAt(slots, service.objective, slotMs, MS_PER_HOUR) };
   });
   return [
     {
@@ -109,15 +111,15 @@
   );
 }
 
-/** Each label at the end of its line, moved apart where the lines end together. */
+/** Places each label at the end of its line, and moves labels apart where lines end close together. */
 function renderLabels(series: readonly ISeries[], y: (burn: number) => number): readonly string[] {
   const labels = series
     .map(({ name, color, points }) => ({ name, color, at: y(points.at(-1)?.burn ?? 0) }))
     .sort((left, right) => left.at - right.at);
-  let lowest = Infinity;
+  let previousTop = Infinity;
   return labels.reverse().map(({ name, color, at }) => {
-    const top = Math.min(at, lowest - LABEL_GAP);
-    lowest = top;
+    const top = Math.min(at, previousTop - LABEL_GAP);
+    previousTop = top;
     const x = WIDTH - MARGIN.right + 8;
     return `<text x="${x}" y="${top + 4}" fill="${color}" font-weight="600">${name}</text>`;
   });
--- a/packages/operators/src/targets/common/targetAction.ts
+++ b/packages/operators/src/targets/common/targetAction.ts
@@ -1,11 +1,11 @@
-/** Draining a target, and returning it to service, as changes of the intent in force. */
+/** Applies draining of a target, and its return to service, to the intent in force. */
 import { clone, create } from '@bufbuild/protobuf';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import type { Intent, TargetRequest } from '@parsleymux/schema';
 import { IntentSchema, TargetAction, TargetState } from '@parsleymux/schema';
 
 /**
- * The intent with one target drained or returned. Throws NotFound, MalformedRequest.
+ * Returns the intent with one target drained or returned. Throws NotFound, MalformedRequest.
  *
  * @example
  * const intent = applyTargetAction(inForce.intent, request);
@@ -16,20 +16,23 @@
     .flatMap((service) => service.targets)
     .find((candidate) => candidate.address === request.target);
   if (target === undefined) {
-    throw refuse(ResultCode.NotFound, `no service in force has the target "${request.target}"`);
+    throw createRefusal(
+      ResultCode.NotFound,
+      `no service in force has the target "${request.target}"`,
+    );
   }
-  target.state = chooseState(request.action);
+  target.state = chooseTargetState(request.action);
   target.leaveAtMs = 0n;
   intent.note = request.note;
   return intent;
 }
 
-function chooseState(action: TargetAction): TargetState {
+function chooseTargetState(action: TargetAction): TargetState {
   if (action === TargetAction.DRAIN) return TargetState.DRAINING;
   if (action === TargetAction.RETURN) return TargetState.SERVING;
-  throw refuse(ResultCode.MalformedRequest, 'the action is "drain" or "return"');
+  throw createRefusal(ResultCode.MalformedRequest, 'the action is "drain" or "return"');
 }
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
--- a/packages/routing/src/home/common/serviceHome.ts
+++ b/packages/routing/src/home/common/serviceHome.ts
@@ -1,4 +1,4 @@
-/** The home of one service: from the queue through attempts and retries to the answer. */
+/** The home of one service: queues its requests, dispatches them to targets, retries and hedges. */
 import type { IDisposable } from '@parsleymux/base';
 import { InvariantName, MuxError, RunState } from '@parsleymux/base';
 import type { Service } from '@parsleymux/schema';
@@ -16,7 +16,7 @@
 import { AttemptRunner, DispatchCount } from '../../attempt/common/attemptRunner.js';
 import { RetryBudget } from '../../budget/common/retryBudget.js';
 import type { IResponse, IRoutedRequest } from '../../request/common/request.js';
-import { EvidenceIntake } from './evidenceIntake.js';
+import { EvidenceRecorder } from './evidenceRecorder.js';
 import type { IHomeContext } from './homeOptions.js';
 import type { ISlot } from './slotPool.js';
 import { SlotPool } from './slotPool.js';
@@ -31,16 +31,16 @@
   readonly service: Service;
 }
 
-/** One request on its way through the home. */
-interface IPassage {
+/** State of one request in the home. */
+interface IRequestState {
   readonly request: IRoutedRequest;
   readonly signal: AbortSignal;
   readonly count: DispatchCount;
   readonly tried: Set<string>;
 }
 
-/** Set when an attempt was charged as overdue before it ended. */
-interface IStallMark {
+/** Marks an attempt that was recorded as overdue before it ended. */
+interface IStallFlag {
   isStalled: boolean;
 }
 
@@ -49,12 +49,12 @@
   readonly member: string;
   readonly pool: SlotPool;
   inFlight = 0;
-  /** Instant of the newest request, on the monotonic clock. */
+  /** Instant of the latest request on the monotonic clock, in ms. */
   lastUsedMs: number;
   private service: Service;
   private readonly context: IHomeContext;
   private readonly runner: AttemptRunner;
-  private readonly intake: EvidenceIntake;
+  private readonly evidenceRecorder: EvidenceRecorder;
   private readonly labels: Readonly<Record<'member' | 'service', string>>;
   private readonly budget: RetryBudget;
 
@@ -66,7 +66,7 @@
     this.pool = new SlotPool({ ...options.context, service: options.service });
     this.runner = new AttemptRunner(options.context, options.member);
     this.labels = { member: options.member, service: options.service.name };
-    this.intake = new EvidenceIntake({
+    this.evidenceRecorder = new EvidenceRecorder({
       ...options,
       pool: this.pool,
       getService: () => this.service,
@@ -74,17 +74,17 @@
     this.budget = new RetryBudget({ share: options.service.retryBudget || DEFAULT_RETRY_SHARE });
   }
 
-  /** Takes over a new configuration of the service. */
+  /** Applies a new configuration of the service. */
   update(service: Service): void {
     this.service = service;
-    this.intake.update(service, this.pool.update(service));
+    this.evidenceRecorder.update(service, this.pool.update(service));
   }
 
   dispose(): void {
-    this.intake.dispose();
+    this.evidenceRecorder.dispose();
   }
 
-  /** The configuration in force. */
+  /** The current configuration. */
   getService(): Service {
     return this.service;
   }
@@ -108,89 +108,89 @@
     }
   }
 
-  /** Attempts on one target after another, as far as that is safe and the budget allows. */
+  /** Attempts one target after another, while a retry is safe and the budget allows it. */
   private async run(request: IRoutedRequest, signal: AbortSignal): Promise<IResponse> {
-    const passage: IPassage = { request, signal, count: new DispatchCount(), tried: new Set() };
+    const state: IRequestState = { request, signal, count: new DispatchCount(), tried: new Set() };
     try {
-      return await this.tryTargets(passage);
+      return await this.tryTargets(state);
     } catch (error) {
-      throw this.checkRefusal(passage, error);
+      throw this.checkRefusal(state, error);
     }
   }
 
-  private async tryTargets(passage: IPassage): Promise<IResponse> {
+  private async tryTargets(state: IRequestState): Promise<IResponse> {
     let last: AttemptOutcome | undefined;
     for (;;) {
-      const slot = await this.waitForSlot(passage, last);
+      const slot = await this.waitForSlot(state, last);
       if (slot === undefined) break;
-      if (this.hasPassed(passage.request.deadlineMs)) {
+      if (this.isDeadlinePassed(state.request.deadlineMs)) {
         slot.release();
         if (last === undefined) throw makeDeadlinePassed();
         break;
       }
       discardOutcome(last);
-      last = await this.runAttempt(passage, slot);
-      if (!this.isRetryAllowed(passage, last)) break;
+      last = await this.runAttempt(state, slot);
+      if (!this.isRetryAllowed(state, last)) break;
     }
     if (last === undefined) throw new Error('no attempt was made');
     return toResponse(last, this.pool.computeRetryAfter());
   }
 
-  private hasPassed(deadlineMs: number): boolean {
+  private isDeadlinePassed(deadlineMs: number): boolean {
     return this.context.clock.getMonotonicTime() >= deadlineMs;
   }
 
-  /** Undefined when an earlier attempt's outcome is the better answer than the refusal to queue. */
+  /** Returns undefined when refused after an earlier attempt, whose outcome is then the response. */
   private async waitForSlot(
-    passage: IPassage,
+    state: IRequestState,
     last: AttemptOutcome | undefined,
   ): Promise<ISlot | undefined> {
-    const wish = { request: passage.request, excluded: passage.tried };
+    const slotRequest = { request: state.request, excluded: state.tried };
     try {
-      return await this.pool.wait(wish, passage.signal);
+      return await this.pool.wait(slotRequest, state.signal);
     } catch (error) {
       if (last === undefined) throw error;
       return undefined;
     }
   }
 
-  /** One attempt, with another beside it when it is overdue and may be run twice. */
-  private async runAttempt(passage: IPassage, slot: ISlot): Promise<AttemptOutcome> {
-    const { request } = passage;
+  /** Runs one attempt, and hedges it when it is overdue and the request is idempotent. */
+  private async runAttempt(state: IRequestState, slot: ISlot): Promise<AttemptOutcome> {
+    const { request } = state;
     const isFresh = !request.route.idempotent;
-    const mark: IStallMark = { isStalled: false };
+    const stall: IStallFlag = { isStalled: false };
     const outcome = await runHedged({
       clock: this.context.clock,
-      first: this.startAttempt(passage, slot, mark),
-      hedgeDelayMs: this.intake.getStallLimit(request, slot.handle),
+      first: this.startAttempt(state, slot, stall),
+      hedgeDelayMs: this.evidenceRecorder.getStallLimit(request, slot.handle),
       onOverdue: () => {
-        mark.isStalled = this.intake.recordStall(request, slot.handle, isFresh);
-        return this.startHedge(passage);
+        stall.isStalled = this.evidenceRecorder.recordStall(request, slot.handle, isFresh);
+        return this.startHedge(state);
       },
     });
     return outcome;
   }
 
-  private startHedge(passage: IPassage): IRunningAttempt | undefined {
-    const { request, tried } = passage;
+  private startHedge(state: IRequestState): IRunningAttempt | undefined {
+    const { request, tried } = state;
     if (!request.route.idempotent || !this.context.hedges) return undefined;
-    const slot = this.pool.take({ request, excluded: tried });
+    const slot = this.pool.tryReserve({ request, excluded: tried });
     if (slot === undefined) return undefined;
     if (!this.budget.spend()) {
       slot.release();
       return undefined;
     }
     this.context.metrics.hedges.inc(this.labels);
-    return this.startAttempt(passage, slot, { isStalled: false });
+    return this.startAttempt(state, slot, { isStalled: false });
   }
 
-  private startAttempt(passage: IPassage, slot: ISlot, mark: IStallMark): IRunningAttempt {
-    const { request, count } = passage;
+  private startAttempt(state: IRequestState, slot: ISlot, stall: IStallFlag): IRunningAttempt {
+    const { request, count } = state;
     const abort = new AbortController();
-    passage.tried.add(slot.handle.address);
+    state.tried.add(slot.handle.address);
     this.context.metrics.attempts.inc(this.labels);
-    // A caller that hangs up cancels reads; a request that must not run twice is let finish.
-    const signals = request.route.idempotent ? [passage.signal, abort.signal] : [abort.signal];
+    // A caller that disconnects cancels idempotent requests only; other requests run to completion.
+    const signals = request.route.idempotent ? [state.signal, abort.signal] : [abort.signal];
     const attempt = {
       slot,
       request,
@@ -202,7 +202,7 @@
     const outcome = this.runner.run(attempt).then((ended) => {
       const durationMs = this.context.clock.getMonotonicTime() - startMs;
       this.recordOutcome(slot, request.route.name, ended, durationMs);
-      this.intake.recordOutcome(request, slot.handle, ended, mark.isStalled);
+      this.evidenceRecorder.recordOutcome(request, slot.handle, ended, stall.isStalled);
       return ended;
     });
     return {
@@ -229,18 +229,18 @@
     }
   }
 
-  private isRetryAllowed(passage: IPassage, outcome: AttemptOutcome): boolean {
-    if (passage.signal.aborted || !isRetryable(outcome)) return false;
-    if (!passage.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
+  private isRetryAllowed(state: IRequestState, outcome: AttemptOutcome): boolean {
+    if (state.signal.aborted || !isRetryable(outcome)) return false;
+    if (!state.request.route.idempotent && !isProvablyNotRun(outcome)) return false;
     if (!this.budget.spend()) return false;
     this.context.metrics.retries.inc(this.labels);
     return true;
   }
 
-  /** A refusal is truthful only if it reckons with every attempt of the request. */
-  private checkRefusal(passage: IPassage, error: unknown): unknown {
+  /** Ensures that a refusal is truthful about all attempts of the request, not just the last. */
+  private checkRefusal(state: IRequestState, error: unknown): unknown {
     if (!(error instanceof MuxError)) return error;
-    const mayHaveRun = passage.count.hasPossiblyRun();
+    const mayHaveRun = state.count.hasPossiblyRun();
     const truthful = mayHaveRun ? error.toMayHaveRun() : error;
     this.context.invariants.check(
       InvariantName.TruthfulRefusal,
