--- a/packages/lab/src/bench/control/node/bench.ts
+++ b/packages/lab/src/bench/control/node/bench.ts
@@ -1,9 +1,9 @@
-/** What control costs a running node, as functions of the fleet's size. docs/CAPACITY.md uses it. */
+/** Cost of control traffic to a running node by fleet size. docs/CAPACITY.md uses the results. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
-import type { IPoint } from '../common/slope.js';
-import { computeSlope } from '../common/slope.js';
+import type { IPoint } from '../common/linearFit.js';
+import { computeLinearFit } from '../common/linearFit.js';
 import { measureBurnRows } from './burnCost.js';
 import { measureCalls } from './callCost.js';
 import { FOOTPRINT_SHAPES, measureFootprints } from './configFootprint.js';
@@ -108,16 +108,16 @@
   override readonly summary = 'processor time, memory, bytes and platform operations of control';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
-    const wanted = options.values.get('series')?.split(',');
+    const selectedSeries = options.values.get('series')?.split(',');
     const seconds = parseNumbers(options, 'seconds', [DEFAULT_SECONDS])[0] ?? DEFAULT_SECONDS;
     const tables: IBenchTable[] = [];
-    if (wanted === undefined || wanted.includes('parts')) {
+    if (selectedSeries === undefined || selectedSeries.includes('parts')) {
       tables.push(await measureCalls(), await measureMembership(), measureProofs());
       tables.push(await measureBurnRows(), await measureConnections());
       tables.push(measureFootprints(FOOTPRINT_SHAPES));
     }
     for (const series of SERIES) {
-      if (wanted?.includes(series.name) === false) continue;
+      if (selectedSeries?.includes(series.name) === false) continue;
       tables.push(...(await measureSeries(series, seconds, options)));
     }
     return { tables, notes: NOTES };
@@ -125,12 +125,12 @@
 }
 
 const NOTES: readonly string[] = [
-  'Nodes are the product’s own (MuxNode with all ports), several to a process where said; no traffic.',
-  'CPU, heap and bytes are for each node: of the process, over its nodes. Heap is after a collection.',
-  'Bytes are payload both ways on all sockets; TCP and IP come on top.',
-  'Platform operations are of the whole fleet, the bench’s own confirmations included.',
-  'Base: 8 nodes (4 to a process), 20 members, 60 services, 600 targets, 240 routes, no changes.',
-  'Series nodes has 8 nodes to a process. Spread: standard error of the slope.',
+  'Nodes are complete (MuxNode with all ports), several per process where stated; no caller traffic.',
+  'CPU, heap and bytes are per node: the value of the process divided by its nodes. Heap is read after a garbage collection.',
+  'Bytes are payload in both directions on all sockets, without TCP and IP overhead.',
+  'Platform operations are those of the whole fleet, including the confirmations sent by the benchmark.',
+  'Base: 8 nodes (4 per process), 20 members, 60 services, 600 targets, 240 routes, no changes.',
+  'Series nodes has 8 nodes per process. Spread: standard error of the slope.',
 ];
 
 async function measureSeries(
@@ -142,9 +142,9 @@
   const rows: (readonly number[])[] = [];
   for (const value of values) {
     options.log(`control: ${value} ${series.unit}`);
-    const figures = await measurePoint(series.makePoint(value), seconds * 1000, options.seed);
-    options.log(`  ${figures.map((figure) => formatNumber(figure)).join(' ')}`);
-    rows.push([value, ...figures]);
+    const measurements = await measurePoint(series.makePoint(value), seconds * 1000, options.seed);
+    options.log(`  ${measurements.map((figure) => formatNumber(figure)).join(' ')}`);
+    rows.push([value, ...measurements]);
   }
   const measured: IBenchTable = {
     title: `Control against ${series.unit}`,
@@ -168,34 +168,34 @@
     const startMs = performance.now();
     await runChanges(world, durationMs);
     const platformAfter = await world.readPlatform();
-    const passedS = (performance.now() - startMs) / 1000;
+    const elapsedS = (performance.now() - startMs) / 1000;
     const after = await world.readUsages();
-    const changes = { before, after, passedS };
+    const changes = { before, after, elapsedS };
     return [
-      ...computeNodeFigures(changes, point.nodes),
-      (platformAfter.reads - platformBefore.reads) / passedS,
-      (platformAfter.writes - platformBefore.writes) / passedS,
+      ...computeUsagePerNode(changes, point.nodes),
+      (platformAfter.reads - platformBefore.reads) / elapsedS,
+      (platformAfter.writes - platformBefore.writes) / elapsedS,
     ];
   } finally {
     await world.dispose();
   }
 }
 
-/** What the processes used at the beginning and the end of a measurement. */
+/** Resource usage of the processes before and after a measurement. */
 interface IUsageChange {
   readonly before: readonly INodeHostUsage[];
   readonly after: readonly INodeHostUsage[];
-  readonly passedS: number;
+  readonly elapsedS: number;
 }
 
-/** Processor %, heap MB, resident MB, bytes to the platform and to peers a second; for each node. */
-function computeNodeFigures(change: IUsageChange, nodes: number): readonly number[] {
-  const { before, after, passedS } = change;
+/** Computes CPU %, heap MB, RSS MB of a process, and bytes/s to the platform and to peers, per node. */
+function computeUsagePerNode(change: IUsageChange, nodes: number): readonly number[] {
+  const { before, after, elapsedS } = change;
   const sum = (usages: readonly INodeHostUsage[], pick: (usage: INodeHostUsage) => number) => {
     return usages.reduce((total, usage) => total + pick(usage), 0);
   };
   const computeRate = (pick: (usage: INodeHostUsage) => number) => {
-    return (sum(after, pick) - sum(before, pick)) / passedS / nodes;
+    return (sum(after, pick) - sum(before, pick)) / elapsedS / nodes;
   };
   return [
     computeRate((usage) => usage.cpuMs) / 10,
@@ -224,8 +224,8 @@
 function makeSlopeTable(series: ISeries, rows: readonly (readonly number[])[]): IBenchTable {
   const slopes = COLUMNS.map((column, index): readonly Cell[] => {
     const points = rows.map((row): IPoint => ({ x: row[0] ?? 0, y: row[index + 1] ?? 0 }));
-    const { slope, base, spread } = computeSlope(points);
-    return [column, formatNumber(slope), formatNumber(spread), formatNumber(base)];
+    const { slope, intercept, standardError } = computeLinearFit(points);
+    return [column, formatNumber(slope), formatNumber(standardError), formatNumber(intercept)];
   });
   return {
     title: `Slopes against ${series.unit}`,
--- a/packages/lab/src/bench/placement/common/placementCase.ts
+++ b/packages/lab/src/bench/placement/common/placementCase.ts
@@ -1,13 +1,13 @@
-/** Fleets and shards of a stated size, drawn from a seed. */
+/** Generates fleets and shards of a given size from a seed. */
 import type { RandomSource } from '@parsleymux/base';
 import type { INode, IShard } from '@parsleymux/fleet';
 
 const DOMAINS_PER_SERVICE = 3;
-const SMALLEST_SERVICE = 6;
-/** Spread of service sizes: the standard deviation of their logarithm. */
-const SIZE_SPREAD = 0.8;
+const MIN_SERVICE_TARGETS = 6;
+/** Standard deviation of the logarithm of service sizes. */
+const SIZE_SIGMA = 0.8;
 
-/** A shard with the slots of its targets. */
+/** A shard and the total slots of its targets. */
 export interface ISizedShard extends IShard {
   readonly slots: number;
 }
@@ -18,14 +18,14 @@
   readonly domains: number;
   readonly services: number;
   readonly targets: number;
-  /** Targets that one shard has at most; 0: a service is one shard. */
-  readonly shardTargets: number;
-  /** Number of the first node; other numbers are other addresses. */
+  /** Maximum number of targets per shard; 0 means one shard per service. */
+  readonly maxShardTargets: number;
+  /** Number of the first node; node addresses are derived from node numbers. */
   readonly firstNode: number;
 }
 
 /**
- * Nodes are spread evenly over the domains.
+ * Creates nodes, spread evenly over the domains.
  *
  * @example
  * placement.setNodes(makeNodes(size));
@@ -35,7 +35,7 @@
 }
 
 /**
- * Node number `index`, counted from the first.
+ * Creates node number `index`, counted from the first.
  *
  * @example
  * const joining = makeNode(size, size.nodes);
@@ -49,7 +49,7 @@
 }
 
 /**
- * Shards of all services. Sizes are log-normal; each service lies in three domains.
+ * Creates the shards of all services. Sizes are log-normal; each service spans three domains.
  *
  * @example
  * const shards = makeShards(size, new SeededRandom(1));
@@ -57,9 +57,9 @@
 export function makeShards(size: IPlacementSize, random: RandomSource): readonly ISizedShard[] {
   const weights = Array.from({ length: size.services }, () => sampleLogNormal(random));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  const spare = size.targets - size.services * SMALLEST_SERVICE;
+  const spare = size.targets - size.services * MIN_SERVICE_TARGETS;
   return weights.flatMap((weight, index) => {
-    const targets = SMALLEST_SERVICE + Math.round((spare * weight) / total);
+    const targets = MIN_SERVICE_TARGETS + Math.round((spare * weight) / total);
     return makeServiceShards(size, random, `member/service-${index}`, targets);
   });
 }
@@ -72,16 +72,22 @@
 ): readonly ISizedShard[] {
   const slotsPerTarget = 3 + random.getInteger(2);
   const domains = sampleDomains(size, random);
-  if (size.shardTargets === 0) {
+  if (size.maxShardTargets === 0) {
     return [{ id, failureDomains: domains, slots: targets * slotsPerTarget }];
   }
   return domains.flatMap((domain, index) => {
     const inDomain = Math.floor((targets + index) / DOMAINS_PER_SERVICE);
-    return makeDomainShards(`${id}/${domain}`, domain, inDomain, size.shardTargets, slotsPerTarget);
+    return makeDomainShards(
+      `${id}/${domain}`,
+      domain,
+      inDomain,
+      size.maxShardTargets,
+      slotsPerTarget,
+    );
   });
 }
 
-/** Three neighbouring domains, beginning anywhere, so that all domains hold targets alike. */
+/** Picks three consecutive domains from a random start, so that targets spread evenly. */
 function sampleDomains(size: IPlacementSize, random: RandomSource): readonly string[] {
   const first = random.getInteger(size.domains);
   return Array.from({ length: DOMAINS_PER_SERVICE }, (_, index) => {
@@ -93,10 +99,10 @@
   id: string,
   domain: string,
   targets: number,
-  shardTargets: number,
+  maxShardTargets: number,
   slotsPerTarget: number,
 ): readonly ISizedShard[] {
-  const parts = Math.ceil(targets / shardTargets);
+  const parts = Math.ceil(targets / maxShardTargets);
   return Array.from({ length: parts }, (_, part) => {
     const inPart = Math.floor((targets + part) / parts);
     return { id: `${id}/${part}`, failureDomains: [domain], slots: inPart * slotsPerTarget };
@@ -109,5 +115,5 @@
 
 function sampleLogNormal(random: RandomSource): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.getFloat()));
-  return Math.exp(SIZE_SPREAD * radius * Math.cos(2 * Math.PI * random.getFloat()));
+  return Math.exp(SIZE_SIGMA * radius * Math.cos(2 * Math.PI * random.getFloat()));
 }
--- a/packages/lab/src/bench/recovery/common/meteredPlatform.ts
+++ b/packages/lab/src/bench/recovery/common/meteredPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory that counts its load by the second, and refuses what goes over its rates. */
+/** An in-memory platform that counts reads per second and refuses reads above its rate limit. */
 import type { Clock } from '@parsleymux/base';
 import type { IMemoryPlatform } from '@parsleymux/config/testing';
 import type {
@@ -19,11 +19,11 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Load of one kind. */
+/** Read load since the last reset. */
 export interface IMeteredLoad {
   readonly reads: number;
   readonly refused: number;
-  /** Most reads asked for within one second of the clock. */
+  /** Highest number of reads requested within one second of the clock. */
   readonly peakReadsPerSecond: number;
 }
 
@@ -31,14 +31,14 @@
 export interface IMeteredPlatformOptions {
   readonly inner: IMemoryPlatform;
   readonly clock: Clock;
-  /** Time that one operation takes, in ms. */
+  /** Duration of one operation, in ms. */
   readonly delayMs: number;
-  /** Reads served a second; the rest is refused. 0: no limit. */
+  /** Reads served per second; further reads are refused. 0 means no limit. */
   readonly readsPerSecond: number;
 }
 
 /**
- * Meters every read, whichever of the three services it is of.
+ * Meters the reads of all three services together.
  *
  * @example
  * const platform = new MeteredPlatform({ inner, clock, delayMs: 5, readsPerSecond: 2000 });
@@ -47,9 +47,9 @@
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly vms: VmList;
-  listed: readonly IVm[] = [];
-  isOut = false;
-  private readonly bySecond = new Map<number, number>();
+  listedVms: readonly IVm[] = [];
+  isUnavailable = false;
+  private readonly readsBySecond = new Map<number, number>();
   private refused = 0;
 
   constructor(private readonly options: IMeteredPlatformOptions) {
@@ -58,14 +58,14 @@
     this.vms = new MeteredVmList(this);
   }
 
-  /** Forgets what was counted. */
+  /** Resets the counters. */
   reset(): void {
-    this.bySecond.clear();
+    this.readsBySecond.clear();
     this.refused = 0;
   }
 
   getLoad(): IMeteredLoad {
-    const counts = [...this.bySecond.values()];
+    const counts = [...this.readsBySecond.values()];
     return {
       reads: counts.reduce((sum, count) => sum + count, 0),
       refused: this.refused,
@@ -73,15 +73,15 @@
     };
   }
 
-  /** Counts one read, and refuses it when its second is full or the platform is out. */
+  /** Counts one read, and refuses it if the limit is exceeded or the platform is unavailable. */
   async acceptRead(): Promise<void> {
     const { clock, delayMs, readsPerSecond } = this.options;
     const second = Math.floor(clock.getMonotonicTime() / MS_PER_SECOND);
-    const count = (this.bySecond.get(second) ?? 0) + 1;
-    this.bySecond.set(second, count);
+    const count = (this.readsBySecond.get(second) ?? 0) + 1;
+    this.readsBySecond.set(second, count);
     await clock.sleep(delayMs);
-    const isOver = readsPerSecond > 0 && count > readsPerSecond;
-    if (!isOver && !this.isOut) return;
+    const isOverLimit = readsPerSecond > 0 && count > readsPerSecond;
+    if (!isOverLimit && !this.isUnavailable) return;
     this.refused += 1;
     throw new PlatformError(PlatformFailure.Refused, 'refused');
   }
@@ -139,6 +139,6 @@
 
   override async list(): Promise<readonly IVm[]> {
     await this.meter.acceptRead();
-    return this.meter.listed;
+    return this.meter.listedVms;
   }
 }
--- a/packages/lab/src/bench/recovery/common/recoveryFleet.ts
+++ b/packages/lab/src/bench/recovery/common/recoveryFleet.ts
@@ -1,4 +1,4 @@
-/** The control parts of many nodes in one process, on a manual clock, before a metered platform. */
+/** Control components of many nodes in one process, on a manual clock and a metered platform. */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import type { IConfigSnapshot } from '@parsleymux/config';
@@ -19,27 +19,27 @@
 const CALL_MS = 4;
 const BASE_POLL_MS = 2000;
 const HEAD_READS_PER_SECOND = 300;
-const MAX_SPREAD_MS = 20_000;
-const LAST_CALLS_MS = 10_000;
-const SEEDS = 3;
+const MAX_START_SPREAD_MS = 20_000;
+const STOP_MS = 10_000;
+const SEED_COUNT = 3;
 const FIRST_PORT = 10_000;
 
 /** Size of one case. */
 export interface IRecoverySize {
   readonly nodes: number;
   readonly members: number;
-  /** Reads that the platform serves a second. */
+  /** Reads that the platform serves per second. */
   readonly readsPerSecond: number;
-  /** Fresh nodes of the fleet that read from the store in one second; 0: all at once. */
+  /** New nodes of the fleet that read from the store per second; 0 means all at the same time. */
   readonly startsPerSecond: number;
   readonly seed: number;
 }
 
-/** The control parts of one node. */
+/** Control components of one node. */
 export class RecoveryNode {
   readonly membership: ListedMembershipService;
   readonly config: ConfigDistributor;
-  /** Instant at which the node could serve, in ms. */
+  /** Time at which the node became ready, in ms. */
   readyMs = Infinity;
   private readonly abort = new AbortController();
   private running: Promise<unknown> = Promise.resolve();
@@ -76,9 +76,9 @@
     );
   }
 
-  /** Ends the loops; their last calls end as the clock advances. */
+  /** Stops the loops. Calls in flight complete as the clock advances. */
   async stop(): Promise<void> {
-    this.abort.abort(new Error('the node stops'));
+    this.abort.abort(new Error('the node is stopped'));
     await this.running;
     this.membership.dispose();
   }
@@ -87,7 +87,10 @@
     const nodes = this.membership.getLiveNodes().length;
     const fleetPerSecond = this.fleet.size.startsPerSecond;
     if (fleetPerSecond === 0) return 0;
-    return Math.min(MAX_SPREAD_MS, computeSharedInterval({ baseMs: 0, nodes, fleetPerSecond }));
+    return Math.min(
+      MAX_START_SPREAD_MS,
+      computeSharedInterval({ baseMs: 0, nodes, fleetPerSecond }),
+    );
   }
 
   private getHeadInterval(): number {
@@ -100,7 +103,7 @@
 }
 
 /**
- * The fleet of one case.
+ * The simulated fleet of one case.
  *
  * @example
  * const fleet = new RecoveryFleet(size);
@@ -128,7 +131,7 @@
     });
   }
 
-  /** Puts one small configuration of each member in force. */
+  /** Puts a small configuration of each member in force. */
   async putInForce(): Promise<void> {
     for (let index = 0; index < this.size.members; index += 1) {
       const member = `member-${index}`;
@@ -138,11 +141,11 @@
     }
   }
 
-  /** Starts `count` nodes at this very instant; they know some that were there before. */
+  /** Starts `count` nodes at the same time, with some existing nodes as their seed peers. */
   startNodes(count: number): readonly RecoveryNode[] {
-    const seeds = [...this.nodes.keys()].slice(0, SEEDS);
+    const seeds = [...this.nodes.keys()].slice(0, SEED_COUNT);
     const nodes = Array.from({ length: count }, () => this.makeNode(seeds));
-    this.platform.listed = [...this.nodes.keys()].map((address) => {
+    this.platform.listedVms = [...this.nodes.keys()].map((address) => {
       return { address, failureDomain: 'north', state: VmState.Live };
     });
     for (const node of nodes) node.start();
@@ -151,7 +154,7 @@
 
   async stop(): Promise<void> {
     const stopped = [...this.nodes.values()].map((node) => node.stop());
-    await this.clock.advanceBy(LAST_CALLS_MS);
+    await this.clock.advanceBy(STOP_MS);
     await Promise.all(stopped);
   }
 
@@ -176,9 +179,9 @@
 
   override pick(count: number): readonly ConfigPeer[] {
     const live = this.self.membership.getLiveNodes();
-    const wanted = Math.min(count, live.length - 1);
+    const wantedCount = Math.min(count, live.length - 1);
     const picked = new Set<string>();
-    while (picked.size < wanted) {
+    while (picked.size < wantedCount) {
       const address = live[this.random.getInteger(live.length)]?.address ?? '';
       if (address !== this.self.address) picked.add(address);
     }
@@ -197,8 +200,8 @@
 
   override async announce(fleetRevision: number): Promise<number> {
     await this.fleet.clock.sleep(CALL_MS);
-    const back = new DirectPeer(this.fleet, this.to, this.from);
-    return this.getTarget().receiveAnnouncement(fleetRevision, back);
+    const announcer = new DirectPeer(this.fleet, this.to, this.from);
+    return this.getTarget().receiveAnnouncement(fleetRevision, announcer);
   }
 
   override async fetchAfter(fleetRevision: number): Promise<IConfigSnapshot> {
--- a/packages/lab/src/bench/recovery/node/bench.ts
+++ b/packages/lab/src/bench/recovery/node/bench.ts
@@ -1,16 +1,16 @@
-/** What the platform sees, and how long nodes take, when a fleet starts or the platform returns. */
+/** Platform load and time to readiness when a fleet starts or the platform recovers. */
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import type { IRecoverySize, RecoveryNode } from '../common/recoveryFleet.js';
 import { RecoveryFleet } from '../common/recoveryFleet.js';
 
 const READS_PER_SECOND = 2000;
-const WATCHED_MS = 120_000;
+const OBSERVATION_MS = 120_000;
 const OUTAGE_MS = 600_000;
 const SETTLE_MS = 90_000;
 
 class RecoveryBench extends Bench {
-  override readonly summary = 'load on the platform when a fleet restarts or the platform returns';
+  override readonly summary = 'load on the platform when a fleet restarts or the platform recovers';
 
   override async run(options: IBenchOptions): Promise<IBenchReport> {
     const rows: (readonly Cell[])[] = [];
@@ -31,7 +31,7 @@
 
 function makeTable(rows: readonly (readonly Cell[])[]): IBenchTable {
   return {
-    title: `A platform that serves ${READS_PER_SECOND} reads a second`,
+    title: `A platform that serves ${READS_PER_SECOND} reads per second`,
     columns: [
       'event',
       'nodes',
@@ -49,11 +49,11 @@
 
 function listNotes(): readonly string[] {
   return [
-    'In one process on a manual clock: membership and distributor are the product, the rest fakes.',
-    'Starts/s: fresh nodes of the whole fleet that read from the store in one second; 0: all at once.',
-    'Reads are of the table, of objects and of the VM list, refused ones included.',
-    `After an outage of ${OUTAGE_MS / 60_000} minutes the nodes were ready all the time: no times.`,
-    'A fresh node starts during the outage and gets its configuration from the three seeds of its settings.',
+    'In one process on a manual clock: membership and distributor are production code, the rest are fakes.',
+    'Starts/s: new nodes of the whole fleet that read from the store per second; 0: all at the same time.',
+    'Reads are those of the table, objects and the VM list, including refused ones.',
+    `Nodes stay ready through the outage of ${OUTAGE_MS / 60_000} minutes, so its end has no ready times.`,
+    'The fresh node starts during the outage and gets its configuration from the three seed peers in its settings.',
   ];
 }
 
@@ -62,41 +62,41 @@
   await fleet.putInForce();
   const restart = await measureRestart(fleet);
   await fleet.clock.advanceBy(SETTLE_MS);
-  const calm = await measureCalm(fleet);
-  fleet.platform.isOut = true;
+  const steady = await measureSteadyState(fleet);
+  fleet.platform.isUnavailable = true;
   await fleet.clock.advanceBy(OUTAGE_MS);
-  const fresh = await measureFresh(fleet);
-  const back = await measureReturn(fleet);
+  const newNode = await measureNewNode(fleet);
+  const recovery = await measureRecovery(fleet);
   await fleet.stop();
-  return [restart, calm, fresh, back];
+  return [restart, steady, newNode, recovery];
 }
 
 async function measureRestart(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   const startMs = fleet.clock.getMonotonicTime();
   const nodes = fleet.startNodes(fleet.size.nodes);
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('all nodes start at once', fleet, listReadyTimes(nodes, startMs));
 }
 
-async function measureCalm(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+async function measureSteadyState(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('calm', fleet, []);
 }
 
-/** The VM list is out too: the node knows only the seeds of its settings. */
-async function measureFresh(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+/** The VM list is unavailable too, so the node knows only the seed peers in its settings. */
+async function measureNewNode(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
   const startMs = fleet.clock.getMonotonicTime();
   const nodes = fleet.startNodes(1);
-  await fleet.clock.advanceBy(WATCHED_MS);
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('a fresh node in an outage', fleet, listReadyTimes(nodes, startMs));
 }
 
-async function measureReturn(fleet: RecoveryFleet): Promise<readonly Cell[]> {
+async function measureRecovery(fleet: RecoveryFleet): Promise<readonly Cell[]> {
   fleet.platform.reset();
-  fleet.platform.isOut = false;
-  await fleet.clock.advanceBy(WATCHED_MS);
+  fleet.platform.isUnavailable = false;
+  await fleet.clock.advanceBy(OBSERVATION_MS);
   return formatRow('platform back', fleet, []);
 }
 
--- a/packages/lab/src/bench/routing/node/bench.ts
+++ b/packages/lab/src/bench/routing/node/bench.ts
@@ -1,6 +1,6 @@
 /**
- * Homes against direct routing on the same traces: `npm run bench -- routing --json`. Values:
- * seeds, steady (0 to leave out), out (a directory for the page).
+ * Homes compared with direct routing on the same traces: `npm run bench -- routing --json`. Values:
+ * seeds, out (output directory for the page).
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -26,8 +26,8 @@
   'donautal-slow-3x',
   'donautal-overload-3x',
 ];
-/** A service of the size of survey records and of cut lists. */
-const SMALL: IMemberProfile = { ...DOBRESCU, service: 'survey-records', targets: 6 };
+/** A service of the size of survey records and cut lists. */
+const SMALL_SERVICE: IMemberProfile = { ...DOBRESCU, service: 'survey-records', targets: 6 };
 
 class RoutingBench extends Bench {
   override readonly summary = 'shard homes against direct routing: latency, collisions, detection';
@@ -42,9 +42,9 @@
     const report = {
       tables,
       notes: [
-        'all but the cost of a home is simulated time: the load of the machine does not matter there',
-        'direct: 48 nodes, each with its own view of slots and outcomes; the ledger is shared',
-        'added: latency beyond the recorded work; a hop costs the network and 0.15 ms each way',
+        'all tables but the cost of a home use simulated time, where the load of the machine has no effect',
+        'direct: 48 nodes, each with a local view of slots and outcomes; the ledger is shared',
+        'added: latency beyond the recorded work; a hop costs the network delay plus 0.15 ms each way',
       ],
     };
     const out = options.values.get('out');
@@ -58,7 +58,7 @@
   log: (line: string) => void,
 ): Promise<IBenchTable> {
   const rows: Cell[][] = [];
-  for (const profile of [DOBRESCU, SMALL, DONAUTAL]) {
+  for (const profile of [DOBRESCU, SMALL_SERVICE, DONAUTAL]) {
     for (const load of STEADY_LOADS) {
       const scenario = { name: `steady-${load}`, durationMs: STEADY_MS, faults: [] };
       for (const seed of seeds) {
@@ -70,8 +70,8 @@
     }
   }
   return {
-    title: 'Nothing failing',
-    columns: ['service', 'load', 'seed', ...FIGURE_COLUMNS],
+    title: 'No faults',
+    columns: ['service', 'load', 'seed', ...RESULT_COLUMNS],
     rows,
   };
 }
@@ -87,10 +87,10 @@
       rows.push(...(await runModes(buildTrace(name, seed), [name, seed], seed)));
     }
   }
-  return { title: 'Faults and overload', columns: ['trace', 'seed', ...FIGURE_COLUMNS], rows };
+  return { title: 'Faults and overload', columns: ['trace', 'seed', ...RESULT_COLUMNS], rows };
 }
 
-const FIGURE_COLUMNS: readonly string[] = [
+const RESULT_COLUMNS: readonly string[] = [
   'routing',
   'added p50 ms',
   'added p99 ms',
@@ -109,19 +109,19 @@
 ): Promise<readonly Cell[][]> {
   const rows: Cell[][] = [];
   for (const mode of ROUTING_MODES) {
-    const figures = await runRouting(trace, mode, seed);
-    const times = figures.detectionMs.map((timeMs) => timeMs?.toFixed(0) ?? 'never');
+    const results = await runRouting(trace, mode, seed);
+    const times = results.detectionMs.map((timeMs) => timeMs?.toFixed(0) ?? 'never');
     rows.push([
       ...head,
       mode,
-      formatNumber(figures.addedP50Ms),
-      formatNumber(figures.addedP99Ms),
-      formatNumber(100 * figures.collisionShare, 2),
-      formatNumber(100 * figures.shedShare, 2),
-      formatNumber(100 * figures.errorShare, 2),
-      figures.connections,
+      formatNumber(results.addedP50Ms),
+      formatNumber(results.addedP99Ms),
+      formatNumber(100 * results.collisionShare, 2),
+      formatNumber(100 * results.shedShare, 2),
+      formatNumber(100 * results.errorShare, 2),
+      results.connections,
       times.join(', ') || '-',
-      figures.falseEjections,
+      results.falseEjections,
     ]);
   }
   return rows;
--- a/packages/lab/src/bench/routing/node/homeCost.ts
+++ b/packages/lab/src/bench/routing/node/homeCost.ts
@@ -1,4 +1,4 @@
-/** What a home costs on a real clock, and what one member's flood does to another's latency. */
+/** Cost of a home on the system clock, and the effect of one member's flood on another's latency. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
 import type { ITargetResponse } from '@parsleymux/routing';
@@ -25,7 +25,7 @@
 const MICROSECONDS = 1000;
 const FLOOD_LOAD = 3;
 
-/** Answers after the target's mean work, or at once. */
+/** Responds after the target's mean work time, or immediately. */
 class TimerTransport extends TargetTransport {
   constructor(private readonly workMs: number) {
     super();
@@ -51,7 +51,7 @@
   }
 }
 
-/** The table of both measurements. */
+/** Runs both measurements and returns their table. */
 export async function measureHomeCost(): Promise<IBenchTable> {
   const microseconds = await measureProcessorTime();
   const alone = await measureQuietMember(false);
@@ -82,17 +82,17 @@
 }
 
 async function runConcurrently(send: () => Promise<unknown>, requests: number): Promise<void> {
-  let left = requests;
+  let remaining = requests;
   const runOne = async () => {
-    while (left > 0) {
-      left -= 1;
+    while (remaining > 0) {
+      remaining -= 1;
       await send();
     }
   };
   await Promise.all(Array.from({ length: CONCURRENCY }, runOne));
 }
 
-/** p99 of a member at its ordinary load, in one process with another that is quiet or floods. */
+/** Measures the p99 of a member at normal load, sharing the process with one that may flood. */
 async function measureQuietMember(isFlooded: boolean): Promise<number> {
   const quiet = createHome(DOBRESCU, computeMeanWork(DOBRESCU));
   const flooded = createHome(DONAUTAL, computeMeanWork(DONAUTAL));
@@ -114,13 +114,13 @@
       .finally(() => running.delete(task));
     running.add(task);
   };
-  let owedQuiet = 0;
-  let owedFlood = 0;
-  for (let passedMs = 0; passedMs < PHASE_MS; passedMs += TICK_MS) {
-    owedQuiet += quietRate * TICK_MS;
-    owedFlood += floodRate * TICK_MS;
-    for (; owedFlood >= 1; owedFlood -= 1) start(sendFlood, false);
-    for (; owedQuiet >= 1; owedQuiet -= 1) start(sendQuiet, true);
+  let dueQuiet = 0;
+  let dueFlood = 0;
+  for (let elapsedMs = 0; elapsedMs < PHASE_MS; elapsedMs += TICK_MS) {
+    dueQuiet += quietRate * TICK_MS;
+    dueFlood += floodRate * TICK_MS;
+    for (; dueFlood >= 1; dueFlood -= 1) start(sendFlood, false);
+    for (; dueQuiet >= 1; dueQuiet -= 1) start(sendQuiet, true);
     await delay(TICK_MS);
   }
   await Promise.all(running);
