--- a/packages/routing/src/ejection/common/ejectionController.ts
+++ b/packages/routing/src/ejection/common/ejectionController.ts
@@ -169,10 +169,10 @@
       this.relapsed.delete(handle.address);
       await this.targetReturn.waitForEjectionEnd(handle);
       if (!this.targetReturn.isConfigured(handle)) return;
-      const isWell = await this.targetReturn.hasRecovered(handle, suspicion.failureShare);
-      if (isWell) await this.targetReturn.runWarmUp(handle);
-      if (isWell && !this.relapsed.has(handle.address)) break;
-      const reason = isWell ? 'relapsed after its return' : 'failed its trial';
+      const hasRecovered = await this.targetReturn.hasRecovered(handle, suspicion.failureShare);
+      if (hasRecovered) await this.targetReturn.runWarmUp(handle);
+      if (hasRecovered && !this.relapsed.has(handle.address)) break;
+      const reason = hasRecovered ? 'relapsed after its return' : 'failed its trial';
       if (!this.targetReturn.listEjected().has(handle.address)) {
         // Another node ended the ejection, so the ledger counts the slots as healthy. Excluding the
         // target without a new grant would violate the floor unnoticed.
@@ -194,12 +194,14 @@
   private async waitForPath(handle: TargetHandle, suspicion: ISuspicion): Promise<void> {
     let silentTrials = 0;
     for (;;) {
-      const { hasPassed: isWell, succeededCopies: goodCopies } =
-        await this.targetReturn.runTargetTrial(handle, suspicion.failureShare);
-      if (isWell) break;
+      const { hasPassed, succeededCopies } = await this.targetReturn.runTargetTrial(
+        handle,
+        suspicion.failureShare,
+      );
+      if (hasPassed) break;
       // One silent trial may be due to a burst of packet losses; until a second one fails as well,
       // the target remains usable as the last choice.
-      silentTrials = goodCopies === 0 ? silentTrials + 1 : 0;
+      silentTrials = succeededCopies === 0 ? silentTrials + 1 : 0;
       if (silentTrials >= MAX_SILENT_TRIALS && !handle.isLocallyUnreachable) {
         handle.isLocallyUnreachable = true;
         this.targetReturn.setHealthStatus(
--- a/packages/routing/src/ejection/common/ejectionEnvironment.ts
+++ b/packages/routing/src/ejection/common/ejectionEnvironment.ts
@@ -29,6 +29,6 @@
     signal: AbortSignal,
   ): Promise<IObservation | undefined>;
   notifyHealthStatus(handle: TargetHandle): void;
-  countTrial(isWell: boolean): void;
+  countTrial(hasPassed: boolean): void;
   countPathFault(): void;
 }
--- a/packages/routing/src/home/common/buildEjectionEnvironment.ts
+++ b/packages/routing/src/home/common/buildEjectionEnvironment.ts
@@ -53,8 +53,8 @@
         atMs: handle.sinceMs,
       });
     },
-    countTrial: (isWell) => {
-      metrics.trials.inc({ ...getLabels(), result: isWell ? 'passed' : 'failed' });
+    countTrial: (hasPassed) => {
+      metrics.trials.inc({ ...getLabels(), result: hasPassed ? 'passed' : 'failed' });
     },
     countPathFault: () => {
       metrics.pathFaults.inc(getLabels());
