--- a/packages/routing/src/ejection/common/copySender.test.ts
+++ b/packages/routing/src/ejection/common/copySender.test.ts
@@ -10,7 +10,7 @@
 test('responses too large for a copy are no evidence against a target', async () => {
   // The check of an overdue booking sends a copy of a read, and its response exceeds the size limit of
   // a copy. If the failed exchange counted as silence, healthy targets would be suspected.
-  const { home, transport, clock, standings, respondAfter } = createHomeFixture(4, () => {
+  const { home, transport, clock, statusChanges, respondAfter } = createHomeFixture(4, () => {
     return Promise.resolve(buildResponse());
   });
   let number = 0;
@@ -32,6 +32,6 @@
     await clock.advanceBy(10);
   }
   assert.ok(transport.retired.length > 0);
-  assert.deepEqual(standings, []);
+  assert.deepEqual(statusChanges, []);
   await home.dispose();
 });
--- a/packages/routing/src/ejection/common/ejectionController.test.ts
+++ b/packages/routing/src/ejection/common/ejectionController.test.ts
@@ -79,26 +79,26 @@
 test('a failing target is ejected, tried with copies only, and returns after it recovers', async () => {
   // If callers' requests were used to test whether an ejected target has recovered, bookings, which
   // must not run twice, would be lost on a target that has not.
-  const { state, run, breakNow, standings, table, home } = setUp(fail, 8);
+  const { state, run, breakNow, statusChanges, table, home } = setUp(fail, 8);
   await breakNow();
-  assert.ok(standings.includes('t0 ejected'));
+  assert.ok(statusChanges.includes('t0 ejected'));
   const bookings = state.bookings;
   await run(20_000);
   assert.equal(state.bookings, bookings);
-  assert.ok(standings.includes('t0 trial'));
+  assert.ok(statusChanges.includes('t0 trial'));
   state.isBroken = false;
   await run(60_000);
-  assert.equal(standings.at(-1), 't0 serving');
+  assert.equal(statusChanges.at(-1), 't0 serving');
   assert.ok(state.bookings > bookings);
   assert.equal([...table.rows.values()][0]?.value.includes('t0'), false);
   await home.dispose();
 });
 
 test('a failing target that the floor protects remains usable as the last choice', async () => {
-  const { breakNow, standings, invariants, state, run, home } = setUp(fail, 16);
+  const { breakNow, statusChanges, invariants, state, run, home } = setUp(fail, 16);
   await breakNow();
-  assert.ok(standings.includes('t0 suspect'));
-  assert.equal(standings.includes('t0 ejected'), false);
+  assert.ok(statusChanges.includes('t0 suspect'));
+  assert.equal(statusChanges.includes('t0 ejected'), false);
   assert.equal(invariants.getViolationCount(InvariantName.CapacityFloor), 0);
   const bookings = state.bookings;
   await run(2000);
@@ -109,11 +109,11 @@
 test('a failing target is demoted but not ejected while the store is unavailable', async () => {
   // If an unreachable ledger counted as a grant, two homes could eject all targets of a service
   // during an outage of the store.
-  const { breakNow, standings, table, home } = setUp(fail, 8);
+  const { breakNow, statusChanges, table, home } = setUp(fail, 8);
   table.isDown = true;
   await breakNow();
-  assert.ok(standings.includes('t0 suspect'));
-  assert.equal(standings.includes('t0 ejected'), false);
+  assert.ok(statusChanges.includes('t0 suspect'));
+  assert.equal(statusChanges.includes('t0 ejected'), false);
   await home.dispose();
 });
 
@@ -142,8 +142,8 @@
     { observer },
   );
   await fixture.breakNow();
-  assert.ok(fixture.standings.includes('t0 suspect'));
-  assert.equal(fixture.standings.includes('t0 ejected'), false);
+  assert.ok(fixture.statusChanges.includes('t0 suspect'));
+  assert.equal(fixture.statusChanges.includes('t0 ejected'), false);
   await fixture.home.dispose();
 });
 
@@ -155,7 +155,7 @@
     { observer },
   );
   await fixture.breakNow();
-  assert.ok(fixture.standings.includes('t0 ejected'));
+  assert.ok(fixture.statusChanges.includes('t0 ejected'));
   await fixture.home.dispose();
 });
 
--- a/packages/routing/src/test/common/homeFixture.ts
+++ b/packages/routing/src/test/common/homeFixture.ts
@@ -26,7 +26,7 @@
   const configService = new FakeConfigService([buildService(count, service)]);
   const transport = new FakeTransport(respond);
   const table = new FakeTable();
-  const standings: string[] = [];
+  const statusChanges: string[] = [];
   const home = new LocalHomeService({
     configService,
     clock,
@@ -35,7 +35,7 @@
     guard: new PassThroughGuard(),
     ledger: new TableEjectionLedger({ table, clock, invariants, node: 'a' }),
     invariants,
-    onHealthStatusChange: (change) => standings.push(`${change.target} ${change.standing}`),
+    onHealthStatusChange: (change) => statusChanges.push(`${change.target} ${change.standing}`),
     ...options,
   });
   const respondAfter = (ms: number): Respond => {
@@ -45,5 +45,5 @@
       return buildResponse({ latencyMs: ms });
     };
   };
-  return { clock, invariants, configService, transport, table, standings, home, respondAfter };
+  return { clock, invariants, configService, transport, table, statusChanges, home, respondAfter };
 }
