--- a/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
+++ b/packages/routing/src/ledger/common/tableEjectionLedger.test.ts
@@ -64,7 +64,7 @@
   // The transaction takes effect but its response is lost. If that counted as a failure, the target
   // would be ejected in the store while its home kept using it.
   const { table, makeLedger, makeRequest } = setUp(4);
-  table.lostAnswers = 1;
+  table.lostResponses = 1;
   const decision = await makeLedger('a').requestEjection(makeRequest('t0'), signal);
   assert.equal(decision, EjectionDecision.Granted);
   assert.deepEqual(listEjected(table), ['t0']);
@@ -94,7 +94,7 @@
     node: fc.constantFrom('a', 'b', 'c'),
     target: fc.constantFrom('t0', 't1', 't2', 't3'),
     isReturn: fc.boolean(),
-    isAnswerLost: fc.boolean(),
+    isResponseLost: fc.boolean(),
   });
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 25 }), async (steps) => {
@@ -102,8 +102,8 @@
       const granted = new Set<string>();
       const ledgers = new Map(['a', 'b', 'c'].map((node) => [node, makeLedger(node)]));
       await Promise.all(
-        steps.map(async ({ node, target, isReturn, isAnswerLost }) => {
-          if (isAnswerLost) table.lostAnswers += 1;
+        steps.map(async ({ node, target, isReturn, isResponseLost }) => {
+          if (isResponseLost) table.lostResponses += 1;
           const ledger = ledgers.get(node)!;
           if (isReturn) {
             await ledger.returnTarget(MEMBER, SERVICE, target, signal).catch(() => 0);
--- a/packages/routing/src/test/common/fakeTable.ts
+++ b/packages/routing/src/test/common/fakeTable.ts
@@ -12,7 +12,7 @@
   readonly rows = new Map<string, ITableRow>();
   isDown = false;
   /** Number of transactions whose response is still to be lost after they took effect. */
-  lostAnswers = 0;
+  lostResponses = 0;
   /** Runs before each transaction, to simulate a concurrent change. */
   beforeTransact: (() => void) | undefined;
 
@@ -35,8 +35,8 @@
     const conflicts = failed.flatMap(({ key }) => this.rows.get(key) ?? []);
     if (failed.length > 0) return { committed: false, conflicts };
     for (const { key, value } of transaction.writes) this.write(key, value);
-    if (this.lostAnswers > 0) {
-      this.lostAnswers -= 1;
+    if (this.lostResponses > 0) {
+      this.lostResponses -= 1;
       throw new PlatformError(PlatformFailure.Unknown, 'response lost');
     }
     return { committed: true, conflicts: [] };
