--- a/packages/routing/src/transport/common/targetProtocol.ts
+++ b/packages/routing/src/transport/common/targetProtocol.ts
@@ -22,8 +22,8 @@
    */
   abstract readonly acceptsUnframed: boolean;
 
-  /** Returns the correlation value of a request; `ownId` is unique for each attempt. */
-  abstract getCorrelation(headers: readonly Header[], ownId: string): string;
+  /** Returns the correlation value of a request; `attemptId` is unique for each attempt. */
+  abstract getCorrelation(headers: readonly Header[], attemptId: string): string;
 
   /** Whether the response states that the target did not run the request. */
   abstract isNotRun(status: number, headers: readonly Header[]): boolean;
@@ -44,8 +44,8 @@
   override readonly correlationHeader = MuxHeader.AttemptId;
   override readonly acceptsUnframed: boolean = false;
 
-  override getCorrelation(_headers: readonly Header[], ownId: string): string {
-    return ownId;
+  override getCorrelation(_headers: readonly Header[], attemptId: string): string {
+    return attemptId;
   }
 
   override isNotRun(_status: number, headers: readonly Header[]): boolean {
--- a/packages/routing/src/transport/node/httpTargetTransport.ts
+++ b/packages/routing/src/transport/node/httpTargetTransport.ts
@@ -115,8 +115,8 @@
       throw makeUnsentError(TransportFailure.Timeout);
     }
     const { protocol } = this;
-    const ownId = `${this.attemptPrefix}-${this.attempts++}`;
-    const correlation = protocol.getCorrelation(request.headers, ownId);
+    const attemptId = `${this.attemptPrefix}-${this.attempts++}`;
+    const correlation = protocol.getCorrelation(request.headers, attemptId);
     const exchange = new Exchange({
       connection,
       request: makeDispatchOptions(
