--- a/packages/routing/src/attempt/common/attemptRunner.ts
+++ b/packages/routing/src/attempt/common/attemptRunner.ts
@@ -8,7 +8,7 @@
 import type { AttemptOutcome } from './attemptOutcome.js';
 import { isProvablyNotRun, toFailedAttempt } from './attemptOutcome.js';
 
-/** A dispatch later than this after a target was known to be draining violates the invariant. */
+/** A dispatch later than this after a target was known to be draining violates the invariant, in ms. */
 const DRAINING_GRACE_MS = 3000;
 const MIN_TIMEOUT_MS = 1;
 
--- a/packages/routing/src/attempt/common/hedgedAttempt.ts
+++ b/packages/routing/src/attempt/common/hedgedAttempt.ts
@@ -25,8 +25,8 @@
 
 /** Resolves with the first successful outcome, or with the last one when none succeeds. */
 export function runHedged(options: IHedgeOptions): Promise<AttemptOutcome> {
-  const { clock, first, hedgeDelayMs: stallMs } = options;
-  if (stallMs === undefined) return first.outcome;
+  const { clock, first, hedgeDelayMs } = options;
+  if (hedgeDelayMs === undefined) return first.outcome;
   return new Promise((resolve) => {
     let running = 1;
     let isSettled = false;
@@ -42,7 +42,7 @@
       if (running > 0) other?.cancel();
       resolve(outcome);
     };
-    const timer = clock.startTimer(stallMs, () => {
+    const timer = clock.startTimer(hedgeDelayMs, () => {
       second = options.onOverdue();
       if (second === undefined) return;
       running += 1;
--- a/packages/routing/src/detection/common/targetObserver.ts
+++ b/packages/routing/src/detection/common/targetObserver.ts
@@ -1,4 +1,4 @@
-/** Observes a target over another node's network path, to tell a target fault from a path fault. */
+/** Observes a target over another node's network path, to distinguish a target fault from a path fault. */
 
 /** An idempotent request that an observer sends to the target. */
 export interface IObservationRequest {
--- a/packages/routing/src/guard/common/dispatchGuard.ts
+++ b/packages/routing/src/guard/common/dispatchGuard.ts
@@ -5,7 +5,10 @@
 /** An attempt whose execution the guard controls. */
 export interface IGuardedAttempt {
   readonly request: IRoutedRequest;
-  /** The refusal that a run would meet now, due to overload or an expired deadline; undefined for none. */
+  /**
+   * The refusal that a run would receive now, for overload or lack of time before the deadline;
+   * undefined when the request would be served.
+   */
   estimateRefusal(): MuxError | undefined;
   /**
    * Queues the request and dispatches it at most once. Rejects with a MuxError whose run state is
--- a/packages/routing/src/queue/common/waitQueue.ts
+++ b/packages/routing/src/queue/common/waitQueue.ts
@@ -65,9 +65,9 @@
    * caller with the most waiters, if it has at least two more than `newcomer`, the new request's caller.
    */
   takeFromLongest(newcomer: string): T | undefined {
-    const victim = this.findReplaceable(newcomer);
-    if (victim !== undefined) this.remove(victim);
-    return victim;
+    const waiter = this.findReplaceable(newcomer);
+    if (waiter !== undefined) this.remove(waiter);
+    return waiter;
   }
 
   /** True when {@link takeFromLongest} would remove a waiter. */
--- a/packages/routing/src/shard/common/shardPlan.ts
+++ b/packages/routing/src/shard/common/shardPlan.ts
@@ -39,9 +39,9 @@
   return [...listByDomain(service.targets)].flatMap(([domain, targets]) => {
     const parts = Math.ceil(countSlots(targets) / maxSlots);
     return Array.from({ length: parts }, (_, part) => {
-      const own = targets.filter((_target, index) => index % parts === part);
+      const inPart = targets.filter((_target, index) => index % parts === part);
       const suffix = parts === 1 ? domain : `${domain}/${part}`;
-      return buildShard(`${id}/${suffix}`, service, own);
+      return buildShard(`${id}/${suffix}`, service, inPart);
     });
   });
 }
@@ -61,9 +61,9 @@
 function listByDomain(targets: readonly Target[]): ReadonlyMap<string, readonly Target[]> {
   const byDomain = new Map<string, Target[]>();
   for (const target of targets) {
-    const own = byDomain.get(target.failureDomain) ?? [];
-    own.push(target);
-    byDomain.set(target.failureDomain, own);
+    const inDomain = byDomain.get(target.failureDomain) ?? [];
+    inDomain.push(target);
+    byDomain.set(target.failureDomain, inDomain);
   }
   return new Map([...byDomain].sort(([left], [right]) => (left < right ? -1 : 1)));
 }
--- a/packages/routing/src/transport/common/hopHeaders.ts
+++ b/packages/routing/src/transport/common/hopHeaders.ts
@@ -1,4 +1,7 @@
-/** Headers that apply to one connection only and must not be forwarded by a proxy. */
+/**
+ * The fleet's own headers, and the hop-by-hop headers, which apply to one connection only and must
+ * not be forwarded by a proxy.
+ */
 import type { Header } from '../../request/common/request.js';
 
 /** The fleet's own headers of requests and responses. */
--- a/packages/routing/src/transport/node/pausableSocket.ts
+++ b/packages/routing/src/transport/node/pausableSocket.ts
@@ -30,7 +30,7 @@
    *
    * When a reset arrives together with data, libuv reports an orderly end. A response that only the
    * end of its connection delimits would then look complete though its target crashed midway. A
-   * write tells the two apart: it fails on a connection that was reset and succeeds on one that
+   * write distinguishes the two: it fails on a connection that was reset and succeeds on one that
    * ended in an orderly way. By then the other side no longer reads requests.
    */
   startEndCheck(): void {
