--- a/packages/fleet/src/membership/common/listedMembershipService.ts
+++ b/packages/fleet/src/membership/common/listedMembershipService.ts
@@ -132,8 +132,10 @@
   }
 
   /**
-   * After an outage of hours, the polls of the whole fleet would otherwise arrive together while
-   * the platform is still recovering; slower, jittered polls during the outage spread them.
+   * Returns the mean delay of the next poll, in ms, which doubles with each consecutive failure.
+   *
+   * At a fixed rate, the polls of the whole fleet would arrive together after an outage of hours,
+   * while the platform is still recovering; slower, jittered polls during the outage spread them.
    */
   private getPollDelay(consecutiveFailures: number): number {
     const { pollMs = DEFAULT_POLL_MS, maxPollMs = DEFAULT_MAX_POLL_MS } = this.options;
--- a/packages/fleet/src/neighbours/common/neighbourSet.ts
+++ b/packages/fleet/src/neighbours/common/neighbourSet.ts
@@ -10,6 +10,8 @@
 }
 
 /**
+ * Chooses the neighbours of one node by hash from the live nodes.
+ *
  * With peers chosen at random from a large fleet, nearly every call would open a connection, and
  * opening and closing it would cost as many bytes as the call. With a few fixed peers, connections
  * are reused. Each node chooses its own by hash, so that together they connect the fleet as well as
--- a/packages/fleet/src/peers/node/peerClients.ts
+++ b/packages/fleet/src/peers/node/peerClients.ts
@@ -134,7 +134,7 @@
       this.recordResponse(address, entry);
       return;
     }
-    // A connection that the other end has lost track of stays silent while new ones work.
+    // A connection whose state the other end has lost stays silent while new ones work.
     // Connections are therefore closed first, and only a failed call on new ones counts as evidence
     // against the peer.
     if (this.entries.get(address) === entry) this.closeEntry(address);
--- a/packages/fleet/src/placement/common/placement.ts
+++ b/packages/fleet/src/placement/common/placement.ts
@@ -4,7 +4,7 @@
  */
 import type { INode } from '../../membership/common/membershipService.js';
 
-/** The unit of placement. */
+/** The unit of placement: a service, or a part of one, that has one home. */
 export interface IShard {
   /** Stable name, such as "member/service" or "member/service/2". */
   readonly id: string;
--- a/packages/fleet/src/placement/common/rendezvousPlacement.test.ts
+++ b/packages/fleet/src/placement/common/rendezvousPlacement.test.ts
@@ -60,12 +60,12 @@
   // much of it is left.
   const nodes = makeNodes(48);
   const survivor = nodes.find((node) => node.failureDomain === 'north')!;
-  const left = nodes.filter((node) => node.failureDomain !== 'north' || node === survivor);
-  const placement = makePlacement(left);
-  let held = 0;
+  const remaining = nodes.filter((node) => node.failureDomain !== 'north' || node === survivor);
+  const placement = makePlacement(remaining);
+  let homeCount = 0;
   for (let index = 0; index < 330; index += 1) {
     const [home] = placement.rank({ id: `m/s${index}`, failureDomains: ['north'] }, 1);
-    if (home === survivor) held += 1;
+    if (home === survivor) homeCount += 1;
   }
-  assert.ok(held < 30, `the survivor holds ${held} of 330 shards`);
+  assert.ok(homeCount < 30, `the survivor is the home of ${homeCount} of 330 shards`);
 });
--- a/packages/fleet/src/placement/common/rendezvousPlacement.ts
+++ b/packages/fleet/src/placement/common/rendezvousPlacement.ts
@@ -103,6 +103,8 @@
   }
 
   /**
+   * Whether the domain has enough nodes to be preferred.
+   *
    * When most nodes of a domain are removed, the few remaining ones would become the home of all
    * its shards and be overloaded, which shows as rejections for full queues on just these nodes.
    * Below a share of the average domain's size, its shards are therefore distributed over all
