--- a/packages/store/src/protocol/common/platformProtocol.ts
+++ b/packages/store/src/protocol/common/platformProtocol.ts
@@ -1,5 +1,5 @@
 /**
- * Paths and bodies of the platform's HTTP interface, JSON unless said otherwise:
+ * Paths and bodies of the platform's HTTP interface, JSON unless stated otherwise:
  *
  * - `POST /table/read` {@link IReadBody} → {@link IRowsBody}
  * - `POST /table/scan` IScanOptions → {@link IRowsBody}
--- a/packages/store/src/protocol/node/httpPlatform.ts
+++ b/packages/store/src/protocol/node/httpPlatform.ts
@@ -78,7 +78,7 @@
   ) {}
 
   async request(request: IHttpRequest): Promise<IHttpResponse> {
-    // A connection that the other end has lost track of stays silent permanently, and a call on it
+    // A connection whose state the other end has lost stays silent permanently, and a call on it
     // would hang. Every call therefore ends within timeoutMs and closes its connection then.
     const timeout = AbortSignal.timeout(this.timeoutMs);
     const signal =
--- a/packages/store/src/vmList/common/vmList.ts
+++ b/packages/store/src/vmList/common/vmList.ts
@@ -1,6 +1,6 @@
 /** The platform's list of the fleet's own VMs, which lags by seconds. */
 
-/** State of a VM as reported by the platform. A VM that is leaving still runs for some time. */
+/** State of a VM as reported by the platform. A leaving VM will be removed, but still runs for some time. */
 export const VmState = { Live: 'live', Leaving: 'leaving' } as const;
 
 export type VmState = (typeof VmState)[keyof typeof VmState];
