--- a/packages/claims/src/guard/common/claimErrors.ts
+++ b/packages/claims/src/guard/common/claimErrors.ts
@@ -28,7 +28,7 @@
  * The request ran, but its recorded response can't be read now.
  *
  * @example
- * throw makeAnswerUnavailable(error);
+ * throw makeResponseUnavailable(error);
  */
 export function makeResponseUnavailable(cause: unknown): MuxError {
   return new MuxError({
@@ -103,9 +103,9 @@
  * The request ran, but its response was not recorded or has been removed.
  *
  * @example
- * if (body === undefined) throw makeAnswerNotKept();
+ * if (body === undefined) throw makeResponseNotRecorded();
  */
-export function makeAnswerNotKept(): MuxError {
+export function makeResponseNotRecorded(): MuxError {
   return new MuxError({
     code: ResultCode.AnswerNotKept,
     message: 'the request was executed; its answer was not kept',
--- a/packages/claims/src/guard/common/claimGuard.test.ts
+++ b/packages/claims/src/guard/common/claimGuard.test.ts
@@ -71,8 +71,9 @@
 });
 
 test('a claim that is committed after its own release does not hold the key', async () => {
-  // Guards against the same failure when the release comes first: the node gives up on its claim
-  // and finds no row to release, and then the claim is committed. The release must leave a row.
+  // Guards against a key that is reported as "may have run" permanently although nothing ran: the
+  // node gives up on its claim and finds no row to release, and then the claim is committed. The
+  // release must leave a row.
   const fleet = new ClaimTestFleet();
   for (const address of ['a', 'b']) fleet.addNode(address, undefined, { claimWaitMs: 10 });
   fleet.table.lateCommitMs = 500;
--- a/packages/claims/src/guard/common/claimGuard.ts
+++ b/packages/claims/src/guard/common/claimGuard.ts
@@ -24,7 +24,7 @@
 import { ClaimStore } from '../../store/common/claimStore.js';
 import { BackgroundRetrier } from './backgroundRetrier.js';
 import {
-  makeAnswerNotKept,
+  makeResponseNotRecorded,
   makeCallerGone,
   makeDeadlinePassed,
   makeKeyConflict,
@@ -217,7 +217,7 @@
     rowKey: string,
     outcome: IAttemptOutcome,
   ): Promise<IResponse | undefined> {
-    if (outcome.end === AttemptEnd.RanNotKept) throw makeAnswerNotKept();
+    if (outcome.end === AttemptEnd.RanNotKept) throw makeResponseNotRecorded();
     const checked = await this.store.check(rowKey, 0).catch(() => undefined);
     const known = checked?.current;
     if (known === undefined) throw makeOutcomeUnknown(true);
--- a/packages/claims/src/guard/common/claimModel.test.ts
+++ b/packages/claims/src/guard/common/claimModel.test.ts
@@ -74,8 +74,8 @@
   const { startMs, lengthMs } = schedule.outage;
   fleet.table.chooseFault = () => {
     const nowMs = fleet.clock.getMonotonicTime();
-    const isOut = nowMs >= startMs && nowMs < startMs + lengthMs;
-    if (!isOut && random.getFloat() >= schedule.lossShare) return TableFault.None;
+    const isOutage = nowMs >= startMs && nowMs < startMs + lengthMs;
+    if (!isOutage && random.getFloat() >= schedule.lossShare) return TableFault.None;
     return faults[random.getInteger(faults.length)] ?? TableFault.Refuse;
   };
 }
@@ -94,7 +94,7 @@
     await fleet.clock.advanceBy(gapMs);
   }
   await fleet.clock.advanceBy(RESTART_MS);
-  for (const { address, gate } of nodes) if (gate.isDead) fleet.addNode(address);
+  for (const { address, gate } of nodes) if (gate.isKilled) fleet.addNode(address);
   await fleet.clock.advanceBy(END_MS);
   fleet.table.chooseFault = () => TableFault.None;
   await fleet.clock.advanceBy(END_MS);
--- a/packages/claims/src/guard/common/claimResolver.ts
+++ b/packages/claims/src/guard/common/claimResolver.ts
@@ -139,8 +139,8 @@
     const { clock, peer, responseMarginMs } = this.options;
     const stop = new AbortController();
     // A claimer that is paused, or whose responses are lost, would block the caller indefinitely.
-    const limitMs = lookUpRequest.waitMs + responseMarginMs;
-    const timer = clock.startTimer(limitMs, () => {
+    const timeoutMs = lookUpRequest.waitMs + responseMarginMs;
+    const timer = clock.startTimer(timeoutMs, () => {
       stop.abort(new Error('claimer did not respond'));
     });
     const timeout = new Promise<undefined>((resolve) => {
--- a/packages/claims/src/guard/common/claimRunner.ts
+++ b/packages/claims/src/guard/common/claimRunner.ts
@@ -17,7 +17,7 @@
 import { readCompleteBody } from './completeBody.js';
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import { makeCallerGone, makeDeadlinePassed, makeStoreUnavailable } from './claimErrors.js';
-import { makeAnswerNotKept, makeUnexpectedError } from './claimErrors.js';
+import { makeResponseNotRecorded, makeUnexpectedError } from './claimErrors.js';
 
 /** Object keys contain the day, so that a rule of the object store can remove objects past the retention. */
 const OBJECT_PREFIX = 'claim-answers/';
@@ -75,7 +75,7 @@
       attempt.rowKey,
       expectedVersion,
       claim,
-      this.getClaimLimit(guarded),
+      this.getClaimDeadline(guarded),
     );
     this.options.metrics.claims.inc({ member: identity.member, verdict: result.writeResult });
     switch (result.writeResult) {
@@ -151,13 +151,13 @@
       return await this.readOutcome(response);
     } catch (error) {
       const failure = error instanceof MuxError ? error : makeUnexpectedError(error);
-      return { end: ENDS[failure.runState], error: failure };
+      return { end: END_BY_RUN_STATE[failure.runState], error: failure };
     }
   }
 
   private async readOutcome(response: IResponse): Promise<IAttemptOutcome> {
     const body = await readCompleteBody(response.body, this.options.maxResponseBytes);
-    if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeAnswerNotKept() };
+    if (body === undefined) return { end: AttemptEnd.RanNotKept, error: makeResponseNotRecorded() };
     // A target's own refusal is returned unchanged, and the key is released.
     const end = response.runState === RunState.NotRun ? AttemptEnd.NotRun : AttemptEnd.Finished;
     return { end, response: { ...response, body } };
@@ -185,7 +185,7 @@
     version: number,
     outcome: IAttemptOutcome,
   ): Promise<void> {
-    const state = STATES[outcome.end];
+    const state = STATE_BY_END[outcome.end];
     const stored =
       outcome.response === undefined
         ? undefined
@@ -234,9 +234,9 @@
     return { ...claim, state, changedAtMs: this.options.clock.getWallTime() };
   }
 
-  private getClaimLimit(guarded: IGuardedAttempt): number {
-    const limitMs = this.options.clock.getMonotonicTime() + this.options.claimWaitMs;
-    return Math.min(guarded.request.deadlineMs, limitMs);
+  private getClaimDeadline(guarded: IGuardedAttempt): number {
+    const waitEndMs = this.options.clock.getMonotonicTime() + this.options.claimWaitMs;
+    return Math.min(guarded.request.deadlineMs, waitEndMs);
   }
 
   private makeStoreUnavailable(): MuxError {
@@ -244,13 +244,13 @@
   }
 }
 
-const ENDS: Readonly<Record<RunState, AttemptEnd>> = {
+const END_BY_RUN_STATE: Readonly<Record<RunState, AttemptEnd>> = {
   [RunState.NotRun]: AttemptEnd.NotRun,
   [RunState.MayHaveRun]: AttemptEnd.Unknown,
   [RunState.Ran]: AttemptEnd.RanNotKept,
 };
 
-const STATES: Readonly<Record<AttemptEnd, ClaimState>> = {
+const STATE_BY_END: Readonly<Record<AttemptEnd, ClaimState>> = {
   [AttemptEnd.Finished]: ClaimState.Finished,
   [AttemptEnd.NotRun]: ClaimState.NotRun,
   [AttemptEnd.RanNotKept]: ClaimState.RanNotKept,
--- a/packages/claims/src/guard/common/claimSteps.test.ts
+++ b/packages/claims/src/guard/common/claimSteps.test.ts
@@ -65,7 +65,7 @@
     await fleet.clock.advanceBy(RETRY_INTERVAL_MS);
   }
   await fleet.clock.advanceBy(PAUSE_MS);
-  if (gate.isDead) fleet.addNode('a');
+  if (gate.isKilled) fleet.addNode('a');
   await fleet.clock.advanceBy(END_MS);
   const { lookUpPath } = scenario.request;
   const last = await fleet.execute('b', lookUpPath === undefined ? {} : { lookUpPath });
--- a/packages/claims/src/guard/common/outcomeSettler.ts
+++ b/packages/claims/src/guard/common/outcomeSettler.ts
@@ -13,7 +13,7 @@
 import type { ClaimStore } from '../../store/common/claimStore.js';
 import type { BackgroundRetrier } from './backgroundRetrier.js';
 import {
-  makeAnswerNotKept,
+  makeResponseNotRecorded,
   makeOutcomeSettled,
   makeOutcomeUnknown,
   makeResponseUnavailable,
@@ -61,7 +61,7 @@
       return this.settleByTargets(request, identity, known, timeLeftMs);
     }
     if (answer !== undefined) return makeReplayable(await this.loadResponse(answer));
-    throw settlement === undefined ? makeAnswerNotKept() : makeOutcomeSettled();
+    throw settlement === undefined ? makeResponseNotRecorded() : makeOutcomeSettled();
   }
 
   /**
@@ -102,7 +102,7 @@
     } catch (error) {
       throw makeResponseUnavailable(error);
     }
-    if (body === undefined) throw makeAnswerNotKept();
+    if (body === undefined) throw makeResponseNotRecorded();
     return decodeResponse(stored, body);
   }
 
--- a/packages/claims/src/store/common/claimStore.ts
+++ b/packages/claims/src/store/common/claimStore.ts
@@ -161,6 +161,6 @@
   return { writeResult: ClaimWriteResult.Lost, version: 0, current };
 }
 
-function makeInconclusive(verdict: ClaimWriteResult): IClaimResult {
-  return { writeResult: verdict, version: 0, current: undefined };
+function makeInconclusive(writeResult: ClaimWriteResult): IClaimResult {
+  return { writeResult, version: 0, current: undefined };
 }
--- a/packages/claims/src/test/claimTestFleet.ts
+++ b/packages/claims/src/test/claimTestFleet.ts
@@ -83,7 +83,7 @@
       nodeAddress: address,
       peer: this,
       lookUp: this.target,
-      isLive: (peer) => this.nodes.get(peer)?.gate.isDead === false,
+      isLive: (peer) => this.nodes.get(peer)?.gate.isKilled === false,
       ...options,
     });
     this.nodes.set(address, { guard, gate });
@@ -100,7 +100,7 @@
   ): Promise<IClaimLookUpResponse> {
     await this.clock.sleep(1);
     const { guard, gate } = this.getNode(address);
-    if (gate.isDead) throw new Error('connection refused');
+    if (gate.isKilled) throw new Error('connection refused');
     await gate.advance();
     return guard.lookUpHandler.handle(request);
   }
--- a/packages/claims/src/test/processGate.ts
+++ b/packages/claims/src/test/processGate.ts
@@ -19,7 +19,7 @@
 
 /** Gate through which everything that a process waits for passes. Each call of `advance` is a step. */
 export class ProcessGate {
-  isDead = false;
+  isKilled = false;
   private steps = 0;
   private resumed: Promise<void> | undefined;
 
@@ -32,16 +32,16 @@
     return this.steps;
   }
 
-  /** Resolves when the process may continue; never resolves if it is dead. */
+  /** Resolves when the process may continue; never resolves if it was killed. */
   async advance(): Promise<void> {
     this.steps += 1;
     if (this.steps === this.fault?.step) this.applyFault(this.fault);
     await this.resumed;
-    if (this.isDead) await new Promise(() => undefined);
+    if (this.isKilled) await new Promise(() => undefined);
   }
 
   private applyFault(fault: IProcessFault): void {
-    if (fault.pauseMs === undefined) this.isDead = true;
+    if (fault.pauseMs === undefined) this.isKilled = true;
     else this.resumed = this.clock.sleep(fault.pauseMs);
   }
 }
