--- a/packages/operators/src/access/common/memberLimiter.ts
+++ b/packages/operators/src/access/common/memberLimiter.ts
@@ -39,14 +39,18 @@
  */
 export class MemberLimiter {
   readonly limits: Required<IMemberLimits>;
-  private readonly requests: RateLimiter;
+  private readonly requestLimiter: RateLimiter;
   private readonly proposalLimiter: RateLimiter;
   private readonly runningCounts = new Map<string, number>();
 
   constructor(clock: Clock, limits: IMemberLimits = {}) {
     this.limits = { ...DEFAULT_MEMBER_LIMITS, ...limits };
     const { requestsPerSecond, requestBurst, proposalsPerMinute } = this.limits;
-    this.requests = new RateLimiter({ clock, perSecond: requestsPerSecond, burst: requestBurst });
+    this.requestLimiter = new RateLimiter({
+      clock,
+      perSecond: requestsPerSecond,
+      burst: requestBurst,
+    });
     this.proposalLimiter = new RateLimiter({
       clock,
       perSecond: proposalsPerMinute / SECONDS_PER_MINUTE,
@@ -56,8 +60,8 @@
 
   /** Runs `work` within the member's rate and concurrency limits. Throws LimitExceeded. */
   async run<T>(member: string, work: () => Promise<T>): Promise<T> {
-    if (!this.requests.spend(member)) {
-      throw createLimitError('too many requests', this.requests.getWaitMs(member));
+    if (!this.requestLimiter.spend(member)) {
+      throw createLimitError('too many requests', this.requestLimiter.getWaitMs(member));
     }
     const count = this.runningCounts.get(member) ?? 0;
     if (count >= this.limits.concurrentRequests) throw createLimitError('too many at once', 1000);
--- a/packages/operators/src/api/node/adminApi.test.ts
+++ b/packages/operators/src/api/node/adminApi.test.ts
@@ -71,9 +71,9 @@
     assert.equal((await api.call('GET', '/v2/plans', ownKey)).status, 404);
     assert.equal((await api.call('DELETE', '/v1/intent', ownKey)).status, 405);
     api.platform.table.faults.isUnavailable = true;
-    const out = await api.call('GET', '/v1/audit', ownKey);
-    assert.equal(out.status, 503);
-    assert.ok(Number(out.body.retryAfterMs) > 0);
+    const unavailable = await api.call('GET', '/v1/audit', ownKey);
+    assert.equal(unavailable.status, 503);
+    assert.ok(Number(unavailable.body.retryAfterMs) > 0);
   });
 });
 
--- a/packages/operators/src/burn/common/burn.test.ts
+++ b/packages/operators/src/burn/common/burn.test.ts
@@ -51,7 +51,7 @@
  * nodes merge the same rows concurrently, and the store is unavailable for a while. Causes are a retry
  * of a write that took effect, and merging and removing rows in two steps.
  */
-test('with lost responses and concurrent mergers no request counts twice and over 99% count', async () => {
+test('with lost responses and concurrent mergers no request is counted twice, and over 99% are counted', async () => {
   let total = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const fixture = createBurnFixture(seed);
--- a/packages/operators/src/intents/node/intentText.ts
+++ b/packages/operators/src/intents/node/intentText.ts
@@ -4,7 +4,7 @@
 import { IntentSchema } from '@parsleymux/schema';
 import { parseBody } from '../../api/common/adminRoute.js';
 
-/** Maximum length of a listing of faults, in characters: all faults of a large intent are unreadable. */
+/** Maximum length of the list of problems, in characters. The full list of a large intent is unreadable. */
 const MAX_PROBLEM_LENGTH = 4000;
 
 /**
@@ -23,7 +23,7 @@
 }
 
 /**
- * Creates the rejection of an intent, with its listing of faults truncated to a readable length.
+ * Creates the rejection of an intent, with its list of problems truncated to a readable length.
  *
  * @example
  * throw createIntentError(problem);
--- a/packages/operators/src/intents/node/workerIntentReader.test.ts
+++ b/packages/operators/src/intents/node/workerIntentReader.test.ts
@@ -49,7 +49,7 @@
 
 test('parsing stops at its time limit, and reads beyond the queue limit are rejected', async () => {
   const clock = new ManualClock();
-  const reader = new WorkerIntentReader({ clock, limitMs: 1 });
+  const reader = new WorkerIntentReader({ clock, timeoutMs: 1 });
   const slow = reader.read(formatIntent(ROUTES), signal);
   const settled = slow.then(
     () => 'read',
--- a/packages/operators/src/intents/node/workerIntentReader.ts
+++ b/packages/operators/src/intents/node/workerIntentReader.ts
@@ -25,7 +25,7 @@
 export interface IWorkerIntentReaderOptions {
   readonly clock: Clock;
   /** Maximum time for parsing one intent, in ms. Default 5000. */
-  readonly limitMs?: number;
+  readonly timeoutMs?: number;
 }
 
 /**
@@ -58,9 +58,9 @@
       workerData: text,
       resourceLimits: { maxOldGenerationSizeMb: MAX_HEAP_MB },
     });
-    const limitMs = this.options.limitMs ?? DEFAULT_TIMEOUT_MS;
+    const timeoutMs = this.options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
     const terminate = () => void worker.terminate();
-    const timer = this.options.clock.startTimer(limitMs, terminate);
+    const timer = this.options.clock.startTimer(timeoutMs, terminate);
     signal.addEventListener('abort', terminate, { once: true });
     try {
       const response = await waitForResponse(worker);
--- a/packages/operators/src/targets/common/floorRace.test.ts
+++ b/packages/operators/src/targets/common/floorRace.test.ts
@@ -37,8 +37,8 @@
 
 interface IOptions {
   readonly seed: number;
-  /** Homes send the ledger a revision that no plan can exceed, which disables the check of it. */
-  readonly omitsRevision?: boolean;
+  /** Homes send the ledger a revision that no plan can exceed, which disables the check of the revision. */
+  readonly isRevisionCheckDisabled?: boolean;
 }
 
 /** Two homes that eject by the configuration they read last, and operators who change it. */
@@ -124,7 +124,7 @@
         service,
         target: action.target,
         otherwiseUnhealthy: [],
-        memberRevision: this.options.omitsRevision === true ? Infinity : memberRevision,
+        memberRevision: this.options.isRevisionCheckDisabled === true ? Infinity : memberRevision,
       },
       this.signal,
     );
@@ -180,14 +180,14 @@
   assert.ok(ejected > RUNS / 2 && confirmed > 2 * RUNS, `${ejected} ejections, ${confirmed} plans`);
 });
 
-test('a home that does not send its revision can violate the floor', async () => {
+test("without the check of the homes' revisions, the floor can be violated", async () => {
   const samples = fc.sample(fc.array(actions, { minLength: 32, maxLength: 32 }), {
     seed: 32,
     numRuns: 100,
   });
   let violations = 0;
   for (const [seed, list] of samples.entries()) {
-    const fixture = await runRace(list, { seed, omitsRevision: true });
+    const fixture = await runRace(list, { seed, isRevisionCheckDisabled: true });
     if (fixture.lowestSlots < FLOOR) violations += 1;
   }
   assert.ok(violations > 0);
