--- a/packages/config/src/distribution/common/appliedConfig.ts
+++ b/packages/config/src/distribution/common/appliedConfig.ts
@@ -50,8 +50,9 @@
   }
 
   /**
-   * A store restored from an older copy and a peer that was paused can both offer outdated
-   * configurations. Without this check, routes and targets that an operator has removed would
+   * Whether `config` is newer than the applied one; an older one is counted as dropped. A store
+   * restored from an older copy and a peer that was paused can both offer outdated configurations.
+   * Without this check, routes and targets that an operator has removed would
    * be in force again.
    */
   protected isNewer(config: MemberConfig, known: MemberConfig | undefined): boolean {
--- a/packages/config/src/distribution/common/distributionTiming.ts
+++ b/packages/config/src/distribution/common/distributionTiming.ts
@@ -56,7 +56,7 @@
     return nowMs >= this.storeReadDueMs;
   }
 
-  /** Time without a response, in ms, that the wait between rounds does not explain. */
+  /** Time without a response after which a node is stale, in ms. It exceeds the wait between rounds. */
   getStaleLimit(): number {
     const pollMs = resolveMs(this.options.pollMs ?? DEFAULT_POLL_MS);
     return Math.max(MIN_STALE_LIMIT_MS, STALE_ROUNDS * pollMs);
--- a/packages/config/src/distribution/common/storeReader.ts
+++ b/packages/config/src/distribution/common/storeReader.ts
@@ -24,7 +24,7 @@
  * and a node that is behind reads only the changes that it lacks.
  *
  * @example
- * const snapshot = await reader.fetchAfter(12, known, signal);
+ * const snapshot = await reader.fetchAfter(12, head, known, signal);
  */
 export class StoreReader {
   constructor(private readonly platform: Pick<IPlatform, 'table' | 'objects'>) {}
--- a/packages/config/src/plans/common/capacity.ts
+++ b/packages/config/src/plans/common/capacity.ts
@@ -60,7 +60,7 @@
  * The capacity of each service in either intent.
  *
  * @example
- * const findings = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
+ * const results = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
  */
 export function computeCapacity(input: ICapacityInput): readonly ICapacityResult[] {
   const { before, after } = input;
@@ -83,8 +83,8 @@
   before: Intent | undefined,
   after: Intent,
 ): readonly string[] {
-  const findings = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
-  const shrinking = findings
+  const results = computeCapacity({ before, after, ejected: new Map(), warmingUp: new Set() });
+  const shrinking = results
     .filter(({ capacity }) => capacity.duringSlots < capacity.beforeSlots)
     .map(({ capacity }) => capacity.service);
   const services = before?.services.filter((service) => shrinking.includes(service.name)) ?? [];
@@ -117,7 +117,7 @@
   const isFloorViolated = !isRepair && checkFloorViolation(capacity, before, after);
   const coldCount = oldTargets.filter((target) => !isWarm(target)).length;
   const arithmetic = describeArithmetic(capacity, ejected.size, coldCount);
-  return { capacity, isRepair, isFloorViolated: isFloorViolated, arithmetic };
+  return { capacity, isRepair, isFloorViolated, arithmetic };
 }
 
 /** During the change the lower of both floors applies: a raised floor needs its new targets first. */
--- a/packages/config/src/plans/common/confirmTransaction.ts
+++ b/packages/config/src/plans/common/confirmTransaction.ts
@@ -156,7 +156,7 @@
     ...makeTargetWrites(input),
     ...ownership.removedTargets.map((target) => ({ key: formatTargetKey(target), value: null })),
     ...makeEjectionWrites(input),
-    ...makeLogTrim(fleetRevision),
+    ...makeChangeLogRemovals(fleetRevision),
     {
       key: formatAuditKey(member, input.nowMs, planId),
       value: encodeAuditEntry(input.audit),
@@ -222,7 +222,7 @@
 }
 
 /** Keeps the change log bounded: each confirmation removes the oldest change beyond the limit. */
-function makeLogTrim(fleetRevision: number): readonly ITableWrite[] {
+function makeChangeLogRemovals(fleetRevision: number): readonly ITableWrite[] {
   const expiredRevision = fleetRevision - CHANGE_LOG_LENGTH;
   return expiredRevision > 0 ? [{ key: formatChangeKey(expiredRevision), value: null }] : [];
 }
--- a/packages/config/src/plans/common/planErrors.ts
+++ b/packages/config/src/plans/common/planErrors.ts
@@ -91,7 +91,7 @@
 
 /**
  * The platform's store returned no usable response. If the change may have been made nevertheless,
- * the message says so: repeating the request is safe and settles the outcome.
+ * the message states so. Repeating the request is safe and settles the outcome.
  *
  * @example
  * throw createStoreError(false, error);
--- a/packages/config/src/plans/common/planStore.test.ts
+++ b/packages/config/src/plans/common/planStore.test.ts
@@ -57,7 +57,7 @@
   await assert.rejects(store.confirm(request), isRefusal(ResultCode.PlanStale));
 });
 
-test('a discarded plan can not be confirmed, and a confirmed plan can not be discarded', async () => {
+test('a discarded plan cannot be confirmed, and a confirmed plan cannot be discarded', async () => {
   const { store } = createStore();
   const plan = await store.propose(createTestIntent('dobrescu'), 'key-1');
   const request = { member: 'dobrescu', planId: plan.id, operator: 'key-1' };
@@ -132,7 +132,7 @@
  * adds targets, and the next one, seconds later, removes the former targets and counts the added ones
  * although they are still warming up.
  */
-test('a plan can not replace warm targets by targets that an earlier plan added shortly before', async () => {
+test('a plan cannot replace warm targets by targets that an earlier plan added shortly before', async () => {
   const { store, clock } = createStore();
   const former = ['127.0.0.1:9001', '127.0.0.2:9001'];
   const added = ['127.0.0.3:9001', '127.0.0.4:9001'];
@@ -152,7 +152,7 @@
   await putInForce(store, exchanged);
 });
 
-test('cold targets that the floor needs can not be removed even if no target is warm', async () => {
+test('cold targets that the floor needs cannot be removed even if no target is warm', async () => {
   const { store } = createStore();
   const createIntent = (targets: readonly string[], floorSlots: number) => {
     return createTestIntent('dobrescu', { targets, floorSlots });
--- a/packages/config/src/plans/common/storeRetry.ts
+++ b/packages/config/src/plans/common/storeRetry.ts
@@ -31,7 +31,7 @@
 
   /**
    * Repeats `work` while it returns undefined or fails with a PlatformError.
-   * Throws StoreUnavailable, which says whether a write may have taken effect.
+   * Throws StoreUnavailable, whose run state shows whether a write may have taken effect.
    */
   async run<T>(
     signal: AbortSignal | undefined,
