--- a/packages/node/src/admin/common/reservedAddresses.ts
+++ b/packages/node/src/admin/common/reservedAddresses.ts
@@ -18,7 +18,7 @@
  * its host with its targets, so only the addresses that are known exactly are reserved.
  *
  * @example
- * const reserved = listReservedAddresses({ platformUrl, ownAddresses, nodes });
+ * const reserved = listReservedAddresses({ platformUrl, localAddresses, nodes });
  */
 export function listReservedAddresses(input: IReservedAddressesInput): readonly string[] {
   const url = new URL(input.platformUrl);
--- a/packages/node/src/app/common/connectionShare.ts
+++ b/packages/node/src/app/common/connectionShare.ts
@@ -6,7 +6,7 @@
  * A target gets connections from its home, temporarily from a second node that also considers itself
  * the home, and from observers. A quarter of the limit for each leaves enough for all of them.
  */
-const SHARE = 1 / 4;
+const CONNECTION_SHARE = 1 / 4;
 /** For targets that are no longer in the configuration but still have requests in flight. */
 const UNKNOWN_TARGET_CONNECTIONS = 8;
 
@@ -18,7 +18,7 @@
  * computeConnectionShare(create(TargetSchema, { slots: 4, maxConnections: 400 })); // 100
  */
 export function computeConnectionShare(target: Pick<Target, 'slots' | 'maxConnections'>): number {
-  const share = Math.floor(target.maxConnections * SHARE);
+  const share = Math.floor(target.maxConnections * CONNECTION_SHARE);
   return Math.max(1, Math.min(target.maxConnections, Math.max(share, target.slots)));
 }
 
--- a/packages/node/src/app/node/muxNode.ts
+++ b/packages/node/src/app/node/muxNode.ts
@@ -210,11 +210,11 @@
     core: INodeCore,
     metrics: NodeMetrics,
     keys: readonly Uint8Array[],
-    ownAddresses: readonly string[],
+    localAddresses: readonly string[],
     tls: IPortTls,
   ): Promise<string> {
     const { settings } = this.options;
-    const [self = settings.peerAddress] = ownAddresses;
+    const [self = settings.peerAddress] = localAddresses;
     const bootstrapSecret = keys[0] === undefined ? undefined : Buffer.from(keys[0]).toString();
     const api = createAdminApi({
       ...this.options,
@@ -226,7 +226,7 @@
       listReservedAddresses: () =>
         listReservedAddresses({
           platformUrl: settings.platformUrl,
-          localAddresses: [...ownAddresses, settings.adminAddress],
+          localAddresses: [...localAddresses, settings.adminAddress],
           nodes: core.membership.getLiveNodes(),
         }),
     });
--- a/packages/node/src/entry/test/failoverFleet.ts
+++ b/packages/node/src/entry/test/failoverFleet.ts
@@ -138,7 +138,7 @@
  *
  * @example
  * const fleet = await FailoverFleet.open(5);
- * fleet.getHome().condition = NodeCondition.Killed;
+ * fleet.getNode('10.0.0.1:7002').condition = NodeCondition.Killed;
  * const served = await fleet.serve(fleet.getEntry());
  */
 export class FailoverFleet {
@@ -216,14 +216,15 @@
   }
 
   override async send(peer: string): Promise<IResponse> {
-    const { clock, partitions: cuts, random } = this.fleet;
+    const { clock, partitions, random } = this.fleet;
     this.fleet.tried.push(peer);
     const node = this.fleet.getNode(peer);
     if (node.condition === NodeCondition.Killed) {
       await clock.sleep(HOP_MS);
       throw new HopError(HopFailure.NotDelivered, 'refused');
     }
-    const isPartitioned = cuts.has(`${this.from} ${peer}`) || cuts.has(`${peer} ${this.from}`);
+    const isPartitioned =
+      partitions.has(`${this.from} ${peer}`) || partitions.has(`${peer} ${this.from}`);
     const isUnanswered = isPartitioned || random.getFloat() < node.unansweredShare;
     if (isUnanswered || node.condition === NodeCondition.Paused) {
       await clock.sleep(HEARTBEAT_TIMEOUT_MS);
--- a/packages/node/src/metrics/node/nodeMetrics.ts
+++ b/packages/node/src/metrics/node/nodeMetrics.ts
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Records and logs an error without a result code, which a caller received as "internal error". All
-   * other log lines report a state.
+   * Records and logs an error without a result code, which a caller received as "internal error". It is
+   * the only log line about a single request of a caller; the others report changes of state.
    */
   recordInternalError(error: MuxError): void {
     this.internalErrors.inc();
--- a/packages/node/src/peer/node/connectClaimPeer.ts
+++ b/packages/node/src/peer/node/connectClaimPeer.ts
@@ -10,7 +10,7 @@
  * Sends look-ups to claimers by their peer address.
  *
  * @example
- * const { state } = await new ConnectClaimPeer(clients).lookUp('10.0.0.1:7002', question, signal);
+ * const { state } = await new ConnectClaimPeer(clients).lookUp('10.0.0.1:7002', request, signal);
  */
 export class ConnectClaimPeer extends ClaimPeer {
   constructor(private readonly clients: PeerClients) {
@@ -19,13 +19,13 @@
 
   override async lookUp(
     address: string,
-    question: IClaimLookUpRequest,
+    request: IClaimLookUpRequest,
     signal: AbortSignal,
   ): Promise<IClaimLookUpResponse> {
     const response = await this.clients.execute(
       address,
-      (client, options) => client.lookUpClaim(question, options),
-      { signal, timeoutMs: question.waitMs + EXCHANGE_MS },
+      (client, options) => client.lookUpClaim(request, options),
+      { signal, timeoutMs: request.waitMs + EXCHANGE_MS },
     );
     return { state: response.state, answer: response.answer };
   }
--- a/packages/node/src/peer/node/peerServer.ts
+++ b/packages/node/src/peer/node/peerServer.ts
@@ -30,7 +30,8 @@
 }
 
 /**
- * Rejects clients that do not prove that they belong to the fleet before reading the request's body.
+ * Serves only clients that prove that they belong to the fleet. On the hop, others are rejected before
+ * the body of the request is read.
  *
  * @example
  * const server = new PeerServer({ maxHeaderBytes: 32_768 });
