--- a/packages/ctl/src/cli/node/cli.test.ts
+++ b/packages/ctl/src/cli/node/cli.test.ts
@@ -44,7 +44,7 @@
   }
 }
 
-test('an operator submits an intent, confirms the plan, drains a target and reads the audit', async () => {
+test('an operator submits an intent, confirms the plan, drains a target and reads the audit log', async () => {
   await withApi(async (_, env, folder) => {
     const file = join(folder, 'booking.jsonc');
     writeFileSync(file, `// ours\n${toJsonString(IntentSchema, createTestIntent('dobrescu'))}`);
--- a/packages/ctl/src/commands/node/claimCommands.ts
+++ b/packages/ctl/src/commands/node/claimCommands.ts
@@ -40,7 +40,7 @@
     description: 'settle the unknown outcome of a non-idempotent request',
     details:
       'Check the target’s own records first. "not-run" lets the caller run the request again: ' +
-      'if it had run, it runs twice.',
+      'if it did run before, it then runs twice.',
     examples: [
       ['It ran', 'parsleyctl claim settle order-17 --outcome ran --note "in the order book"'],
       ['It did not', 'parsleyctl claim settle order-17 --outcome not-run --note "not in the book"'],
