--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -110,7 +110,7 @@
       // The home's spare slots come with each answer, and are all that an entry knows.
       entry.spareShares.set(placed, spare / placed.slots);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordAnswer(request, answer, latencyMs);
+      this.recorder.recordResponse(request, answer, latencyMs);
       const addedMs = Math.max(0, latencyMs - request.workMs);
       this.added.recordValue(Math.round(addedMs * MICROSECONDS));
     } catch (error) {
--- a/packages/lab/src/demo/node/onceScript.ts
+++ b/packages/lab/src/demo/node/onceScript.ts
@@ -2,8 +2,8 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IExecution } from '@parsleymux/standins';
 import type { LoadGenerator } from '../../load/node/loadGenerator.js';
-import type { IVerdict } from '../../load/common/verdict.js';
-import { compareOutcomes } from '../../load/common/verdict.js';
+import type { IOutcomeComparison } from '../../load/common/outcomeComparison.js';
+import { compareOutcomes } from '../../load/common/outcomeComparison.js';
 import type { LabWorld } from '../../processes/node/labWorld.js';
 import { readViolations } from '../../processes/node/nodeMetrics.js';
 import type { ITargetPlace } from '../../processes/common/worldLayout.js';
@@ -80,7 +80,7 @@
 async function checkAll(
   world: LabWorld,
   load: LoadGenerator,
-  verdict: IVerdict,
+  verdict: IOutcomeComparison,
   checks: CheckList,
 ): Promise<void> {
   const answered = load.summarize().find(({ outcome }) => outcome.startsWith('answered'));
--- a/packages/lab/src/experiment/common/comparison.ts
+++ b/packages/lab/src/experiment/common/comparison.ts
@@ -1,13 +1,13 @@
 /** Means of many runs, and of the differences of runs that share a seed. */
 import tQuantile from '@stdlib/stats-base-dists-t-quantile';
 import { mean, sampleStandardDeviation } from 'simple-statistics';
-import type { IRunFigures } from './figures.js';
+import type { IRunResult } from './runRecorder.js';
 
 /** Intervals cover this much: half of the rest lies above. */
 const CONFIDENCE = 0.95;
 
 /** Figures that are compared. */
-export const FIGURE_NAMES = [
+export const METRIC_NAMES = [
   'credit',
   'worstCredit',
   'worstKindCredit',
@@ -21,7 +21,7 @@
   'crossedKib',
 ] as const;
 
-export type FigureName = (typeof FIGURE_NAMES)[number];
+export type MetricName = (typeof METRIC_NAMES)[number];
 
 /** A mean with half the width of its confidence interval. */
 export interface IEstimate {
@@ -32,8 +32,8 @@
 /** One policy's figures, and how they differ from those of the first policy, seed by seed. */
 export interface IComparedPolicy {
   readonly policy: string;
-  readonly figures: Readonly<Record<FigureName, IEstimate>>;
-  readonly differences: Readonly<Record<FigureName, IEstimate>> | undefined;
+  readonly figures: Readonly<Record<MetricName, IEstimate>>;
+  readonly differences: Readonly<Record<MetricName, IEstimate>> | undefined;
 }
 
 /**
@@ -52,7 +52,7 @@
 
 /** Compares runs of policies; each list has one run a seed, in the same order of seeds. */
 export function comparePolicies(
-  runs: readonly { readonly policy: string; readonly figures: readonly IRunFigures[] }[],
+  runs: readonly { readonly policy: string; readonly figures: readonly IRunResult[] }[],
 ): readonly IComparedPolicy[] {
   const [baseline] = runs;
   return runs.map((run) => ({
@@ -70,8 +70,8 @@
 }
 
 function estimateAll(
-  getValues: (name: FigureName) => readonly number[],
-): Readonly<Record<FigureName, IEstimate>> {
-  const entries = FIGURE_NAMES.map((name) => [name, estimateMean(getValues(name))] as const);
-  return Object.fromEntries(entries) as Record<FigureName, IEstimate>;
+  getValues: (name: MetricName) => readonly number[],
+): Readonly<Record<MetricName, IEstimate>> {
+  const entries = METRIC_NAMES.map((name) => [name, estimateMean(getValues(name))] as const);
+  return Object.fromEntries(entries) as Record<MetricName, IEstimate>;
 }
--- a/packages/lab/src/experiment/common/experimentRun.ts
+++ b/packages/lab/src/experiment/common/experimentRun.ts
@@ -3,11 +3,11 @@
 import { ManualClock, SeededRandom, createSilentLogger } from '@parsleymux/base';
 import type { GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
 import quantile from '@stdlib/stats-base-dists-lognormal-quantile';
-import type { IRunFigures } from './figures.js';
-import { FigureLedger } from './figures.js';
+import type { IRunResult } from './runRecorder.js';
+import { RunRecorder } from './runRecorder.js';
 import { FleetObserver } from './fleetObserver.js';
 import { sendRequest } from './modelledCaller.js';
-import { ModelledCaseStore } from './modelledCaseStore.js';
+import { ModelledQuarantineStore } from './modelledQuarantineStore.js';
 import { ModelledFleet, formatNode } from './modelledFleet.js';
 import { ModelledNetwork } from './modelledNetwork.js';
 import { ModelledNode } from './modelledNode.js';
@@ -17,12 +17,12 @@
 import { listEvents } from './scenario.js';
 
 /** Targets and homes are looked after this often, in ms. */
-const STEP_MS = 100;
+const UPDATE_INTERVAL_MS = 100;
 /** What an entry learns of a target's drain or loss reaches it this late, in ms. */
-const NEWS_DELAY_MS = 800;
+const TARGET_LIST_DELAY_MS = 800;
 const MS_PER_S = 1000;
 /** Nodes are up this long before callers come, in ms: longer than what they count retries over. */
-const LEAD_MS = 12_000;
+const WARM_UP_MS = 12_000;
 /** What is under way at the end of the load still ends. */
 const TAIL_MS = 10_000;
 
@@ -35,7 +35,7 @@
  */
 export class ExperimentRun {
   private readonly clock = new ManualClock();
-  private readonly ledger = new FigureLedger();
+  private readonly recorder = new RunRecorder();
   private readonly observer: FleetObserver;
   private readonly callers: RandomSource;
   private readonly paths: RandomSource;
@@ -43,9 +43,9 @@
   private readonly network: ModelledNetwork;
   private readonly targets: readonly ModelledTarget[];
   private readonly fleet: ModelledFleet;
-  private readonly open: Promise<void>[] = [];
+  private readonly pendingRequests: Promise<void>[] = [];
   /** Targets and their states that nodes were told of last. */
-  private lastTargets = '';
+  private lastTargetsKey = '';
 
   private readonly scenario: IScenario;
 
@@ -54,7 +54,7 @@
     createPolicy: (isFailing: FailureOracle) => GrantPolicy,
     seed: number,
   ) {
-    const scenario = withLead(played);
+    const scenario = withWarmUp(played);
     this.scenario = scenario;
     const source = new SeededRandom(seed);
     const fork = () => new SeededRandom(source.getInteger(0x7fff_ffff));
@@ -74,7 +74,7 @@
     const byId = new Map(this.targets.map((target) => [target.options.id, target]));
     this.observer = new FleetObserver(scenario);
     const log = createSilentLogger();
-    const cases = new ModelledCaseStore(clock);
+    const cases = new ModelledQuarantineStore(clock);
     this.fleet = new ModelledFleet({
       scenario,
       clock,
@@ -94,35 +94,35 @@
           observer: this.observer,
           rankHomes: (service) => fleet.rankHomes(service, index),
           listMembers: () => fleet.listMembers(),
-          cases,
+          quarantineStore: cases,
         });
       },
     });
   }
 
-  async run(): Promise<IRunFigures> {
-    const endMs = LEAD_MS + this.scenario.durationMs;
-    this.updateWorld();
+  async run(): Promise<IRunResult> {
+    const endMs = WARM_UP_MS + this.scenario.durationMs;
+    this.updateEnvironment();
     this.fleet.start();
     for (const crashing of this.scenario.crashingRequests ?? []) this.planCrashing(crashing);
-    await this.clock.advanceTo(LEAD_MS);
+    await this.clock.advanceTo(WARM_UP_MS);
     const arrivals = this.scenario.kinds.map((kind) => {
-      return { kind, atMs: LEAD_MS + this.sampleGap(kind, LEAD_MS) };
+      return { kind, atMs: WARM_UP_MS + this.sampleGap(kind, WARM_UP_MS) };
     });
     let index = 0;
-    for (let stepMs = LEAD_MS; stepMs < endMs; stepMs += STEP_MS) {
-      this.updateWorld();
+    for (let stepMs = WARM_UP_MS; stepMs < endMs; stepMs += UPDATE_INTERVAL_MS) {
+      this.updateEnvironment();
       for (;;) {
         const next = arrivals.reduce((left, right) => (right.atMs < left.atMs ? right : left));
-        if (next.atMs >= stepMs + STEP_MS) break;
+        if (next.atMs >= stepMs + UPDATE_INTERVAL_MS) break;
         await this.clock.advanceTo(next.atMs);
         this.send(next.kind, index++);
         next.atMs += this.sampleGap(next.kind, next.atMs);
       }
-      await this.clock.advanceTo(stepMs + STEP_MS);
+      await this.clock.advanceTo(stepMs + UPDATE_INTERVAL_MS);
     }
     await this.clock.advanceBy(TAIL_MS);
-    await Promise.all(this.open);
+    await Promise.all(this.pendingRequests);
     for (const node of this.fleet.listNodes()) node.dispose();
     return this.summarize();
   }
@@ -139,29 +139,29 @@
           id: `${crashing.name}-${Math.round(atMs)}`,
           crashName: crashing.name,
           workMs: 0,
-          hastyAttempts: 0,
+          immediateAttempts: 0,
           clock: this.clock,
           random: this.crashing,
           listNodes: () => this.fleet.listOpen(),
-          ledger: new FigureLedger(),
+          ledger: new RunRecorder(),
           observer: this.observer,
         });
-        this.open.push(request);
+        this.pendingRequests.push(request);
       });
     }
   }
 
-  private summarize(): IRunFigures {
+  private summarize(): IRunResult {
     const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
     const transports = this.fleet.listTransports();
-    return this.ledger.summarize({
-      connections: sum(transports.map(({ opened }) => opened)),
-      crossedBytes: sum(transports.map(({ crossedBytes }) => crossedBytes)),
+    return this.recorder.summarize({
+      connections: sum(transports.map(({ openedConnections: opened }) => opened)),
+      crossDomainBytes: sum(transports.map(({ crossDomainBytes: crossedBytes }) => crossedBytes)),
       crashedTargets: this.observer.countCrashes(),
       failedRuns: sum(this.targets.map(({ failedMs }) => failedMs.length)),
       violations: this.observer
         .findViolations(this.targets.map((target) => target.toObserved()))
-        .map((violation) => ({ ...violation, atMs: violation.atMs - LEAD_MS })),
+        .map((violation) => ({ ...violation, atMs: violation.atMs - WARM_UP_MS })),
     });
   }
 
@@ -174,14 +174,14 @@
       id: `q${index}`,
       ...(kind.popular === undefined ? {} : { content: `${kind.name}-${index % kind.popular}` }),
       workMs: sampleWork(kind.work, this.callers),
-      hastyAttempts: isHasty ? (abuse?.factor ?? 1) : 0,
+      immediateAttempts: isHasty ? (abuse?.factor ?? 1) : 0,
       clock: this.clock,
       random: this.paths,
       listNodes: () => this.fleet.listOpen(),
-      ledger: this.ledger,
+      ledger: this.recorder,
       observer: this.observer,
     });
-    this.open.push(request);
+    this.pendingRequests.push(request);
   }
 
   private sampleGap(kind: IRequestKind, nowMs: number): number {
@@ -193,7 +193,7 @@
   }
 
   /** Tells nodes of targets, and takes lost homes off the network. */
-  private updateWorld(): void {
+  private updateEnvironment(): void {
     const nowMs = this.clock.getMonotonicTime();
     const records = this.targets
       .filter((target) => !target.isDown())
@@ -201,16 +201,16 @@
     const key = records
       .map(({ bornMs, id, isDraining }) => `${id}/${bornMs}/${isDraining}`)
       .join(' ');
-    if (key !== this.lastTargets) {
-      this.lastTargets = key;
-      this.clock.startTimer(nowMs === 0 ? 0 : NEWS_DELAY_MS, () => {
+    if (key !== this.lastTargetsKey) {
+      this.lastTargetsKey = key;
+      this.clock.startTimer(nowMs === 0 ? 0 : TARGET_LIST_DELAY_MS, () => {
         this.fleet.setTargets(records);
       });
     }
     for (const service of this.scenario.services) {
       const isLost = listEvents(this.scenario, 'home-loss', service.name, nowMs).length > 0;
       const [home] = this.fleet.rankHomes(service.name);
-      if (home !== undefined) this.network.setLost(home, isLost);
+      if (home !== undefined) this.network.setDisconnected(home, isLost);
     }
   }
 
@@ -224,7 +224,7 @@
       slots: service.slots,
       isDraining: target.isDraining(),
       coldMs: 0,
-      ...(target.life > 1 ? { bornMs: target.life } : {}),
+      ...(target.incarnation > 1 ? { bornMs: target.incarnation } : {}),
     };
   }
 
@@ -234,12 +234,12 @@
 }
 
 /** Times of a scenario count from the first caller on. */
-function withLead(scenario: IScenario): IScenario {
-  const events = scenario.events.map((event) => ({ ...event, atMs: event.atMs + LEAD_MS }));
+function withWarmUp(scenario: IScenario): IScenario {
+  const events = scenario.events.map((event) => ({ ...event, atMs: event.atMs + WARM_UP_MS }));
   const crashingRequests = (scenario.crashingRequests ?? []).map((crashing) => ({
     ...crashing,
-    fromMs: crashing.fromMs + LEAD_MS,
-    toMs: crashing.toMs + LEAD_MS,
+    fromMs: crashing.fromMs + WARM_UP_MS,
+    toMs: crashing.toMs + WARM_UP_MS,
   }));
   return { ...scenario, events, crashingRequests };
 }
--- a/packages/lab/src/experiment/common/fleetLimits.test.ts
+++ b/packages/lab/src/experiment/common/fleetLimits.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { listViolations } from '../test/playedLimits.js';
+import { listViolations } from '../test/scenarioRuns.js';
 
 test('restarts in series leave the retries of a service within the limit', async () => {
   // Symptom: targets that shed half of their requests got more retries than the fleet may send, by a
--- a/packages/lab/src/experiment/common/fleetObserver.test.ts
+++ b/packages/lab/src/experiment/common/fleetObserver.test.ts
@@ -22,7 +22,7 @@
   return {
     id: `t${index}`,
     service: 'booking',
-    isCalm: () => true,
+    isUndisturbed: () => true,
     isFailingWithin: () => false,
     failedMs: [],
     ...fields,
@@ -87,7 +87,7 @@
     if (index >= 20) observer.recordServed(id);
   }
   const used = Array.from({ length: 6 }, (_, index) => makeTarget(index));
-  const disturbed = [6, 7].map((index) => makeTarget(index, { isCalm: () => false }));
+  const disturbed = [6, 7].map((index) => makeTarget(index, { isUndisturbed: () => false }));
   const failed = [
     makeTarget(8, { failedMs: [9500] }),
     makeTarget(9, { isFailingWithin: (fromMs, toMs) => fromMs < 9500 && toMs > 9500 }),
--- a/packages/lab/src/experiment/common/fleetObserver.ts
+++ b/packages/lab/src/experiment/common/fleetObserver.ts
@@ -1,26 +1,26 @@
 /** What callers and targets saw of a run, and whether the whole fleet kept its limits by it. */
 import type { IScenario } from './scenario.js';
-import type { INodeArrival, IToldPair, IToldViolation } from './toldLimits.js';
-import { ToldLimits } from './toldLimits.js';
+import type { INodeArrival, INodeTargetPair, INoticeViolation } from './targetNoticeChecker.js';
+import { TargetNoticeChecker } from './targetNoticeChecker.js';
 
 /** Floors are judged over this time, in ms; a target that failed this long ago is sound again. */
 const FLOOR_WINDOW_MS = 2000;
 /** A target counts as sound when nothing disturbed it for this long, in ms. */
 const UNDISTURBED_MS = 6000;
 /** The floor binds while more than a tenth, but less than half, of the requests aren't served. */
-const LEAST_UNSERVED = 0.1;
-const MOST_UNSERVED = 0.5;
+const MIN_UNSERVED_SHARE = 0.1;
+const MAX_UNSERVED_SHARE = 0.5;
 /** A request that has crashed this many targets is known to the fleet within the time below. */
 const KNOWN_CRASHES = 3;
 const KNOWN_AFTER_MS = 3000;
 /** Times that such a request may still be sent to targets after that. */
-const MOST_AFTER_KNOWN = 3;
+const MAX_ARRIVALS_AFTER_KNOWN = 3;
 /** Windows begin this far apart, in ms. */
 const STEP_MS = 250;
 
 /** One limit that was broken, for one service in one window. */
 export interface ILimitViolation {
-  readonly limit: 'retries' | 'floor' | 'crashes' | IToldViolation['limit'];
+  readonly limit: 'retries' | 'floor' | 'crashes' | INoticeViolation['limit'];
   readonly service: string;
   /** When the window began. */
   readonly atMs: number;
@@ -32,7 +32,7 @@
   readonly id: string;
   readonly service: string;
   /** Whether it was ready, and nothing disturbed it, from one moment to another. */
-  readonly isCalm: (fromMs: number, toMs: number) => boolean;
+  readonly isUndisturbed: (fromMs: number, toMs: number) => boolean;
   /** Whether it was failing by itself at any moment between two, asked or not. */
   readonly isFailingWithin: (fromMs: number, toMs: number) => boolean;
   /** When it failed a request by itself. */
@@ -75,7 +75,7 @@
   private readonly requests = new Map<string, IObservedRequest>();
   private readonly arrived = new Set<string>();
   private readonly crashes = new Map<string, IObservedCrashes>();
-  private readonly told = new ToldLimits();
+  private readonly noticeChecker = new TargetNoticeChecker();
 
   constructor(private readonly scenario: IScenario) {
     for (const { name } of scenario.services) {
@@ -107,22 +107,22 @@
   }
 
   recordNodeArrival(arrival: INodeArrival): void {
-    this.told.recordArrival(arrival);
+    this.noticeChecker.recordArrival(arrival);
   }
 
   /** A node passed on an answer that says that the target leaves. */
-  recordToldDraining(pair: IToldPair): void {
-    this.told.recordToldDraining(pair);
+  recordDrainingNotice(pair: INodeTargetPair): void {
+    this.noticeChecker.recordDrainingNotice(pair);
   }
 
   /** A target that shed a request asked the node to be left alone for `waitMs`. */
-  recordToldWait(pair: IToldPair, waitMs: number): void {
-    this.told.recordToldWait(pair, waitMs);
+  recordWaitNotice(pair: INodeTargetPair, waitMs: number): void {
+    this.noticeChecker.recordWaitNotice(pair, waitMs);
   }
 
   /** A node got an answer in which the target names a limit of requests. */
-  recordNamedLimit(pair: IToldPair): void {
-    this.told.recordNamedLimit(pair);
+  recordAdvertisedLimit(pair: INodeTargetPair): void {
+    this.noticeChecker.recordAdvertisedLimit(pair);
   }
 
   /**
@@ -159,7 +159,7 @@
         if (floor !== undefined) violations.push({ limit: 'floor', service, atMs, text: floor });
       }
     }
-    return [...violations, ...this.checkCrashes(), ...this.told.violations];
+    return [...violations, ...this.checkCrashes(), ...this.noticeChecker.violations];
   }
 
   private checkCrashes(): readonly ILimitViolation[] {
@@ -167,7 +167,7 @@
       const thirdMs = crashesMs[KNOWN_CRASHES - 1];
       if (thirdMs === undefined) return [];
       const late = arrivalsMs.filter((atMs) => atMs > thirdMs + KNOWN_AFTER_MS);
-      const atMs = late[MOST_AFTER_KNOWN];
+      const atMs = late[MAX_ARRIVALS_AFTER_KNOWN];
       if (atMs === undefined) return [];
       const text = `sent ${late.length} times after it had crashed ${KNOWN_CRASHES} targets; ${crashesMs.length} crashed`;
       return [{ limit: 'crashes', service, atMs, text } as const];
@@ -202,9 +202,10 @@
     });
     const unserved = requests.filter(({ isServed }) => !isServed).length;
     const isBinding =
-      unserved > LEAST_UNSERVED * requests.length && unserved < MOST_UNSERVED * requests.length;
+      unserved > MIN_UNSERVED_SHARE * requests.length &&
+      unserved < MAX_UNSERVED_SHARE * requests.length;
     if (!isBinding) return undefined;
-    const sound = targets.filter((target) => isSound(target, atMs));
+    const sound = targets.filter((target) => isHealthy(target, atMs));
     const usedIds = new Set(
       observed.arrivals
         .filter((arrival) => isWithin(arrival.atMs, atMs, FLOOR_WINDOW_MS))
@@ -216,10 +217,10 @@
   }
 }
 
-function isSound(target: IObservedTarget, atMs: number): boolean {
+function isHealthy(target: IObservedTarget, atMs: number): boolean {
   const endMs = atMs + FLOOR_WINDOW_MS;
   const sinceMs = atMs - FLOOR_WINDOW_MS;
-  if (!target.isCalm(endMs - UNDISTURBED_MS, endMs)) return false;
+  if (!target.isUndisturbed(endMs - UNDISTURBED_MS, endMs)) return false;
   if (target.isFailingWithin(sinceMs, endMs)) return false;
   return !target.failedMs.some((failureMs) => failureMs > sinceMs && failureMs < endMs);
 }
--- a/packages/lab/src/experiment/common/modelledFleet.ts
+++ b/packages/lab/src/experiment/common/modelledFleet.ts
@@ -8,16 +8,16 @@
 import type { IScenario, IScenarioEvent } from './scenario.js';
 
 /** Homes that are ranked for a service. */
-const RANKED = 3;
+const RANKED_HOMES = 3;
 /** News of a member reaches the nodes this late at most, each after a time of its own, in ms. */
-const MOST_NEWS_LAG_MS = 1000;
+const MAX_MEMBERSHIP_DELAY_MS = 1000;
 /** A node that was told to stop gets new callers for this long: a balancer's two misses, in ms. */
-const NOTICE_MS = 2000;
+const BALANCER_DELAY_MS = 2000;
 /** From the signal to stop to the end of the process, in ms: requests end, then callers are gone. */
-const STOP_MS = 3500;
+const SHUTDOWN_MS = 3500;
 /** From the start of a process until it is registered and ready, in ms. */
 const START_MS = 700;
-const DEFAULT_GAP_MS = 1000;
+const DEFAULT_BATCH_INTERVAL_MS = 1000;
 
 /** Options of a {@link ModelledFleet}. */
 export interface IModelledFleetOptions {
@@ -29,14 +29,14 @@
   readonly createNode: (index: number, incarnation: number, fleet: ModelledFleet) => ModelledNode;
 }
 
-interface IPlace {
+interface INodeState {
   node: ModelledNode;
   incarnation: number;
   isOpen: boolean;
   readonly lagMs: number;
 }
 
-interface IMembers {
+interface IMembershipSnapshot {
   readonly atMs: number;
   readonly placement: RendezvousPlacement;
 }
@@ -50,8 +50,8 @@
  * fleet.start();
  */
 export class ModelledFleet {
-  private readonly places: IPlace[] = [];
-  private readonly history: IMembers[] = [];
+  private readonly nodeStates: INodeState[] = [];
+  private readonly history: IMembershipSnapshot[] = [];
   private readonly registered = new Set<string>();
   /** Of all processes that ever ran, for what they cost. */
   private readonly transports: ModelledTransport[] = [];
@@ -60,13 +60,13 @@
   constructor(private readonly options: IModelledFleetOptions) {
     const { createNode, random, scenario } = options;
     for (let index = 0; index < scenario.nodes; index += 1) {
-      const lagMs = random.getFloat() * MOST_NEWS_LAG_MS;
+      const lagMs = random.getFloat() * MAX_MEMBERSHIP_DELAY_MS;
       this.registered.add(formatNode(index));
       const node = createNode(index, 1, this);
       this.transports.push(node.transport);
-      this.places.push({ node, incarnation: 1, isOpen: true, lagMs });
+      this.nodeStates.push({ node, incarnation: 1, isOpen: true, lagMs });
     }
-    this.recordMembers(-MOST_NEWS_LAG_MS);
+    this.recordMembers(-MAX_MEMBERSHIP_DELAY_MS);
   }
 
   /** Starts what the scenario does to nodes. */
@@ -79,8 +79,8 @@
 
   /** Nodes that callers reach. */
   listOpen(): readonly ModelledNode[] {
-    return this.places.flatMap(({ isOpen, node }, index) => {
-      const isReached = isOpen && !this.options.network.isLost(formatNode(index));
+    return this.nodeStates.flatMap(({ isOpen, node }, index) => {
+      const isReached = isOpen && !this.options.network.isDisconnected(formatNode(index));
       return isReached ? [node] : [];
     });
   }
@@ -91,7 +91,7 @@
   }
 
   listNodes(): readonly ModelledNode[] {
-    return this.places.map(({ node }) => node);
+    return this.nodeStates.map(({ node }) => node);
   }
 
   listMembers(): readonly string[] {
@@ -100,72 +100,72 @@
 
   setTargets(records: readonly ITargetRecord[]): void {
     this.records = records;
-    for (const { node } of this.places) node.setTargets(records);
+    for (const { node } of this.nodeStates) node.setTargets(records);
   }
 
   /** Homes of a service as node `index` sees them; without one, as they are. */
   rankHomes(service: string, index?: number): readonly string[] {
-    const lagMs = index === undefined ? 0 : (this.places[index]?.lagMs ?? 0);
+    const lagMs = index === undefined ? 0 : (this.nodeStates[index]?.lagMs ?? 0);
     const knownMs = this.options.clock.getMonotonicTime() - lagMs;
     const members = this.history.findLast(({ atMs }) => atMs <= knownMs) ?? this.history[0];
-    const ranked = members?.placement.rank({ id: service, failureDomains: [] }, RANKED) ?? [];
+    const ranked = members?.placement.rank({ id: service, failureDomains: [] }, RANKED_HOMES) ?? [];
     return ranked.map(({ address }) => address);
   }
 
   private planRestarts(event: IScenarioEvent): void {
-    const { atMs, batch = 1, forMs, gapMs = DEFAULT_GAP_MS, share = 0 } = event;
+    const { atMs, batch = 1, forMs, gapMs = DEFAULT_BATCH_INTERVAL_MS, share = 0 } = event;
     const { clock, random } = this.options;
-    const order = this.places
+    const order = this.nodeStates
       .map((_, index) => ({ index, key: random.getFloat() }))
       .sort((left, right) => left.key - right.key)
-      .slice(0, Math.round(share * this.places.length));
+      .slice(0, Math.round(share * this.nodeStates.length));
     for (const [position, { index }] of order.entries()) {
       const delayMs = Math.floor(position / batch) * gapMs;
       clock.startTimer(atMs + delayMs, () => {
-        this.stopAndStart(index, forMs);
+        this.restartNode(index, forMs);
       });
     }
   }
 
   private planPowerLoss({ atMs, forMs }: IScenarioEvent): void {
     this.options.clock.startTimer(atMs, () => {
-      for (const index of this.places.keys()) {
+      for (const index of this.nodeStates.keys()) {
         this.end(index);
         this.startAfter(index, forMs);
       }
     });
   }
 
-  private stopAndStart(index: number, forMs: number): void {
+  private restartNode(index: number, forMs: number): void {
     const { clock } = this.options;
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined || !this.registered.has(formatNode(index))) return;
-    place.node.announceLeaving([...this.registered]);
+    place.node.announceShutdown([...this.registered]);
     this.removeMember(index);
-    clock.startTimer(NOTICE_MS, () => {
+    clock.startTimer(BALANCER_DELAY_MS, () => {
       place.isOpen = false;
     });
-    clock.startTimer(STOP_MS, () => {
+    clock.startTimer(SHUTDOWN_MS, () => {
       this.end(index);
-      this.startAfter(index, Math.max(0, forMs - STOP_MS));
+      this.startAfter(index, Math.max(0, forMs - SHUTDOWN_MS));
     });
   }
 
   private end(index: number): void {
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined) return;
     place.isOpen = false;
     place.node.dispose();
-    this.options.network.setLost(formatNode(index), true);
+    this.options.network.setDisconnected(formatNode(index), true);
   }
 
   private startAfter(index: number, delayMs: number): void {
     const { clock, createNode, network } = this.options;
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined) return;
     clock.startTimer(delayMs, () => {
       place.incarnation += 1;
-      network.setLost(formatNode(index), false);
+      network.setDisconnected(formatNode(index), false);
       place.node = createNode(index, place.incarnation, this);
       this.transports.push(place.node.transport);
       place.node.setTargets(this.records);
--- a/packages/lab/src/experiment/common/modelledNetwork.ts
+++ b/packages/lab/src/experiment/common/modelledNetwork.ts
@@ -19,7 +19,7 @@
  */
 export class ModelledNetwork {
   private readonly handlers = new Map<string, Handler>();
-  private readonly lost = new Set<string>();
+  private readonly disconnected = new Set<string>();
 
   constructor(private readonly options: IModelledNetworkOptions) {}
 
@@ -28,13 +28,13 @@
   }
 
   /** Takes a node off the network, or back on. */
-  setLost(address: string, isLost: boolean): void {
-    if (isLost) this.lost.add(address);
-    else this.lost.delete(address);
+  setDisconnected(address: string, isDisconnected: boolean): void {
+    if (isDisconnected) this.disconnected.add(address);
+    else this.disconnected.delete(address);
   }
 
-  isLost(address: string): boolean {
-    return this.lost.has(address);
+  isDisconnected(address: string): boolean {
+    return this.disconnected.has(address);
   }
 
   setHandler(address: string, handler: Handler): void {
@@ -43,9 +43,9 @@
 
   forward(sender: string, address: string, body: DatagramBody): void {
     const { clock, delayMs, lossShare, random } = this.options;
-    if (random.getFloat() < lossShare || this.isLost(sender)) return;
+    if (random.getFloat() < lossShare || this.isDisconnected(sender)) return;
     clock.startTimer(delayMs, () => {
-      if (!this.isLost(address)) this.handlers.get(address)?.(sender, body);
+      if (!this.isDisconnected(address)) this.handlers.get(address)?.(sender, body);
     });
   }
 }
@@ -67,6 +67,6 @@
   }
 
   override dispose(): void {
-    this.network.setLost(this.address, true);
+    this.network.setDisconnected(this.address, true);
   }
 }
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -44,7 +44,7 @@
   readonly observer: FleetObserver;
   readonly rankHomes: (service: string) => readonly string[];
   readonly listMembers: () => readonly string[];
-  readonly cases: QuarantineStore;
+  readonly quarantineStore: QuarantineStore;
 }
 
 /** What a node does with callers' requests. */
@@ -52,12 +52,12 @@
   readonly runner: RequestRunner;
   readonly transport: ModelledTransport;
   private readonly homes: HomeService;
-  private readonly beliefs: HealthSharing;
-  private readonly retries: RetrySharing;
-  private readonly quarantine: QuarantineSharing;
-  private readonly keeper: QuarantinePersister;
+  private readonly healthSharing: HealthSharing;
+  private readonly retrySharing: RetrySharing;
+  private readonly quarantineSharing: QuarantineSharing;
+  private readonly quarantinePersister: QuarantinePersister;
   private readonly end = new AbortController();
-  private known = new Map<string, ITargetRecord>();
+  private targetsById = new Map<string, ITargetRecord>();
 
   constructor(private readonly options: IModelledNodeOptions) {
     const { channel, clock, createPolicy, failureDomain, incarnation, log, scenario, targets } =
@@ -74,7 +74,7 @@
       quarantine,
       retries: limit,
     });
-    const findTarget = (id: string) => this.known.get(id);
+    const findTarget = (id: string) => this.targetsById.get(id);
     this.transport = new ModelledTransport({
       clock,
       random: options.random,
@@ -82,7 +82,7 @@
       targets,
       node: `${channel.address}/${incarnation}`,
       crashingRequests: scenario.crashingRequests ?? [],
-      isFar: ({ options: { id } }) => findTarget(id)?.failureDomain !== failureDomain,
+      isInOtherDomain: ({ options: { id } }) => findTarget(id)?.failureDomain !== failureDomain,
     });
     const { rankHomes } = options;
     const homes = this.homes;
@@ -96,8 +96,8 @@
       findTarget,
     });
     const server = new GrantServer({ channel, homes, clock });
-    const beliefs = new HealthSharing({ channel, homes, clock, rankHomes });
-    const retries = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
+    const healthSharing = new HealthSharing({ channel, homes, clock, rankHomes });
+    const retrySharing = new RetrySharing({ channel, homes, clock, incarnation, rankHomes });
     const sharing = new QuarantineSharing({
       channel,
       quarantine,
@@ -105,17 +105,17 @@
       random: options.random,
       listMembers: options.listMembers,
     });
-    this.quarantine = sharing;
-    this.beliefs = beliefs;
-    this.retries = retries;
+    this.quarantineSharing = sharing;
+    this.healthSharing = healthSharing;
+    this.retrySharing = retrySharing;
     channel.setHandler((sender, body) => {
       if (body.case === 'ask') server.handleAsk(sender, body.value);
       if (body.case === 'report') server.handleReport(sender, body.value);
       if (body.case === 'decision') selector.handleDecision(sender, body.value);
       if (body.case === 'reportReceived') selector.handleReportReceived(body.value.askId);
       if (body.case === 'leaving') selector.handleLeaving(sender);
-      if (body.case === 'beliefs') beliefs.handleBeliefs(sender, body.value);
-      if (body.case === 'retryUse') retries.handleRetryUse(body.value);
+      if (body.case === 'beliefs') healthSharing.handleBeliefs(sender, body.value);
+      if (body.case === 'retryUse') retrySharing.handleRetryUse(body.value);
       if (body.case === 'quarantine') sharing.handleQuarantine(body.value);
     });
     this.runner = new RequestRunner({
@@ -136,19 +136,19 @@
       listTargetHeaders: () => [],
     });
     homes.start();
-    beliefs.start();
-    retries.start();
-    const keeper = new QuarantinePersister({
+    healthSharing.start();
+    retrySharing.start();
+    const quarantinePersister = new QuarantinePersister({
       quarantine,
       sharing: sharing,
       clock,
       log,
-      store: options.cases,
+      store: options.quarantineStore,
       isReader: () => options.listMembers().at(0) === channel.address,
       isFirstStart: incarnation === 1,
     });
-    this.keeper = keeper;
-    keeper.start();
+    this.quarantinePersister = quarantinePersister;
+    quarantinePersister.start();
   }
 
   /** Aborts when the process ends: its callers' connections break. */
@@ -157,9 +157,9 @@
   }
 
   /** Says to all that it is not to be asked any more. */
-  announceLeaving(members: readonly string[]): void {
+  announceShutdown(members: readonly string[]): void {
     const { channel } = this.options;
-    this.retries.announce();
+    this.retrySharing.announce();
     const value = create(LeavingSchema);
     for (const address of members) {
       if (address !== channel.address) channel.send(address, { case: 'leaving', value });
@@ -167,17 +167,17 @@
   }
 
   setTargets(records: readonly ITargetRecord[]): void {
-    this.known = new Map(records.map((record) => [record.id, record]));
+    this.targetsById = new Map(records.map((record) => [record.id, record]));
     this.homes.setTargets(records);
   }
 
   /** Ends the process. */
   dispose(): void {
     this.end.abort(new Error('the process has ended'));
-    this.beliefs.dispose();
-    this.retries.dispose();
-    this.quarantine.dispose();
-    this.keeper.dispose();
+    this.healthSharing.dispose();
+    this.retrySharing.dispose();
+    this.quarantineSharing.dispose();
+    this.quarantinePersister.dispose();
     this.homes.dispose();
   }
 }
--- a/packages/lab/src/experiment/common/modelledCaseStore.ts
+++ b/packages/lab/src/experiment/common/modelledQuarantineStore.ts
@@ -7,7 +7,7 @@
 const CALL_MS = 5;
 
 /** Answers every call. */
-export class ModelledCaseStore extends QuarantineStore {
+export class ModelledQuarantineStore extends QuarantineStore {
   private readonly rows = new Map<string, ICrashHistoryRecord>();
 
   constructor(private readonly clock: Clock) {
--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -8,7 +8,7 @@
 const FAILED = 500;
 const SHED = 503;
 /** What disturbs a target from outside. */
-const DISTURBANCES: readonly IScenarioEvent['kind'][] = [
+const DISTURBING_EVENTS: readonly IScenarioEvent['kind'][] = [
   'slow',
   'fail',
   'shed',
@@ -19,7 +19,7 @@
 ];
 
 /** What a target makes of one request. */
-export interface IModelledAnswer {
+export interface IModelledResponse {
   readonly status: number;
   readonly notRun: boolean;
   /** Whether the target says that it leaves. */
@@ -39,9 +39,9 @@
   readonly crash: ICrashingRequest | undefined;
   /** It has crashed the target. */
   readonly onCrash: () => void;
-  readonly answer: (answer: IModelledAnswer) => void;
+  readonly respond: (answer: IModelledResponse) => void;
   /** The target's process has ended, and its connections with it. */
-  readonly breakOff: () => void;
+  readonly onConnectionLost: () => void;
 }
 
 interface IJob extends Omit<IModelledArrival, 'luck'> {
@@ -71,7 +71,7 @@
   /** When it failed a request, in ms of the run. */
   readonly failedMs: number[] = [];
   /** Counts the starts of its process. */
-  life = 1;
+  incarnation = 1;
   private readonly running = new Set<IJob>();
   private readonly waiting: IJob[] = [];
   /** When its process ended under a request, and when it was there again. */
@@ -82,11 +82,11 @@
   constructor(readonly options: IModelledTargetOptions) {
     const { random, service } = options;
     this.offsetMs = random.getFloat() * service.gray.everyMs;
-    for (const event of options.scenario.events) this.planLoss(event);
+    for (const event of options.scenario.events) this.planPowerLoss(event);
   }
 
   /** Each loss takes targets of its own choice: those that stand in one rack differ from day to day. */
-  private planLoss(event: IScenarioEvent): void {
+  private planPowerLoss(event: IScenarioEvent): void {
     const { clock, random, service } = this.options;
     if (event.kind !== 'target-loss' || (event.service ?? service.name) !== service.name) return;
     if (random.getFloat() >= (event.share ?? 0)) return;
@@ -97,26 +97,26 @@
 
   /** Whether nothing listens at its address now. */
   isDown(): boolean {
-    return this.isConcerned('crash') || this.getNowMs() < (this.outages.at(-1)?.toMs ?? 0);
+    return this.isAffected('crash') || this.getNowMs() < (this.outages.at(-1)?.toMs ?? 0);
   }
 
   isDraining(): boolean {
-    return this.isConcerned('drain');
+    return this.isAffected('drain');
   }
 
   /** Whether it is failing by itself now. */
   isFailing(): boolean {
-    return this.isConcerned('fail') || this.isEpochFailing(this.getEpoch(this.getNowMs()));
+    return this.isAffected('fail') || this.isEpochFailing(this.getEpoch(this.getNowMs()));
   }
 
   /** Takes a request. Disposing drops it. */
   accept(arrival: IModelledArrival): IDisposable {
     const { clock, service } = this.options;
-    const { answer, luck } = arrival;
+    const { respond: answer, luck } = arrival;
     this.arrivals += 1;
     if (luck > 1 - this.getShedShare()) {
       return clock.startTimer(service.gray.failMs, () => {
-        answer(this.makeShed());
+        answer(this.makeShedResponse());
       });
     }
     const isFailing = this.isFailing();
@@ -125,14 +125,14 @@
       // It does no work, so it takes no slot either.
       const { failMs } = service.gray;
       return clock.startTimer(failMs, () => {
-        answer(this.makeAnswer(FAILED));
+        answer(this.makeResponse(FAILED));
       });
     }
     const workMs = arrival.workMs * this.getSlowness();
     const job: IJob = { ...arrival, workMs, isCancelled: false };
     if (this.running.size < service.slots) this.run(job);
     else if (this.waiting.length < service.queue) this.waiting.push(job);
-    else answer(this.makeShed());
+    else answer(this.makeShedResponse());
     return {
       dispose: () => {
         job.isCancelled = true;
@@ -142,7 +142,7 @@
 
   /** Requests a second that it takes now; undefined while it names no limit. */
   getRateLimit(): number | undefined {
-    const rates = this.listTouching('limit').flatMap(({ ratePerS }) => ratePerS ?? []);
+    const rates = this.listAffectingEvents('limit').flatMap(({ ratePerS }) => ratePerS ?? []);
     return rates.length === 0 ? undefined : Math.min(...rates);
   }
 
@@ -153,7 +153,7 @@
       service: this.options.service.name,
       failedMs: this.failedMs,
       isFailingWithin: (fromMs, toMs) => this.isFailingWithin(fromMs, toMs),
-      isCalm: (fromMs, toMs) => this.isCalm(fromMs, toMs),
+      isUndisturbed: (fromMs, toMs) => this.isCalm(fromMs, toMs),
     };
   }
 
@@ -185,24 +185,24 @@
     if (wasDown) return false;
     return !this.options.scenario.events.some((event) => {
       const isThen = event.atMs < toMs && event.atMs + event.forMs > fromMs;
-      return isThen && DISTURBANCES.includes(event.kind) && this.isTouchedBy(event);
+      return isThen && DISTURBING_EVENTS.includes(event.kind) && this.isAffectedBy(event);
     });
   }
 
   private run(job: IJob): void {
     const { clock } = this.options;
-    const { life } = this;
+    const { incarnation: life } = this;
     this.running.add(job);
     const endsAfterMs = job.crash?.runMs ?? job.workMs;
     clock.startTimer(endsAfterMs, () => {
-      if (this.life !== life) return;
+      if (this.incarnation !== life) return;
       if (job.crash !== undefined) {
         job.onCrash();
         this.end(job.crash.downMs);
         return;
       }
       this.running.delete(job);
-      if (!job.isCancelled) job.answer(this.makeAnswer(OK));
+      if (!job.isCancelled) job.respond(this.makeResponse(OK));
       this.startNext();
     });
   }
@@ -212,9 +212,9 @@
     const lost = [...this.running, ...this.waiting];
     this.running.clear();
     this.waiting.length = 0;
-    this.life += 1;
+    this.incarnation += 1;
     this.outages.push({ fromMs: this.getNowMs(), toMs: this.getNowMs() + downMs });
-    for (const { breakOff, isCancelled } of lost) if (!isCancelled) breakOff();
+    for (const { onConnectionLost: breakOff, isCancelled } of lost) if (!isCancelled) breakOff();
   }
 
   private startNext(): void {
@@ -224,41 +224,47 @@
     else this.run(next);
   }
 
-  private makeShed(): IModelledAnswer {
-    const [event] = this.listTouching('shed');
-    return { ...this.makeAnswer(SHED), notRun: true, waitMs: event?.waitMs };
+  private makeShedResponse(): IModelledResponse {
+    const [event] = this.listAffectingEvents('shed');
+    return { ...this.makeResponse(SHED), notRun: true, waitMs: event?.waitMs };
   }
 
-  private makeAnswer(status: number): IModelledAnswer {
-    const draining = this.isTellingDrain();
+  private makeResponse(status: number): IModelledResponse {
+    const draining = this.isReportingDrain();
     return { status, notRun: false, draining, rateLimit: this.getRateLimit() };
   }
 
-  private isTellingDrain(): boolean {
-    return this.isDraining() || this.isConcerned('drain-told');
+  private isReportingDrain(): boolean {
+    return this.isDraining() || this.isAffected('drain-told');
   }
 
   /** Share of its requests that it sheds, whether it has free slots or not. */
   private getShedShare(): number {
-    return this.listTouching('shed').reduce((most, { factor = 1 }) => Math.max(most, factor), 0);
+    return this.listAffectingEvents('shed').reduce(
+      (most, { factor = 1 }) => Math.max(most, factor),
+      0,
+    );
   }
 
   private getSlowness(): number {
-    return this.listTouching('slow').reduce((product, { factor = 1 }) => product * factor, 1);
+    return this.listAffectingEvents('slow').reduce(
+      (product, { factor = 1 }) => product * factor,
+      1,
+    );
   }
 
-  private isConcerned(kind: 'crash' | 'drain' | 'drain-told' | 'fail'): boolean {
-    return this.listTouching(kind).length > 0;
+  private isAffected(kind: 'crash' | 'drain' | 'drain-told' | 'fail'): boolean {
+    return this.listAffectingEvents(kind).length > 0;
   }
 
   /** Events that concern this target now. */
-  private listTouching(kind: IScenarioEvent['kind']): readonly IScenarioEvent[] {
+  private listAffectingEvents(kind: IScenarioEvent['kind']): readonly IScenarioEvent[] {
     const { clock, scenario, service } = this.options;
     const events = listEvents(scenario, kind, service.name, clock.getMonotonicTime());
-    return events.filter((event) => this.isTouchedBy(event));
+    return events.filter((event) => this.isAffectedBy(event));
   }
 
-  private isTouchedBy({ kind, service: only, share = 0 }: IScenarioEvent): boolean {
+  private isAffectedBy({ kind, service: only, share = 0 }: IScenarioEvent): boolean {
     const { index, service } = this.options;
     if (only !== undefined && only !== service.name) return false;
     // Slow ones from the first, others from the last: a slow target and a lost one are different.
--- a/packages/lab/src/experiment/common/modelledTransport.ts
+++ b/packages/lab/src/experiment/common/modelledTransport.ts
@@ -4,7 +4,7 @@
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { FleetObserver } from './fleetObserver.js';
 import type { ICrashingRequest } from './scenario.js';
-import type { IModelledAnswer, ModelledTarget } from './modelledTarget.js';
+import type { IModelledResponse, ModelledTarget } from './modelledTarget.js';
 
 /** Header that carries the request's identifier. */
 export const ID_HEADER = 'x-id';
@@ -21,9 +21,9 @@
 const OK = 200;
 const MS_PER_S = 1000;
 const CONNECT_MS = 1;
-const WAY_MS = 0.5;
+const ONE_WAY_DELAY_MS = 0.5;
 /** A kept connection is used again within this time, in ms: targets close idle ones a little later. */
-const IDLE_MS = 8500;
+const IDLE_TIMEOUT_MS = 8500;
 
 /** Options of a {@link ModelledTransport}. */
 export interface IModelledTransportOptions {
@@ -35,14 +35,14 @@
   readonly node: string;
   readonly crashingRequests: readonly ICrashingRequest[];
   /** Whether a target stands in another failure domain than the node. */
-  readonly isFar: (target: ModelledTarget) => boolean;
+  readonly isInOtherDomain: (target: ModelledTarget) => boolean;
 }
 
 /** Counts connections as a node does, and drops them as its pools do. */
 export class ModelledTransport extends TargetTransport {
-  opened = 0;
+  openedConnections = 0;
   /** Bytes of answers from targets of other failure domains. */
-  crossedBytes = 0;
+  crossDomainBytes = 0;
   private readonly idle = new Map<string, number[]>();
   private readonly startedMs: number;
 
@@ -60,7 +60,7 @@
       throw makeError(TransportFailure.Connect, false);
     }
     if (options.freshConnection === true || !this.takeIdle(request.target)) {
-      this.opened += 1;
+      this.openedConnections += 1;
       await clock.sleep(CONNECT_MS);
     }
     const startMs = clock.getMonotonicTime();
@@ -72,7 +72,7 @@
     this.storeIdle(request.target);
     const latencyMs = clock.getMonotonicTime() - startMs;
     const body = new Uint8Array(status === OK ? Number(getHeader(request, SIZE_HEADER)) : 0);
-    if (this.options.isFar(target)) this.crossedBytes += body.byteLength;
+    if (this.options.isInOtherDomain(target)) this.crossDomainBytes += body.byteLength;
     const headers: Header[] =
       waitMs === undefined ? [] : [['retry-after', String(waitMs / MS_PER_S)]];
     return { status, notRun, latencyMs, body, headers, draining, rateLimit };
@@ -84,7 +84,7 @@
 
   override hasIdleConnection(_member: string, target: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
-    return (this.idle.get(target) ?? []).some((atMs) => nowMs - atMs < IDLE_MS);
+    return (this.idle.get(target) ?? []).some((atMs) => nowMs - atMs < IDLE_TIMEOUT_MS);
   }
 
   override getConnectionCount(_member: string, target: string): number {
@@ -95,7 +95,7 @@
     target: ModelledTarget,
     request: ITargetRequest,
     signal: AbortSignal,
-  ): Promise<IModelledAnswer> {
+  ): Promise<IModelledResponse> {
     const { clock, crashingRequests, observer, random } = this.options;
     const { startedMs } = this;
     const { node } = this.options;
@@ -120,11 +120,11 @@
         fail(TransportFailure.Timeout);
       });
       signal.addEventListener('abort', onAbort, { once: true });
-      clock.startTimer(WAY_MS, () => {
+      clock.startTimer(ONE_WAY_DELAY_MS, () => {
         if (signal.aborted) return;
         const nowMs = clock.getMonotonicTime();
         observer.recordArrival(service.name, requestId, targetId, nowMs);
-        const life = `${targetId}/${target.life}`;
+        const life = `${targetId}/${target.incarnation}`;
         observer.recordNodeArrival({
           node,
           service: service.name,
@@ -138,21 +138,21 @@
           workMs,
           luck: random.getFloat(),
           crash,
-          answer: (answer) => {
-            clock.startTimer(WAY_MS, () => {
+          respond: (answer) => {
+            clock.startTimer(ONE_WAY_DELAY_MS, () => {
               void timeout.dispose();
               signal.removeEventListener('abort', onAbort);
               const told = { node, target: life, atMs: clock.getMonotonicTime() };
-              if (answer.draining) observer.recordToldDraining(told);
-              if (answer.waitMs !== undefined) observer.recordToldWait(told, answer.waitMs);
-              if (answer.rateLimit !== undefined) observer.recordNamedLimit(told);
+              if (answer.draining) observer.recordDrainingNotice(told);
+              if (answer.waitMs !== undefined) observer.recordWaitNotice(told, answer.waitMs);
+              if (answer.rateLimit !== undefined) observer.recordAdvertisedLimit(told);
               resolve(answer);
             });
           },
           onCrash: () => {
             observer.recordCrash(crashName, clock.getMonotonicTime());
           },
-          breakOff: () => {
+          onConnectionLost: () => {
             fail(TransportFailure.Broken);
           },
         });
@@ -162,7 +162,7 @@
 
   private takeIdle(target: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
-    const fresh = (this.idle.get(target) ?? []).filter((atMs) => nowMs - atMs < IDLE_MS);
+    const fresh = (this.idle.get(target) ?? []).filter((atMs) => nowMs - atMs < IDLE_TIMEOUT_MS);
     const isThere = fresh.pop() !== undefined;
     this.idle.set(target, fresh);
     return isThere;
--- a/packages/lab/src/experiment/common/requestLimits.test.ts
+++ b/packages/lab/src/experiment/common/requestLimits.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { listViolations, runScenario } from '../test/playedLimits.js';
+import { listViolations, runScenario } from '../test/scenarioRuns.js';
 
 test('a request that crashes the targets that run it is held back before it takes the service', async () => {
   // Symptom: half of the targets of a service are down at any moment, and callers of other requests get
--- a/packages/lab/src/experiment/common/figures.ts
+++ b/packages/lab/src/experiment/common/runRecorder.ts
@@ -6,12 +6,12 @@
 const WINDOW_MS = 2000;
 const BYTES_PER_KIB = 1024;
 /** A refusal within this share of the objective came at once. */
-const HELD_SHARE = 1 / 8;
+const HELD_REFUSAL_SHARE = 1 / 8;
 /** Windows that count as the worst. */
 const WORST_WINDOWS = 2;
 
 /** How a request ended for its caller. */
-export const Ending = {
+export const RequestOutcome = {
   /** Answered within its objective. */
   InTime: 'inTime',
   Late: 'late',
@@ -20,10 +20,10 @@
   Failed: 'failed',
 } as const;
 
-export type Ending = (typeof Ending)[keyof typeof Ending];
+export type RequestOutcome = (typeof RequestOutcome)[keyof typeof RequestOutcome];
 
 /** Figures of one run; shares are of all requests. */
-export interface IRunFigures {
+export interface IRunResult {
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
@@ -49,19 +49,19 @@
   /** Limits that hold over all nodes together, and were broken. */
   readonly violations: readonly ILimitViolation[];
   /** Share of the requests of each kind that ended so. */
-  readonly kinds: Readonly<Record<string, Readonly<Record<Ending, number>>>>;
+  readonly kinds: Readonly<Record<string, Readonly<Record<RequestOutcome, number>>>>;
 }
 
-interface IRecord {
+interface IOutcomeRecord {
   readonly kind: IRequestKind;
   readonly atMs: number;
-  readonly ending: Ending;
+  readonly outcome: RequestOutcome;
 }
 
 /** Costs that are counted besides the endings. */
 export interface IRunCosts {
   readonly connections: number;
-  readonly crossedBytes: number;
+  readonly crossDomainBytes: number;
   readonly crashedTargets: number;
   readonly failedRuns: number;
   readonly violations: readonly ILimitViolation[];
@@ -73,26 +73,26 @@
  * @example
  * ledger.record(kind, atMs, Ending.InTime);
  */
-export class FigureLedger {
-  private readonly records: IRecord[] = [];
+export class RunRecorder {
+  private readonly records: IOutcomeRecord[] = [];
   private heldRefusals = 0;
   private heldBack = 0;
 
-  record(kind: IRequestKind, atMs: number, ending: Ending): void {
-    this.records.push({ kind, atMs, ending });
+  record(kind: IRequestKind, atMs: number, ending: RequestOutcome): void {
+    this.records.push({ kind, atMs, outcome: ending });
   }
 
   /** Counts a refusal that came `heldMs` after the question. */
   recordRefusal(kind: IRequestKind, heldMs: number): void {
-    if (heldMs > kind.objectiveMs * HELD_SHARE) this.heldRefusals += 1;
+    if (heldMs > kind.objectiveMs * HELD_REFUSAL_SHARE) this.heldRefusals += 1;
   }
 
   /** Counts a harmless request that was held back for what it was taken to do to targets. */
-  recordHeldBack(): void {
+  recordQuarantined(): void {
     this.heldBack += 1;
   }
 
-  summarize(costs: IRunCosts): IRunFigures {
+  summarize(costs: IRunCosts): IRunResult {
     const { records } = this;
     const asked = Math.max(1, records.length);
     const windows = toGroups(records, ({ atMs }) => String(Math.floor(atMs / WINDOW_MS)));
@@ -107,7 +107,7 @@
       worstKindCredit: Math.min(...kinds.map(computeCredit)),
       heldRefusals: this.heldRefusals / asked,
       connections: costs.connections / asked,
-      crossedKib: costs.crossedBytes / BYTES_PER_KIB / asked,
+      crossedKib: costs.crossDomainBytes / BYTES_PER_KIB / asked,
       failedRuns: costs.failedRuns / asked,
       crashedTargets: costs.crashedTargets,
       heldBack: this.heldBack,
@@ -119,34 +119,36 @@
   }
 }
 
-function computeShares(records: readonly IRecord[]): Readonly<Record<Ending, number>> {
-  const getShare = (ending: Ending) => {
-    return records.filter((record) => record.ending === ending).length / records.length;
+function computeShares(
+  records: readonly IOutcomeRecord[],
+): Readonly<Record<RequestOutcome, number>> {
+  const getShare = (ending: RequestOutcome) => {
+    return records.filter((record) => record.outcome === ending).length / records.length;
   };
   return {
-    inTime: getShare(Ending.InTime),
-    late: getShare(Ending.Late),
-    refused: getShare(Ending.Refused),
-    failed: getShare(Ending.Failed),
+    inTime: getShare(RequestOutcome.InTime),
+    late: getShare(RequestOutcome.Late),
+    refused: getShare(RequestOutcome.Refused),
+    failed: getShare(RequestOutcome.Failed),
   };
 }
 
-function computeCredit(records: readonly IRecord[]): number {
+function computeCredit(records: readonly IOutcomeRecord[]): number {
   let earned = 0;
   let owed = 0;
-  for (const { ending, kind } of records) {
+  for (const { outcome: ending, kind } of records) {
     owed += kind.worth;
-    if (ending === Ending.InTime) earned += kind.worth;
-    if (ending === Ending.Late) earned += kind.lateWorth;
+    if (ending === RequestOutcome.InTime) earned += kind.worth;
+    if (ending === RequestOutcome.Late) earned += kind.lateWorth;
   }
   return owed === 0 ? 1 : earned / owed;
 }
 
 function toGroups(
-  records: readonly IRecord[],
-  getKey: (record: IRecord) => string,
-): readonly (readonly IRecord[])[] {
-  const groups = new Map<string, IRecord[]>();
+  records: readonly IOutcomeRecord[],
+  getKey: (record: IOutcomeRecord) => string,
+): readonly (readonly IOutcomeRecord[])[] {
+  const groups = new Map<string, IOutcomeRecord[]>();
   for (const record of records) {
     const key = getKey(record);
     const group = groups.get(key) ?? [];
--- a/packages/lab/src/experiment/common/toldLimits.ts
+++ b/packages/lab/src/experiment/common/targetNoticeChecker.ts
@@ -1,22 +1,22 @@
 /** What targets have told single nodes, and whether the nodes kept to it. */
-import { NamedLimits } from './namedLimits.js';
+import { AdvertisedLimitChecker } from './advertisedLimitChecker.js';
 
 /** A node that was told that a target leaves sends it nothing that came this much later, in ms. */
-const DRAIN_MS = 2000;
+const DRAIN_NOTICE_GRACE_MS = 2000;
 /** From this long after a target asked to be left alone, in ms, it gets next to nothing. */
-const WAIT_SLACK_MS = 500;
+const WAIT_GRACE_MS = 500;
 /** Requests that it gets all the same within that time, at most. */
-const MOST_IN_WAIT = 2;
+const MAX_ARRIVALS_IN_WAIT = 2;
 
 /** One process of a node, and one life of a target. */
-export interface IToldPair {
+export interface INodeTargetPair {
   readonly node: string;
   readonly target: string;
   readonly atMs: number;
 }
 
 /** A request that reached a target. */
-export interface INodeArrival extends IToldPair {
+export interface INodeArrival extends INodeTargetPair {
   readonly service: string;
   /** When the caller sent it. */
   readonly sentMs: number;
@@ -25,14 +25,14 @@
 }
 
 /** One thing that was not kept to. */
-export interface IToldViolation {
+export interface INoticeViolation {
   readonly limit: 'drain' | 'wait' | 'rate';
   readonly service: string;
   readonly atMs: number;
   readonly text: string;
 }
 
-interface IToldWait {
+interface IRequestedWait {
   readonly fromMs: number;
   readonly untilMs: number;
   arrivals: number;
@@ -43,40 +43,40 @@
  * limits.recordToldDraining({ node: 'n1/1', target: 'booking-3/1', atMs });
  * limits.recordArrival(arrival);
  */
-export class ToldLimits {
-  readonly violations: IToldViolation[] = [];
+export class TargetNoticeChecker {
+  readonly violations: INoticeViolation[] = [];
   private readonly draining = new Map<string, number>();
-  private readonly waits = new Map<string, IToldWait[]>();
-  private readonly named = new NamedLimits();
+  private readonly waits = new Map<string, IRequestedWait[]>();
+  private readonly advertisedLimits = new AdvertisedLimitChecker();
 
-  recordToldDraining(pair: IToldPair): void {
+  recordDrainingNotice(pair: INodeTargetPair): void {
     const key = formatKey(pair);
     if (!this.draining.has(key)) this.draining.set(key, pair.atMs);
   }
 
-  recordToldWait(pair: IToldPair, waitMs: number): void {
+  recordWaitNotice(pair: INodeTargetPair, waitMs: number): void {
     const key = formatKey(pair);
     const waits = this.waits.get(key) ?? [];
     const { atMs } = pair;
-    waits.push({ fromMs: atMs + WAIT_SLACK_MS, untilMs: atMs + waitMs, arrivals: 0 });
+    waits.push({ fromMs: atMs + WAIT_GRACE_MS, untilMs: atMs + waitMs, arrivals: 0 });
     this.waits.set(key, waits);
   }
 
-  recordNamedLimit(pair: IToldPair): void {
-    this.named.recordNamed(pair);
+  recordAdvertisedLimit(pair: INodeTargetPair): void {
+    this.advertisedLimits.recordAdvertised(pair);
   }
 
   recordArrival(arrival: INodeArrival): void {
     this.checkDraining(arrival);
     this.checkWaits(arrival);
-    const violation = this.named.checkArrival(arrival, arrival.ratePerS);
+    const violation = this.advertisedLimits.checkArrival(arrival, arrival.ratePerS);
     if (violation !== undefined) this.violations.push(violation);
   }
 
   private checkDraining(arrival: INodeArrival): void {
     const { atMs, node, sentMs, service, target } = arrival;
     const toldMs = this.draining.get(formatKey(arrival));
-    if (toldMs === undefined || sentMs <= toldMs + DRAIN_MS) return;
+    if (toldMs === undefined || sentMs <= toldMs + DRAIN_NOTICE_GRACE_MS) return;
     const lateMs = Math.round(atMs - toldMs);
     const text = `${node} sent to ${target} ${lateMs} ms after it had been told that it leaves`;
     this.violations.push({ limit: 'drain', service, atMs, text });
@@ -87,13 +87,13 @@
     for (const wait of this.waits.get(formatKey(arrival)) ?? []) {
       if (atMs < wait.fromMs || atMs > wait.untilMs) continue;
       wait.arrivals += 1;
-      if (wait.arrivals !== MOST_IN_WAIT + 1) continue;
+      if (wait.arrivals !== MAX_ARRIVALS_IN_WAIT + 1) continue;
       const text = `${node} sent ${wait.arrivals} times to ${target}, which had asked to be left alone`;
       this.violations.push({ limit: 'wait', service, atMs, text });
     }
   }
 }
 
-function formatKey({ node, target }: IToldPair): string {
+function formatKey({ node, target }: INodeTargetPair): string {
   return `${node} ${target}`;
 }
--- a/packages/lab/src/experiment/node/experimentPool.ts
+++ b/packages/lab/src/experiment/node/experimentPool.ts
@@ -1,6 +1,6 @@
 /** Plays many runs on a few threads. */
 import { Worker } from 'node:worker_threads';
-import type { IRunFigures } from '../common/figures.js';
+import type { IRunResult } from '../common/runRecorder.js';
 import type { IScenario } from '../common/scenario.js';
 
 const WORKER_MODULE = new URL('./experimentWorker.js', import.meta.url);
@@ -21,8 +21,8 @@
 export async function runExperiments(
   jobs: readonly IExperimentJob[],
   threads: number,
-): Promise<readonly IRunFigures[]> {
-  const results: IRunFigures[] = [];
+): Promise<readonly IRunResult[]> {
+  const results: IRunResult[] = [];
   let next = 0;
   const runThread = async () => {
     const worker = new Worker(WORKER_MODULE);
@@ -38,10 +38,10 @@
   return results;
 }
 
-function runOn(worker: Worker, job: IExperimentJob | undefined): Promise<IRunFigures> {
+function runOn(worker: Worker, job: IExperimentJob | undefined): Promise<IRunResult> {
   return new Promise((resolve, reject) => {
     worker.once('error', reject);
-    worker.once('message', (figures: IRunFigures) => {
+    worker.once('message', (figures: IRunResult) => {
       worker.off('error', reject);
       resolve(figures);
     });
--- a/packages/lab/src/experiment/node/main.ts
+++ b/packages/lab/src/experiment/node/main.ts
@@ -2,19 +2,19 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { Builtins, Cli, Command, Option, UsageError } from 'clipanion';
 import type { IComparedPolicy, IEstimate } from '../common/comparison.js';
-import { FIGURE_NAMES, comparePolicies } from '../common/comparison.js';
-import type { IRunFigures } from '../common/figures.js';
+import { METRIC_NAMES, comparePolicies } from '../common/comparison.js';
+import type { IRunResult } from '../common/runRecorder.js';
 import type { IScenario } from '../common/scenario.js';
 import { POLICY_SPECS, parsePolicy } from '../policies/policySpec.js';
 import { runExperiments } from './experimentPool.js';
 
-const SCENARIOS = new URL('../../../scenarios/', import.meta.url);
+const SCENARIO_DIRECTORY = new URL('../../../scenarios/', import.meta.url);
 const DEFAULT_POLICIES: readonly string[] = ['free-slot', 'expected-credit'];
 const DEFAULT_SEEDS = '20';
 const DEFAULT_THREADS = '2';
 const NAME_WIDTH = 44;
 const CELL_WIDTH = 17;
-const PLACES = 4;
+const DECIMAL_PLACES = 4;
 
 class ExperimentCommand extends Command {
   static override readonly paths = [Command.Default];
@@ -51,7 +51,7 @@
       return { policy, figures: figures.slice(index * count, (index + 1) * count) };
     });
     const compared = comparePolicies(runs);
-    const broken = runs.flatMap((run) => listBroken(run.policy, run.figures));
+    const broken = runs.flatMap((run) => listViolations(run.policy, run.figures));
     const report = { scenario: scenario.name, seeds: count, policies: compared, broken };
     const text = [formatTable(scenario.name, compared), ...broken.map((line) => `${line}\n`)];
     this.context.stdout.write(this.json ? `${JSON.stringify(report)}\n` : text.join(''));
@@ -60,14 +60,14 @@
 }
 
 function loadScenario(name: string): IScenario {
-  const own = new URL(`${name}.json`, SCENARIOS);
+  const own = new URL(`${name}.json`, SCENARIO_DIRECTORY);
   const path = existsSync(name) ? name : own;
   if (!existsSync(path)) throw new UsageError(`there is no scenario "${name}"`);
   return JSON.parse(readFileSync(path, 'utf8')) as IScenario;
 }
 
 /** One line for each limit and service that a run broke, with the first window. */
-function listBroken(policy: string, runs: readonly IRunFigures[]): readonly string[] {
+function listViolations(policy: string, runs: readonly IRunResult[]): readonly string[] {
   return runs.flatMap(({ violations }, index) => {
     const first = new Map(
       violations
@@ -81,10 +81,10 @@
 }
 
 function formatTable(name: string, policies: readonly IComparedPolicy[]): string {
-  const head = FIGURE_NAMES.map((figure) => figure.padStart(CELL_WIDTH)).join('');
+  const head = METRIC_NAMES.map((figure) => figure.padStart(CELL_WIDTH)).join('');
   const lines = policies.flatMap(({ differences, figures, policy }) => {
     const formatRow = (title: string, row: typeof figures) => {
-      const cells = FIGURE_NAMES.map((figure) => formatEstimate(row[figure]));
+      const cells = METRIC_NAMES.map((figure) => formatEstimate(row[figure]));
       return title.padEnd(NAME_WIDTH) + cells.map((cell) => cell.padStart(CELL_WIDTH)).join('');
     };
     const rows = [formatRow(policy, figures)];
@@ -95,7 +95,7 @@
 }
 
 function formatEstimate({ halfWidth, mean }: IEstimate): string {
-  return `${mean.toFixed(PLACES)} ±${halfWidth.toFixed(PLACES)}`;
+  return `${mean.toFixed(DECIMAL_PLACES)} ±${halfWidth.toFixed(DECIMAL_PLACES)}`;
 }
 
 const cli = new Cli({ binaryLabel: 'Experiments', binaryName: 'npm run experiment --' });
--- a/packages/lab/src/experiment/test/playedLimits.ts
+++ b/packages/lab/src/experiment/test/scenarioRuns.ts
@@ -1,7 +1,7 @@
 /** Plays scenarios for tests, and lists the limits that they broke. */
 import { readFileSync } from 'node:fs';
 import { ExperimentRun } from '../common/experimentRun.js';
-import type { IRunFigures } from '../common/figures.js';
+import type { IRunResult } from '../common/runRecorder.js';
 import type { ILimitViolation } from '../common/fleetObserver.js';
 import type { IScenario } from '../common/scenario.js';
 import { parsePolicy } from '../policies/policySpec.js';
@@ -9,7 +9,7 @@
 const SCENARIOS = new URL('../../../scenarios/', import.meta.url);
 
 /** Plays a scenario once with what the fleet does. */
-export function runScenario(name: string, seed: number): Promise<IRunFigures> {
+export function runScenario(name: string, seed: number): Promise<IRunResult> {
   const text = readFileSync(new URL(`${name}.json`, SCENARIOS), 'utf8');
   const scenario = JSON.parse(text) as IScenario;
   return new ExperimentRun(scenario, parsePolicy('expected-credit'), seed).run();
--- a/packages/lab/src/load/common/verdict.test.ts
+++ b/packages/lab/src/load/common/outcomeComparison.test.ts
@@ -5,7 +5,7 @@
 import { makeWorkloads } from '../../processes/common/worldLayout.js';
 import type { IAttemptRecord, IRequestRecord } from './requestRecord.js';
 import { AttemptOutcome } from './requestRecord.js';
-import { compareOutcomes } from './verdict.js';
+import { compareOutcomes } from './outcomeComparison.js';
 
 const [reading, booking] = makeWorkloads();
 
@@ -42,7 +42,7 @@
   return { target: 't', key, requestId: 'r', state: 'finished', startedAtMs };
 }
 
-function findPromises(record: IRequestRecord, executions: readonly IExecution[]): string[] {
+function listBrokenGuarantees(record: IRequestRecord, executions: readonly IExecution[]): string[] {
   return compareOutcomes([record], executions).findings.map(({ promise }) => promise);
 }
 
@@ -51,27 +51,32 @@
 
 test('a booking that two targets executed is found, a read executed twice is not', () => {
   const executions = [makeExecution(10, 'k'), makeExecution(20, 'k')];
-  assert.deepEqual(findPromises(makeRecord(true, [ANSWERED]), executions), ['at most once']);
+  assert.deepEqual(listBrokenGuarantees(makeRecord(true, [ANSWERED]), executions), [
+    'at most once',
+  ]);
   const reads = [makeExecution(10), makeExecution(20)];
-  assert.deepEqual(findPromises(makeRecord(false, [ANSWERED]), reads), []);
+  assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), reads), []);
 });
 
 test('a refusal as not run is false when an execution began before the next attempt', () => {
   const refusedThenAnswered = makeRecord(true, [{}, ANSWERED]);
-  assert.deepEqual(findPromises(refusedThenAnswered, [makeExecution(120, 'k')]), []);
-  assert.deepEqual(findPromises(refusedThenAnswered, [makeExecution(20, 'k')]), [
+  assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(120, 'k')]), []);
+  assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(20, 'k')]), [
     'truthful refusals',
   ]);
-  assert.deepEqual(findPromises(makeRecord(true, [{}, {}]), [makeExecution(500, 'k')]), [
+  assert.deepEqual(listBrokenGuarantees(makeRecord(true, [{}, {}]), [makeExecution(500, 'k')]), [
     'truthful refusals',
   ]);
-  assert.deepEqual(findPromises(makeRecord(true, [UNKNOWN, {}]), [makeExecution(20, 'k')]), []);
+  assert.deepEqual(
+    listBrokenGuarantees(makeRecord(true, [UNKNOWN, {}]), [makeExecution(20, 'k')]),
+    [],
+  );
 });
 
 test('foreign and partial answers, answers that nobody executed, and bare errors are found', () => {
   const partial = makeRecord(false, [{ outcome: AttemptOutcome.Partial }, ANSWERED]);
-  assert.deepEqual(findPromises(partial, [makeExecution(10)]), ['whole answers']);
-  assert.deepEqual(findPromises(makeRecord(false, [ANSWERED]), []), ['whole answers']);
+  assert.deepEqual(listBrokenGuarantees(partial, [makeExecution(10)]), ['whole answers']);
+  assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), []), ['whole answers']);
   const bare = makeRecord(false, [{ outcome: AttemptOutcome.Unexplained }]);
-  assert.deepEqual(findPromises(bare, []), ['truthful refusals']);
+  assert.deepEqual(listBrokenGuarantees(bare, []), ['truthful refusals']);
 });
--- a/packages/lab/src/load/common/verdict.ts
+++ b/packages/lab/src/load/common/outcomeComparison.ts
@@ -15,7 +15,7 @@
 }
 
 /** The outcome of a comparison. */
-export interface IVerdict {
+export interface IOutcomeComparison {
   readonly requests: number;
   readonly executions: number;
   /** Non-idempotent requests that were answered whole. */
@@ -37,7 +37,7 @@
 export function compareOutcomes(
   records: readonly IRequestRecord[],
   executions: readonly IExecution[],
-): IVerdict {
+): IOutcomeComparison {
   const byRequest = new Map<string, IExecution[]>();
   for (const execution of executions) {
     const known = byRequest.get(execution.requestId);
@@ -45,7 +45,7 @@
     else known.push(execution);
   }
   const findings = records.flatMap((record) => {
-    return findBroken(record, byRequest.get(record.request.requestId) ?? []);
+    return findViolations(record, byRequest.get(record.request.requestId) ?? []);
   });
   const bookings = records.filter(({ request }) => !request.workload.idempotent);
   return {
@@ -53,8 +53,8 @@
     executions: executions.length,
     bookings: bookings.length,
     bookingsDone: bookings.filter(isAnswered).length,
-    notRunChecked: records.filter((record) => countNotRunPrefix(record) > 0).length,
-    findings: [...findings, ...findDoubleKeys(executions, bookings)],
+    notRunChecked: records.filter((record) => countLeadingNotRun(record) > 0).length,
+    findings: [...findings, ...findRepeatedExecutions(executions, bookings)],
   };
 }
 
@@ -62,7 +62,7 @@
   return getFinalAttempt(record.attempts)?.outcome === AttemptOutcome.Answered;
 }
 
-function findBroken(record: IRequestRecord, executions: readonly IExecution[]): IFinding[] {
+function findViolations(record: IRequestRecord, executions: readonly IExecution[]): IFinding[] {
   const { requestId } = record.request;
   const findings: IFinding[] = [];
   for (const { outcome, node, code } of record.attempts) {
@@ -91,7 +91,7 @@
 }
 
 /** Sent attempts from the first on that were all refused as not run. */
-function countNotRunPrefix(record: IRequestRecord): number {
+function countLeadingNotRun(record: IRequestRecord): number {
   const sent = getSentAttempts(record);
   const first = sent.findIndex(({ outcome, runState }) => {
     return outcome !== AttemptOutcome.Refused || runState !== RunState.NotRun;
@@ -109,7 +109,7 @@
   record: IRequestRecord,
   executions: readonly IExecution[],
 ): string | undefined {
-  const prefix = countNotRunPrefix(record);
+  const prefix = countLeadingNotRun(record);
   const sent = getSentAttempts(record);
   const last = sent[prefix - 1];
   if (last === undefined) return undefined;
@@ -119,7 +119,7 @@
   return `refused as not run with code ${last.code} by ${last.node}, executed by ${early.target}`;
 }
 
-function findDoubleKeys(
+function findRepeatedExecutions(
   executions: readonly IExecution[],
   bookings: readonly IRequestRecord[],
 ): IFinding[] {
--- a/packages/lab/src/load/node/caller.ts
+++ b/packages/lab/src/load/node/caller.ts
@@ -12,9 +12,9 @@
 const OK = 200;
 const CONNECTIONS_PER_NODE = 64;
 /** A node answers by the deadline; what comes later than this counts as never. */
-const PATIENCE_MS = 3000;
+const RESPONSE_MARGIN_MS = 3000;
 
-type Judgement = Pick<IAttemptRecord, 'outcome' | 'status' | 'code' | 'runState'>;
+type AttemptResult = Pick<IAttemptRecord, 'outcome' | 'status' | 'code' | 'runState'>;
 
 /**
  * Sends attempts over connections that it keeps to each node.
@@ -44,8 +44,8 @@
     await Promise.all([...this.pools.keys()].map((node) => this.closeNode(node)));
   }
 
-  private async request(node: string, request: ICallerRequest): Promise<Judgement> {
-    const timeout = AbortSignal.timeout(request.workload.timeoutMs + PATIENCE_MS);
+  private async request(node: string, request: ICallerRequest): Promise<AttemptResult> {
+    const timeout = AbortSignal.timeout(request.workload.timeoutMs + RESPONSE_MARGIN_MS);
     try {
       const answer = await this.ensurePool(node).request({
         method: request.workload.method,
@@ -84,7 +84,7 @@
   answer: Dispatcher.ResponseData,
   body: Uint8Array,
   request: ICallerRequest,
-): Judgement {
+): AttemptResult {
   const code = Number(getHeader(answer, CallerHeader.ResultCode) ?? '-1');
   const runState = getHeader(answer, CallerHeader.RunState) as RunState | undefined;
   const status = answer.statusCode;
--- a/packages/lab/src/load/node/loadGenerator.ts
+++ b/packages/lab/src/load/node/loadGenerator.ts
@@ -15,8 +15,8 @@
 const MAX_RETRY_WAIT_MS = 1500;
 const RETRY_WAIT_MS = 100;
 /** Twins come while the first attempt is queued, claimed, dispatched or answered. */
-const LONGEST_TWIN_WAIT_MS = 60;
-const HIGHEST_LATENCY_MS = 120_000;
+const MAX_DUPLICATE_DELAY_MS = 60;
+const MAX_LATENCY_MS = 120_000;
 
 /** Chooses the node for an attempt, as the platform's balancer does. */
 export abstract class Balancer {
@@ -137,7 +137,7 @@
       body: Buffer.from(text.padEnd(workload.bodyBytes, '.')),
       twinAfterMs:
         random.getFloat() < workload.twinShare
-          ? random.getInteger(LONGEST_TWIN_WAIT_MS)
+          ? random.getInteger(MAX_DUPLICATE_DELAY_MS)
           : undefined,
     };
   }
@@ -150,7 +150,7 @@
   private async runRequest(request: ICallerRequest): Promise<void> {
     const startMs = performance.now();
     const attempts: IAttemptRecord[] = [];
-    await Promise.all([this.runAttempts(request, attempts), this.runTwin(request, attempts)]);
+    await Promise.all([this.runAttempts(request, attempts), this.runDuplicate(request, attempts)]);
     attempts.sort((left, right) => left.sentAtMs - right.sentAtMs);
     this.records.push({ request, attempts });
     this.recordOutcome(getFinalAttempt(attempts), performance.now() - startMs);
@@ -162,12 +162,12 @@
       const node = this.options.balancer.pick();
       const last = node === undefined ? undefined : await this.caller.send(node, request);
       if (last !== undefined) attempts.push(last);
-      if (!isWorthRetry(last) || count === maxAttempts) return;
-      await sleep(getWaitMs(count));
+      if (!isRetryable(last) || count === maxAttempts) return;
+      await sleep(getRetryDelayMs(count));
     }
   }
 
-  private async runTwin(request: ICallerRequest, attempts: IAttemptRecord[]): Promise<void> {
+  private async runDuplicate(request: ICallerRequest, attempts: IAttemptRecord[]): Promise<void> {
     if (request.twinAfterMs === undefined) return;
     await sleep(request.twinAfterMs);
     const node = this.options.balancer.pick();
@@ -178,15 +178,15 @@
     const name = formatOutcome(last);
     const histogram = this.histograms.get(name) ?? makeHistogram();
     this.histograms.set(name, histogram);
-    histogram.recordValue(Math.min(Math.round(latencyMs), HIGHEST_LATENCY_MS));
+    histogram.recordValue(Math.min(Math.round(latencyMs), MAX_LATENCY_MS));
   }
 }
 
-function isWorthRetry(last: IAttemptRecord | undefined): boolean {
+function isRetryable(last: IAttemptRecord | undefined): boolean {
   return last?.outcome !== AttemptOutcome.Answered;
 }
 
-function getWaitMs(attempts: number): number {
+function getRetryDelayMs(attempts: number): number {
   return Math.min(MAX_RETRY_WAIT_MS, RETRY_WAIT_MS * 2 ** attempts);
 }
 
@@ -197,5 +197,5 @@
 }
 
 function makeHistogram(): Histogram {
-  return build({ highestTrackableValue: HIGHEST_LATENCY_MS, numberOfSignificantValueDigits: 3 });
+  return build({ highestTrackableValue: MAX_LATENCY_MS, numberOfSignificantValueDigits: 3 });
 }
--- a/packages/lab/src/prove/node/proveRun.ts
+++ b/packages/lab/src/prove/node/proveRun.ts
@@ -2,8 +2,8 @@
 import { DisposableStore } from '@parsleymux/base';
 import type { IRequestRecord } from '../../load/common/requestRecord.js';
 import { AttemptOutcome, getFinalAttempt } from '../../load/common/requestRecord.js';
-import type { IVerdict } from '../../load/common/verdict.js';
-import { compareOutcomes } from '../../load/common/verdict.js';
+import type { IOutcomeComparison } from '../../load/common/outcomeComparison.js';
+import { compareOutcomes } from '../../load/common/outcomeComparison.js';
 import { LoadGenerator } from '../../load/node/loadGenerator.js';
 import { makeWorkloads } from '../../processes/common/worldLayout.js';
 import { disposeOnInterrupt } from '../../processes/node/interrupt.js';
@@ -121,7 +121,7 @@
 
 function recordPromise(
   world: ProveWorld,
-  verdict: IVerdict,
+  verdict: IOutcomeComparison,
   promise: string,
   checks: number,
 ): void {
--- a/packages/lab/src/replay/common/outcomeCheck.ts
+++ b/packages/lab/src/replay/common/outcomeCheck.ts
@@ -1,9 +1,9 @@
 /** Compares what a replay measured with what was stated. */
-import type { IStatedOutcome } from '../../trace/common/trace.js';
+import type { IExpectedOutcome } from '../../trace/common/trace.js';
 import type { IReplayResult } from './replayResult.js';
 
 /** The statements that do not hold, one line each; none when all is well. */
-export function checkOutcome(result: IReplayResult, stated: IStatedOutcome): readonly string[] {
+export function checkOutcome(result: IReplayResult, stated: IExpectedOutcome): readonly string[] {
   const broken: string[] = [];
   const check = (name: string, value: number, limit: number | undefined, isMin = false) => {
     if (limit === undefined) return;
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -9,9 +9,12 @@
 
 const FIRST_SERVER_ERROR = 500;
 /** What was under way when a fault ended can still lead to an ejection, for so long. */
-const FAULT_TAIL_MS = 2000;
-const AGAINST: ReadonlySet<HealthStatus> = new Set([HealthStatus.Suspect, HealthStatus.Ejected]);
-const PROLONGING: ReadonlySet<string> = new Set(['failed its trial']);
+const FAULT_GRACE_MS = 2000;
+const REMOVING_STATUSES: ReadonlySet<HealthStatus> = new Set([
+  HealthStatus.Suspect,
+  HealthStatus.Ejected,
+]);
+const PROLONGING_REASONS: ReadonlySet<string> = new Set(['failed its trial']);
 /**
  * Without a dispatch for this long a target counts as given no work, in ms: longer than any
  * deadline, since a target whose slots are all held by stuck requests gets nothing new either.
@@ -19,7 +22,7 @@
 const NO_TRAFFIC_MS = 9000;
 const MS_PER_HOUR = 3_600_000;
 /** Histograms hold integers. */
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
 /** Figures in the making. */
 export class ReplayRecorder {
@@ -29,7 +32,7 @@
   faultErrors = 0;
   othersRequests = 0;
   othersErrors = 0;
-  goodWorkMs = 0;
+  successfulWorkMs = 0;
   readonly refusals: Record<string, number> = {};
   private readonly othersLatencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly latencies = hdr.build({ highestTrackableValue: 120_000_000 });
@@ -38,15 +41,15 @@
 
   constructor(private readonly trace: ITrace) {}
 
-  recordAnswer(request: ITraceRequest, answer: IResponse, latencyMs: number): void {
+  recordResponse(request: ITraceRequest, answer: IResponse, latencyMs: number): void {
     const isError = answer.status >= FIRST_SERVER_ERROR;
     this.count(request, isError);
     if (isError) this.countRefusal(String(answer.code));
-    else this.latencies.recordValue(Math.round(latencyMs * MICROSECONDS));
+    else this.latencies.recordValue(Math.round(latencyMs * MICROSECONDS_PER_MS));
     if (isError || !this.isDuringFault(request.atMs)) return;
-    this.goodWorkMs += request.workMs;
+    this.successfulWorkMs += request.workMs;
     if (request.caller === FLOODER) return;
-    this.othersLatencies.recordValue(Math.round(latencyMs * MICROSECONDS));
+    this.othersLatencies.recordValue(Math.round(latencyMs * MICROSECONDS_PER_MS));
   }
 
   recordError(request: ITraceRequest, error: unknown): void {
@@ -68,12 +71,12 @@
 
   /** The `percentile` of the latencies of successes, in ms. */
   getLatency(percentile: number): number {
-    return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS;
+    return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
   /** The same for callers other than the one that floods, during the surge. */
   getOthersLatency(percentile: number): number {
-    return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS;
+    return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
   summarizeDetection(): IDetectionResult {
@@ -83,7 +86,7 @@
       falseEjections: this.countFalseEjections(),
       demotions: this.countDemotions(),
       targetHours: (header.service.targets.length * header.durationMs) / MS_PER_HOUR,
-      slotsOverFloor: this.computeLowestSlots() - header.service.floorSlots,
+      slotsOverFloor: this.computeMinSlots() - header.service.floorSlots,
     };
   }
 
@@ -101,9 +104,9 @@
    * alone flatters a home that does nothing: slots full of stuck requests let nothing new through.
    */
   private measureDetection(fault: ITraceFault): number | undefined {
-    const endMs = this.findLastEnd(fault.target);
+    const endMs = this.findLastFaultEnd(fault.target);
     const decision = this.changes.find((change) => {
-      const isOwn = change.target === fault.target && AGAINST.has(change.standing);
+      const isOwn = change.target === fault.target && REMOVING_STATUSES.has(change.standing);
       return isOwn && change.atMs >= fault.atMs && change.atMs < endMs;
     });
     if (decision === undefined) return undefined;
@@ -116,13 +119,13 @@
     return endMs - lastMs >= NO_TRAFFIC_MS ? lastMs - fault.atMs : undefined;
   }
 
-  private findLastEnd(target: string): number {
+  private findLastFaultEnd(target: string): number {
     const faults = this.trace.faults.filter((fault) => fault.target === target);
     return Math.max(...faults.map((fault) => fault.untilMs));
   }
 
   private countFalseEjections(): number {
-    return this.changes.filter((change) => isRemoval(change) && this.isFalse(change)).length;
+    return this.changes.filter((change) => isRemoval(change) && this.isUnjustified(change)).length;
   }
 
   private countDemotions(): number {
@@ -130,24 +133,24 @@
     const demoted = new Set<string>();
     for (const change of this.changes) {
       const isDemotion = change.standing === HealthStatus.Suspect;
-      if (isDemotion && !demoted.has(change.target) && this.isFalse(change)) count += 1;
+      if (isDemotion && !demoted.has(change.target) && this.isUnjustified(change)) count += 1;
       if (isDemotion) demoted.add(change.target);
       else demoted.delete(change.target);
     }
     return count;
   }
 
-  private isFalse(change: IStandingChange): boolean {
+  private isUnjustified(change: IStandingChange): boolean {
     const excuse = this.trace.faults.find((fault) => {
-      const isNear = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_TAIL_MS;
+      const isNear = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_GRACE_MS;
       return fault.target === change.target && fault.verdict !== 'keep' && isNear;
     });
     // A failed trial prolongs an ejection that was counted when it began.
-    return excuse === undefined && !PROLONGING.has(change.reason);
+    return excuse === undefined && !PROLONGING_REASONS.has(change.reason);
   }
 
   /** Slots that the home itself leaves in use; what the trace takes away is not its doing. */
-  private computeLowestSlots(): number {
+  private computeMinSlots(): number {
     const { slotsPerTarget, targets } = this.trace.header.service;
     const out = new Set<string>();
     let lowest = targets.length;
--- a/packages/lab/src/replay/common/replayTrace.test.ts
+++ b/packages/lab/src/replay/common/replayTrace.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import type { IStatedOutcome } from '../../trace/common/trace.js';
+import type { IExpectedOutcome } from '../../trace/common/trace.js';
 import { formatTrace, parseTrace } from '../../trace/common/traceFormat.js';
 import { buildTrace } from '../../trace/common/traceGenerator.js';
 import { checkOutcome } from './outcomeCheck.js';
@@ -18,9 +18,9 @@
   return replayTrace(trace, { policy, seed: SEED, createDetector });
 }
 
-function loadOutcome(name: string): IStatedOutcome {
+function loadOutcome(name: string): IExpectedOutcome {
   const path = new URL(`../../../traces/${name}.outcome.json`, import.meta.url);
-  return JSON.parse(readFileSync(path, 'utf8')) as IStatedOutcome;
+  return JSON.parse(readFileSync(path, 'utf8')) as IExpectedOutcome;
 }
 
 test('a trace is the same after it was written and read', () => {
--- a/packages/lab/src/replay/common/replayTrace.ts
+++ b/packages/lab/src/replay/common/replayTrace.ts
@@ -97,7 +97,7 @@
     try {
       const answer = await this.home.handle(this.buildRequest(request), abort.signal);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordAnswer(request, answer, latencyMs);
+      this.recorder.recordResponse(request, answer, latencyMs);
     } catch (error) {
       this.recorder.recordError(request, error);
     }
@@ -137,7 +137,7 @@
       retryAmplification: await this.measureRetries(),
       othersErrorShare: recorder.othersErrors / Math.max(1, recorder.othersRequests),
       othersP99Ms: recorder.getOthersLatency(99),
-      goodputShare: windowMs === 0 ? undefined : recorder.goodWorkMs / (slots * windowMs),
+      goodputShare: windowMs === 0 ? undefined : recorder.successfulWorkMs / (slots * windowMs),
       refusals: recorder.refusals,
       violations: this.countViolations(),
     };
--- a/packages/lab/src/replay/common/simulatedObserver.ts
+++ b/packages/lab/src/replay/common/simulatedObserver.ts
@@ -6,11 +6,11 @@
 import { WORK_HEADER } from './simulatedTransport.js';
 
 /** One way between the home and the observer, in ms. */
-const HOP_MS = 1;
+const ONE_WAY_DELAY_MS = 1;
 const FIRST_SERVER_ERROR = 500;
 /** The observer has no headers of the caller, so the work is the route's usual one. */
-const USUAL_WORK_MS = 50;
-const MAX_ANSWER_BYTES = 1_048_576;
+const DEFAULT_WORK_MS = 50;
+const MAX_RESPONSE_BYTES = 1_048_576;
 
 /** Observes over a transport of its own. */
 export class SimulatedObserver extends TargetObserver {
@@ -22,16 +22,16 @@
   }
 
   override async observe(request: IObservationRequest): Promise<IObservation> {
-    await this.clock.sleep(HOP_MS);
+    await this.clock.sleep(ONE_WAY_DELAY_MS);
     const observation = await this.sendProbe(request);
-    await this.clock.sleep(HOP_MS);
+    await this.clock.sleep(ONE_WAY_DELAY_MS);
     return observation;
   }
 
   private async sendProbe(request: IObservationRequest): Promise<IObservation> {
-    const headers = [[WORK_HEADER, String(USUAL_WORK_MS)]] as const;
+    const headers = [[WORK_HEADER, String(DEFAULT_WORK_MS)]] as const;
     const signal = new AbortController().signal;
-    const options = { signal, freshConnection: true, maxResponseBytes: MAX_ANSWER_BYTES };
+    const options = { signal, freshConnection: true, maxResponseBytes: MAX_RESPONSE_BYTES };
     try {
       const sent = { ...request, headers, body: new Uint8Array() };
       const { status, latencyMs } = await this.transport.send(sent, options);
--- a/packages/lab/src/replay/common/simulatedTarget.ts
+++ b/packages/lab/src/replay/common/simulatedTarget.ts
@@ -78,7 +78,7 @@
   }
 
   /** Takes note of connections opened, or closed when negative. */
-  countConnections(change: number): void {
+  recordConnectionChange(change: number): void {
     this.openConnections += change;
     this.maxConnections = Math.max(this.maxConnections, this.openConnections);
   }
--- a/packages/lab/src/replay/common/simulatedTransport.ts
+++ b/packages/lab/src/replay/common/simulatedTransport.ts
@@ -10,7 +10,7 @@
 
 const CONNECT_MS = 1;
 /** Unused connections kept to one target. */
-const MAX_IDLE = 8;
+const MAX_IDLE_CONNECTIONS = 8;
 const CONNECT_TIMEOUT_MS = 1000;
 const HEALTH_WORK_MS = 1;
 const OK = 200;
@@ -57,7 +57,7 @@
     this.retiredAtMs.set(target, this.getNow());
     const idle = this.idle.get(target)?.length ?? 0;
     this.idle.delete(target);
-    this.countOpen(target, -idle);
+    this.recordOpenChange(target, -idle);
   }
 
   override hasIdleConnection(_member: string, target: string): boolean {
@@ -86,17 +86,17 @@
         if (!isKept) dropped.abort();
         return true;
       };
-      let didDispatch = false;
+      let hasDispatched = false;
       const fail: Reject = (failure, mayHaveRun) => {
         if (!settle(false)) return;
         const { isReused } = connection;
         reject(new TransportError({ failure, mayHaveRun, reusedConnection: isReused }));
       };
       const onAbort = () => {
-        fail(TransportFailure.Cancelled, didDispatch);
+        fail(TransportFailure.Cancelled, hasDispatched);
       };
       const timer = this.options.clock.startTimer(request.timeoutMs, () => {
-        fail(TransportFailure.Timeout, didDispatch);
+        fail(TransportFailure.Timeout, hasDispatched);
       });
       options.signal.addEventListener('abort', onAbort, { once: true });
       if (options.signal.aborted) {
@@ -105,7 +105,7 @@
       }
       void this.openConnection(target, connection, fail).then(async (isConnected) => {
         if (!isConnected || isSettled) return;
-        didDispatch = true;
+        hasDispatched = true;
         options.onDispatch?.();
         const isForCaller = options.onDispatch !== undefined;
         if (isForCaller) this.options.onCallerDispatch?.(request.target, this.getNow());
@@ -125,7 +125,7 @@
   ): Promise<boolean> {
     if (connection.isReused) return true;
     const effect = target.getEffect();
-    if (this.isCut(effect)) {
+    if (this.isPathBlocked(effect)) {
       await this.options.clock.sleep(CONNECT_TIMEOUT_MS);
       fail(TransportFailure.Connect, false);
       return false;
@@ -150,7 +150,7 @@
     await clock.sleep(delayMs);
     if (silenceMs !== undefined && connection.openedAtMs < silenceMs) return undefined;
     const effect = target.getEffect();
-    if (this.isCut(effect)) return undefined;
+    if (this.isPathBlocked(effect)) return undefined;
     const lossShare = this.options.isHome ? (effect.lossShare ?? 0) : 0;
     if (effect.isDown === true || random.getFloat() < lossShare) {
       fail(TransportFailure.Broken, true);
@@ -184,7 +184,7 @@
     return { status: OK, isShed: false };
   }
 
-  private isCut(effect: IFaultEffect): boolean {
+  private isPathBlocked(effect: IFaultEffect): boolean {
     return effect.isUnreachable === true || (this.options.isHome && effect.isCutFromHome === true);
   }
 
@@ -192,28 +192,28 @@
     this.attempts += 1;
     const idle = isFresh ? undefined : this.idle.get(target)?.pop();
     if (idle !== undefined) return { openedAtMs: idle.openedAtMs, isReused: true };
-    this.countOpen(target, 1);
+    this.recordOpenChange(target, 1);
     return { openedAtMs: this.getNow(), isReused: false };
   }
 
   private putConnection(target: string, connection: IConnection, isKept: boolean): void {
     const isRetired = connection.openedAtMs <= (this.retiredAtMs.get(target) ?? -Infinity);
     if (!isKept || isRetired) {
-      this.countOpen(target, -1);
+      this.recordOpenChange(target, -1);
       return;
     }
     const idle = this.idle.get(target) ?? [];
     idle.push(connection);
     this.idle.set(target, idle);
-    if (idle.length <= MAX_IDLE) return;
+    if (idle.length <= MAX_IDLE_CONNECTIONS) return;
     idle.shift();
-    this.countOpen(target, -1);
+    this.recordOpenChange(target, -1);
   }
 
-  private countOpen(target: string, change: number): void {
+  private recordOpenChange(target: string, change: number): void {
     const open = (this.open.get(target) ?? 0) + change;
     this.open.set(target, open);
-    this.options.targets.get(target)?.countConnections(change);
+    this.options.targets.get(target)?.recordConnectionChange(change);
   }
 
   private getNow(): number {
--- a/packages/lab/src/replay/node/main.ts
+++ b/packages/lab/src/replay/node/main.ts
@@ -1,7 +1,7 @@
 /** `npm run replay -- TRACE [--policy NAME] [--seed N] [--json]`; see docs/TRACES.md. */
 import { existsSync, readFileSync } from 'node:fs';
 import { Builtins, Cli, Command, Option, UsageError } from 'clipanion';
-import type { IStatedOutcome, ITrace } from '../../trace/common/trace.js';
+import type { IExpectedOutcome, ITrace } from '../../trace/common/trace.js';
 import { parseTrace } from '../../trace/common/traceFormat.js';
 import { buildTrace, listTraceNames } from '../../trace/common/traceGenerator.js';
 import { checkOutcome } from '../common/outcomeCheck.js';
@@ -14,7 +14,7 @@
 const DEFAULT_POLICY = 'sequential';
 const DEFAULT_SEED = '1';
 const ALL = 'all';
-const BROKEN_EXIT_CODE = 1;
+const VIOLATION_EXIT_CODE = 1;
 
 interface IReplayReport extends IReplayResult {
   readonly broken: readonly string[];
@@ -46,7 +46,7 @@
       this.context.stdout.write(this.json ? `${JSON.stringify(report)}\n` : formatReport(report));
       isBroken ||= report.broken.length > 0;
     }
-    return isBroken ? BROKEN_EXIT_CODE : 0;
+    return isBroken ? VIOLATION_EXIT_CODE : 0;
   }
 }
 
@@ -65,11 +65,11 @@
 }
 
 /** The statement beside the file, or else the library's for a trace of that name. */
-function loadOutcome(name: string, trace: ITrace): IStatedOutcome {
+function loadOutcome(name: string, trace: ITrace): IExpectedOutcome {
   const beside = name.replace(/\.jsonl$/, '.outcome.json');
   const stored = new URL(`${trace.header.name}.outcome.json`, OUTCOME_DIRECTORY);
   const path = [beside, stored].find((candidate) => candidate !== name && existsSync(candidate));
-  return path === undefined ? {} : (JSON.parse(readFileSync(path, 'utf8')) as IStatedOutcome);
+  return path === undefined ? {} : (JSON.parse(readFileSync(path, 'utf8')) as IExpectedOutcome);
 }
 
 function formatReport(report: IReplayReport): string {
--- a/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
+++ b/packages/lab/src/shutdown/node/shutdownUnderLoad.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { compareOutcomes } from '../../load/common/verdict.js';
+import { compareOutcomes } from '../../load/common/outcomeComparison.js';
 import { Balancer, LoadGenerator } from '../../load/node/loadGenerator.js';
 import { makeWorkloads } from '../../processes/common/worldLayout.js';
 import { LabWorld } from '../../processes/node/labWorld.js';
--- a/packages/lab/src/trace/common/members.ts
+++ b/packages/lab/src/trace/common/members.ts
@@ -59,7 +59,7 @@
   callers: 60,
 };
 
-export const PROFILES: readonly IMemberProfile[] = [DOBRESCU, DONAUTAL];
+export const MEMBER_PROFILES: readonly IMemberProfile[] = [DOBRESCU, DONAUTAL];
 
 /** Slots of the service. */
 export function countSlots(profile: IMemberProfile): number {
--- a/packages/lab/src/trace/common/scenarios.ts
+++ b/packages/lab/src/trace/common/scenarios.ts
@@ -1,8 +1,8 @@
 /** The library of traces: what goes wrong, when, and with how many targets. */
-import type { FaultVerdict, IFaultEffect } from './trace.js';
+import type { ExpectedReaction, IFaultEffect } from './trace.js';
 
 /** Parameters from which a trace is generated for either member. */
-export interface IScenario {
+export interface ITraceScenario {
   readonly name: string;
   readonly durationMs: number;
   /** Load as a multiple of the service's slots, by time; absent: the member's ordinary load. */
@@ -39,7 +39,7 @@
   readonly untilMs: number;
   readonly pick: TargetChoice;
   readonly effect: IFaultEffect;
-  readonly verdict: FaultVerdict;
+  readonly verdict: ExpectedReaction;
 }
 
 /** Which targets: the first so many, a share of them, or those of the first failure domain. */
@@ -57,31 +57,41 @@
 const SURGE_DURATION_MS = 50_000;
 const CONTROL_MS = 300_000;
 const FLAP_MS = 3000;
-const FLAPS = 6;
-const COLD_STEPS_MS = 2500;
-const ONE: TargetChoice = { by: 'count', count: 1 };
+const FLAP_COUNT = 6;
+const COLD_STEP_MS = 2500;
+const ONE_TARGET: TargetChoice = { by: 'count', count: 1 };
 
-function makeGray(name: string, effect: IFaultEffect, verdict: FaultVerdict = 'eject'): IScenario {
-  const fault = { fromMs: FROM_MS, untilMs: UNTIL_MS, pick: ONE, effect, verdict };
+function makeGrayFailure(
+  name: string,
+  effect: IFaultEffect,
+  verdict: ExpectedReaction = 'eject',
+): ITraceScenario {
+  const fault = { fromMs: FROM_MS, untilMs: UNTIL_MS, pick: ONE_TARGET, effect, verdict };
   return { name, durationMs: DURATION_MS, faults: [fault] };
 }
 
-function makeFlapping(): IScenario {
-  const faults = Array.from({ length: FLAPS }, (_, index) => {
+function makeFlapping(): ITraceScenario {
+  const faults = Array.from({ length: FLAP_COUNT }, (_, index) => {
     const fromMs = FROM_MS + 2 * index * FLAP_MS;
-    const verdict: FaultVerdict = 'eject';
-    return { fromMs, untilMs: fromMs + FLAP_MS, pick: ONE, effect: { failShare: 0.6 }, verdict };
+    const verdict: ExpectedReaction = 'eject';
+    return {
+      fromMs,
+      untilMs: fromMs + FLAP_MS,
+      pick: ONE_TARGET,
+      effect: { failShare: 0.6 },
+      verdict,
+    };
   });
   return { name: 'flapping', durationMs: DURATION_MS, faults };
 }
 
 /** Down for a moment, then slow by less and less. */
-function makeColdStart(): IScenario {
+function makeColdStart(): ITraceScenario {
   const pick: TargetChoice = { by: 'count', count: 3 };
   const downUntilMs = FROM_MS + 2000;
   const steps = [5, 3, 2].map((slowFactor, index) => ({
-    fromMs: downUntilMs + index * COLD_STEPS_MS,
-    untilMs: downUntilMs + (index + 1) * COLD_STEPS_MS,
+    fromMs: downUntilMs + index * COLD_STEP_MS,
+    untilMs: downUntilMs + (index + 1) * COLD_STEP_MS,
     pick,
     effect: { slowFactor },
     verdict: 'either' as const,
@@ -96,13 +106,13 @@
   return { name: 'cold-start', durationMs: DURATION_MS, faults: [down, ...steps] };
 }
 
-function makeSurge(name: string, load: number, rest: Partial<IScenario> = {}): IScenario {
+function makeSurge(name: string, load: number, rest: Partial<ITraceScenario> = {}): ITraceScenario {
   const surge = { fromMs: FROM_MS, untilMs: SURGE_UNTIL_MS, load };
   return { name, durationMs: SURGE_DURATION_MS, surge, faults: [], ...rest };
 }
 
 /** Every scenario, by name. */
-export const SCENARIOS: readonly IScenario[] = [
+export const SCENARIOS: readonly ITraceScenario[] = [
   {
     name: 'control',
     durationMs: CONTROL_MS,
@@ -124,15 +134,15 @@
       },
     ],
   },
-  makeGray('fail-5', { failShare: 0.05 }),
-  makeGray('fail-20', { failShare: 0.2 }),
-  makeGray('fail-50', { failShare: 0.5 }),
-  makeGray('fail-100', { failShare: 1 }),
-  makeGray('slow-3x', { slowFactor: 3 }),
-  makeGray('slow-10x', { slowFactor: 10 }),
+  makeGrayFailure('fail-5', { failShare: 0.05 }),
+  makeGrayFailure('fail-20', { failShare: 0.2 }),
+  makeGrayFailure('fail-50', { failShare: 0.5 }),
+  makeGrayFailure('fail-100', { failShare: 1 }),
+  makeGrayFailure('slow-3x', { slowFactor: 3 }),
+  makeGrayFailure('slow-10x', { slowFactor: 10 }),
   makeFlapping(),
-  makeGray('one-way-cut', { isCutFromHome: true }),
-  makeGray('silent-connections', { hasSilentConnections: true }, 'keep'),
+  makeGrayFailure('one-way-cut', { isCutFromHome: true }),
+  makeGrayFailure('silent-connections', { hasSilentConnections: true }, 'keep'),
   makeColdStart(),
   {
     name: 'half-shedding',
@@ -166,7 +176,7 @@
       },
     ],
   },
-  makeGray('lying-load', { hiddenSlots: 2 }, 'either'),
+  makeGrayFailure('lying-load', { hiddenSlots: 2 }, 'either'),
   {
     name: 'all-failing',
     durationMs: DURATION_MS,
--- a/packages/lab/src/trace/common/trace.ts
+++ b/packages/lab/src/trace/common/trace.ts
@@ -66,11 +66,11 @@
   readonly target: string;
   readonly effect: IFaultEffect;
   /** Whether the target should be taken out while this lasts. */
-  readonly verdict: FaultVerdict;
+  readonly verdict: ExpectedReaction;
 }
 
 /** "eject": it fails callers; "keep": it is well, or honest; "either": a matter of taste. */
-export type FaultVerdict = 'eject' | 'keep' | 'either';
+export type ExpectedReaction = 'eject' | 'keep' | 'either';
 
 /** Effects that can be combined. */
 export interface IFaultEffect {
@@ -101,7 +101,7 @@
 }
 
 /** What must come of a trace, kept beside it. Limits that are absent are not checked. */
-export interface IStatedOutcome {
+export interface IExpectedOutcome {
   /** Every target with an "eject" fault is out within this time of the fault's beginning. */
   readonly detectedWithinMs?: number;
   /** Targets that were taken out though nothing, or a "keep" fault, was the matter. */
--- a/packages/lab/src/trace/common/traceGenerator.ts
+++ b/packages/lab/src/trace/common/traceGenerator.ts
@@ -3,8 +3,8 @@
 import { hashToInteger, SeededRandom } from '@parsleymux/base';
 import { sampleServiceTime } from '@parsleymux/standins';
 import type { IMemberProfile } from './members.js';
-import { computeFloor, computeMeanWork, countSlots, PROFILES } from './members.js';
-import type { IScenario, TargetChoice } from './scenarios.js';
+import { computeFloor, computeMeanWork, countSlots, MEMBER_PROFILES } from './members.js';
+import type { ITraceScenario, TargetChoice } from './scenarios.js';
 import { MAX_SHIFT_MS, SCENARIOS } from './scenarios.js';
 import type {
   ITrace,
@@ -19,13 +19,13 @@
 const WORK_SIGMA = 0.5;
 const BURST_MS = 200;
 const BURST_LOSS_SHARE = 0.6;
-const HANG_UP_MS = 30;
+const DISCONNECT_AFTER_MS = 30;
 /** The one caller that floods. */
 export const FLOODER = 'flooder';
 
 /** Names of all traces: member and scenario. */
 export function listTraceNames(): readonly string[] {
-  return PROFILES.flatMap((profile) => {
+  return MEMBER_PROFILES.flatMap((profile) => {
     return SCENARIOS.map((scenario) => `${profile.member}-${scenario.name}`);
   });
 }
@@ -37,7 +37,7 @@
  * const trace = buildTrace('dobrescu-fail-20', 1);
  */
 export function buildTrace(name: string, seed: number): ITrace {
-  for (const profile of PROFILES) {
+  for (const profile of MEMBER_PROFILES) {
     for (const scenario of SCENARIOS) {
       if (`${profile.member}-${scenario.name}` === name) return buildFrom(profile, scenario, seed);
     }
@@ -46,7 +46,7 @@
 }
 
 /** Generates a trace from parameters. */
-export function buildFrom(profile: IMemberProfile, template: IScenario, seed: number): ITrace {
+export function buildFrom(profile: IMemberProfile, template: ITraceScenario, seed: number): ITrace {
   const name = `${profile.member}-${template.name}`;
   const random = new SeededRandom(hashToInteger(name, seed));
   const scenario = resolveShift(template, MAX_SHIFT_MS * random.getFloat());
@@ -59,7 +59,7 @@
 }
 
 /** The scenario with everything that goes wrong beginning later by `shiftMs`. */
-function resolveShift(scenario: IScenario, shiftMs: number): IScenario {
+function resolveShift(scenario: ITraceScenario, shiftMs: number): ITraceScenario {
   const shift = <T extends ITraceWindow>(part: T): T => ({
     ...part,
     fromMs: toMicroseconds(part.fromMs + shiftMs),
@@ -81,7 +81,7 @@
 
 function buildHeader(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   seed: number,
   targets: readonly ITraceTarget[],
 ): ITraceHeader {
@@ -106,7 +106,7 @@
 }
 
 /** From the first beginning to the last end of what the scenario is about. */
-function findWindow(scenario: IScenario): ITraceWindow | undefined {
+function findWindow(scenario: ITraceScenario): ITraceWindow | undefined {
   const parts = scenario.surge === undefined ? scenario.faults : [scenario.surge];
   if (parts.length === 0) return undefined;
   return {
@@ -118,7 +118,7 @@
 /** Poisson arrivals at the rate that keeps the wished share of the slots busy. */
 function buildRequests(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   random: RandomSource,
 ): readonly ITraceRequest[] {
   const requests: ITraceRequest[] = [];
@@ -138,7 +138,7 @@
 
 function buildRequest(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   random: RandomSource,
   arrival: Pick<ITraceRequest, 'atMs' | 'caller'>,
 ): ITraceRequest {
@@ -148,7 +148,7 @@
     readMs: profile.readDeadlineMs,
     bookMs: profile.bookDeadlineMs,
   };
-  const isHangUp = random.getFloat() < (scenario.hangUpShare ?? 0);
+  const isEarlyDisconnect = random.getFloat() < (scenario.hangUpShare ?? 0);
   return {
     kind: 'request',
     atMs: toMicroseconds(arrival.atMs),
@@ -156,12 +156,12 @@
     route: isBook ? 'book' : 'read',
     workMs: toMicroseconds(sampleServiceTime(random, meanMs, WORK_SIGMA)),
     deadlineMs: isBook ? deadlines.bookMs : deadlines.readMs,
-    ...(isHangUp ? { hangUpMs: HANG_UP_MS } : {}),
+    ...(isEarlyDisconnect ? { hangUpMs: DISCONNECT_AFTER_MS } : {}),
   };
 }
 
 function buildFaults(
-  scenario: IScenario,
+  scenario: ITraceScenario,
   targets: readonly ITraceTarget[],
 ): readonly ITraceFault[] {
   return scenario.faults.flatMap((fault) => {
@@ -187,7 +187,7 @@
 
 /** Steady loss on every link, and now and then a burst of it on one. */
 function buildLinkFaults(
-  scenario: IScenario,
+  scenario: ITraceScenario,
   targets: readonly ITraceTarget[],
   random: RandomSource,
 ): readonly ITraceFault[] {
--- a/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
+++ b/packages/lab/src/wholeAnswers/node/wholeAnswers.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { DisposableStore } from '@parsleymux/base';
-import { compareOutcomes } from '../../load/common/verdict.js';
+import { compareOutcomes } from '../../load/common/outcomeComparison.js';
 import { AttemptOutcome, getFinalAttempt } from '../../load/common/requestRecord.js';
 import { LoadGenerator } from '../../load/node/loadGenerator.js';
 import { makeWorkloads } from '../../processes/common/worldLayout.js';
