--- a/packages/lab/src/experiment/common/advertisedLimitChecker.ts
+++ b/packages/lab/src/experiment/common/advertisedLimitChecker.ts
@@ -1,18 +1,18 @@
-/** Whether targets that name a limit get no more, over all nodes that passed the limit on. */
+/** Checks that all nodes together keep to the request rates that targets advertise. */
 import type { INodeArrival, INodeTargetPair, INoticeViolation } from './targetNoticeChecker.js';
 
-/** Arrivals are counted over this time, in ms. */
+/** Window over which arrivals are counted, in ms. */
 const WINDOW_MS = 4000;
-/** Times the limit that may arrive in a window, and requests besides. */
+/** A window may hold this multiple of the advertised rate, plus the extra requests below. */
 const MAX_RATE_FACTOR = 1.5;
 const EXTRA_REQUESTS = 5;
-/** A target is judged from this long after it first named its limit, in ms. */
+/** Arrivals are checked from this long after the target first advertised a limit, in ms. */
 const SETTLING_MS = 3000;
-/** Requests of a node count from this long after it passed the limit on, in ms. */
+/** Requests of a node count from this long after it received the limit, in ms. */
 const KNOWN_AFTER_MS = 500;
 const MS_PER_S = 1000;
 
-/** One life of a target, while it names a limit. */
+/** One incarnation of a target while it advertises a limit. */
 interface ILimitedTarget {
   firstAdvertisedMs: number;
   readonly knownSinceMs: Map<string, number>;
@@ -20,14 +20,16 @@
 }
 
 /**
+ * Counts arrivals at targets that advertise a limit, over all nodes that have received the limit.
+ *
  * @example
- * limits.recordNamed({ node: 'n1/1', target: 'booking-3/1', atMs });
+ * limits.recordAdvertised({ node: 'n1/1', target: 'booking-3/1', atMs });
  * const violation = limits.checkArrival(arrival, 1.5);
  */
 export class AdvertisedLimitChecker {
   private readonly targets = new Map<string, ILimitedTarget>();
 
-  /** A node got an answer that names a limit. */
+  /** Records that a node received a response with an advertised limit. */
   recordAdvertised({ atMs, node, target }: INodeTargetPair): void {
     const limited = this.targets.get(target) ?? {
       firstAdvertisedMs: atMs,
@@ -38,7 +40,7 @@
     if (!limited.knownSinceMs.has(node)) limited.knownSinceMs.set(node, atMs);
   }
 
-  /** The violation that an arrival is; `ratePerS` is what the target takes at that moment. */
+  /** Returns a violation if the arrival exceeds the rate that the target advertises now. */
   checkArrival(
     { atMs, node, service, target }: INodeArrival,
     ratePerS: number | undefined,
@@ -50,11 +52,14 @@
       return undefined;
     }
     if (atMs < (limited.knownSinceMs.get(node) ?? Infinity) + KNOWN_AFTER_MS) return undefined;
-    limited.arrivals = [...limited.arrivals.filter((one) => one > atMs - WINDOW_MS), atMs];
+    limited.arrivals = [
+      ...limited.arrivals.filter((arrivedMs) => arrivedMs > atMs - WINDOW_MS),
+      atMs,
+    ];
     const allowed = (MAX_RATE_FACTOR * ratePerS * WINDOW_MS) / MS_PER_S + EXTRA_REQUESTS;
     const count = limited.arrivals.length;
     if (count <= allowed || atMs < limited.firstAdvertisedMs + SETTLING_MS) return undefined;
-    const text = `${target} takes ${ratePerS} a second and got ${count} in ${WINDOW_MS} ms; allowed ${Math.floor(allowed)}`;
+    const text = `${target} advertises ${ratePerS} requests/s and received ${count} in ${WINDOW_MS} ms; allowed ${Math.floor(allowed)}`;
     return { limit: 'rate', service, atMs, text };
   }
 }
--- a/packages/lab/src/experiment/common/comparison.ts
+++ b/packages/lab/src/experiment/common/comparison.ts
@@ -1,12 +1,12 @@
-/** Means of many runs, and of the differences of runs that share a seed. */
+/** Means over runs, and over differences between runs with the same seed. */
 import tQuantile from '@stdlib/stats-base-dists-t-quantile';
 import { mean, sampleStandardDeviation } from 'simple-statistics';
 import type { IRunResult } from './runRecorder.js';
 
-/** Intervals cover this much: half of the rest lies above. */
+/** Confidence level of the two-sided intervals. */
 const CONFIDENCE = 0.95;
 
-/** Figures that are compared. */
+/** Metrics that are compared. */
 export const METRIC_NAMES = [
   'credit',
   'worstCredit',
@@ -29,7 +29,7 @@
   readonly halfWidth: number;
 }
 
-/** One policy's figures, and how they differ from those of the first policy, seed by seed. */
+/** Metrics of one policy, and their differences to the first policy, paired by seed. */
 export interface IComparedPolicy {
   readonly policy: string;
   readonly figures: Readonly<Record<MetricName, IEstimate>>;
@@ -37,7 +37,7 @@
 }
 
 /**
- * The interval of Student's t distribution.
+ * Estimates the mean and its confidence interval by Student's t distribution.
  *
  * @example
  * estimateMean([0.1, 0.12, 0.11]); // { mean: 0.11, halfWidth: 0.025 }
@@ -50,20 +50,20 @@
   return { mean: mean(list), halfWidth: quantile * error };
 }
 
-/** Compares runs of policies; each list has one run a seed, in the same order of seeds. */
+/** Compares runs of policies; each list has one run for each seed, in the same order of seeds. */
 export function comparePolicies(
   runs: readonly { readonly policy: string; readonly figures: readonly IRunResult[] }[],
 ): readonly IComparedPolicy[] {
   const [baseline] = runs;
   return runs.map((run) => ({
     policy: run.policy,
-    figures: estimateAll((name) => run.figures.map((figures) => figures[name])),
+    figures: estimateAll((name) => run.figures.map((result) => result[name])),
     differences:
       run === baseline || baseline === undefined
         ? undefined
         : estimateAll((name) => {
-            return run.figures.map((figures, seed) => {
-              return figures[name] - (baseline.figures[seed]?.[name] ?? NaN);
+            return run.figures.map((result, seed) => {
+              return result[name] - (baseline.figures[seed]?.[name] ?? NaN);
             });
           }),
   }));
--- a/packages/lab/src/experiment/common/experimentRun.ts
+++ b/packages/lab/src/experiment/common/experimentRun.ts
@@ -1,4 +1,4 @@
-/** Plays a scenario once: real homes and entries before modelled targets, on simulated time. */
+/** Simulates a scenario once: real homes and entries in front of modelled targets, on simulated time. */
 import type { RandomSource } from '@parsleymux/base';
 import { ManualClock, SeededRandom, createSilentLogger } from '@parsleymux/base';
 import type { GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
@@ -16,22 +16,22 @@
 import type { ICrashingRequest, IRequestKind, IScenario, IWorkDistribution } from './scenario.js';
 import { listEvents } from './scenario.js';
 
-/** Targets and homes are looked after this often, in ms. */
+/** Interval at which the states of targets and homes are updated, in ms. */
 const UPDATE_INTERVAL_MS = 100;
-/** What an entry learns of a target's drain or loss reaches it this late, in ms. */
+/** Delay until nodes receive a changed list of targets, in ms. */
 const TARGET_LIST_DELAY_MS = 800;
 const MS_PER_S = 1000;
-/** Nodes are up this long before callers come, in ms: longer than what they count retries over. */
+/** Nodes run this long before the first caller, in ms: longer than their window of retries. */
 const WARM_UP_MS = 12_000;
-/** What is under way at the end of the load still ends. */
+/** Time after the end of the load in which pending requests end, in ms. */
 const TAIL_MS = 10_000;
 
 /**
- * Draws of callers, targets and the network come from generators of their own: a policy that sends
- * one request more changes no other request's luck, so runs of one seed make a pair.
+ * Callers, targets and the network draw from separate generators. An additional request of one policy
+ * therefore changes no draw of another request, and runs of two policies with one seed are paired.
  *
  * @example
- * const figures = await new ExperimentRun(scenario, () => new FreeSlotPolicy(), 7).run();
+ * const result = await new ExperimentRun(scenario, () => new FreeSlotPolicy(), 7).run();
  */
 export class ExperimentRun {
   private readonly clock = new ManualClock();
@@ -44,17 +44,17 @@
   private readonly targets: readonly ModelledTarget[];
   private readonly fleet: ModelledFleet;
   private readonly pendingRequests: Promise<void>[] = [];
-  /** Targets and their states that nodes were told of last. */
+  /** Targets and their states, as last sent to the nodes. */
   private lastTargetsKey = '';
 
   private readonly scenario: IScenario;
 
   constructor(
-    played: IScenario,
+    original: IScenario,
     createPolicy: (isFailing: FailureOracle) => GrantPolicy,
     seed: number,
   ) {
-    const scenario = withWarmUp(played);
+    const scenario = withWarmUp(original);
     this.scenario = scenario;
     const source = new SeededRandom(seed);
     const fork = () => new SeededRandom(source.getInteger(0x7fff_ffff));
@@ -69,12 +69,12 @@
         return new ModelledTarget({ id, index, scenario, service, clock, random: fork() });
       });
     });
-    // Not forked: scenarios without such requests keep the luck that they had.
+    // Not forked from the source, so that crashing requests don't change the draws of the others.
     this.crashing = new SeededRandom(seed + 1);
     const byId = new Map(this.targets.map((target) => [target.options.id, target]));
     this.observer = new FleetObserver(scenario);
     const log = createSilentLogger();
-    const cases = new ModelledQuarantineStore(clock);
+    const quarantineStore = new ModelledQuarantineStore(clock);
     this.fleet = new ModelledFleet({
       scenario,
       clock,
@@ -94,7 +94,7 @@
           observer: this.observer,
           rankHomes: (service) => fleet.rankHomes(service, index),
           listMembers: () => fleet.listMembers(),
-          quarantineStore: cases,
+          quarantineStore,
         });
       },
     });
@@ -127,10 +127,10 @@
     return this.summarize();
   }
 
-  /** Sends a crashing request again and again. Its callers expect nothing, so no ending is counted. */
+  /** Sends a crashing request at its rate. Outcomes for its callers aren't recorded. */
   private planCrashing(crashing: ICrashingRequest): void {
     const kind = this.scenario.kinds.find(({ name }) => name === crashing.kind);
-    if (kind === undefined) throw new Error(`there is no kind ${crashing.kind}`);
+    if (kind === undefined) throw new Error(`request kind "${crashing.kind}" does not exist`);
     const gapMs = MS_PER_S / crashing.perS;
     for (let atMs = crashing.fromMs; atMs < crashing.toMs; atMs += gapMs) {
       this.clock.startTimer(atMs, () => {
@@ -143,7 +143,7 @@
           clock: this.clock,
           random: this.crashing,
           listNodes: () => this.fleet.listOpen(),
-          ledger: new RunRecorder(),
+          recorder: new RunRecorder(),
           observer: this.observer,
         });
         this.pendingRequests.push(request);
@@ -168,17 +168,17 @@
   private send(kind: IRequestKind, index: number): void {
     const nowMs = this.clock.getMonotonicTime();
     const [abuse] = listEvents(this.scenario, 'retry-abuse', kind.service, nowMs);
-    const isHasty = this.callers.getFloat() < (abuse?.share ?? 0);
+    const isAbusive = this.callers.getFloat() < (abuse?.share ?? 0);
     const request = sendRequest({
       kind,
       id: `q${index}`,
       ...(kind.popular === undefined ? {} : { content: `${kind.name}-${index % kind.popular}` }),
       workMs: sampleWork(kind.work, this.callers),
-      immediateAttempts: isHasty ? (abuse?.factor ?? 1) : 0,
+      immediateAttempts: isAbusive ? (abuse?.factor ?? 1) : 0,
       clock: this.clock,
       random: this.paths,
       listNodes: () => this.fleet.listOpen(),
-      ledger: this.recorder,
+      recorder: this.recorder,
       observer: this.observer,
     });
     this.pendingRequests.push(request);
@@ -192,7 +192,7 @@
     return this.callers.getExponential(MS_PER_S / (kind.perS * factor));
   }
 
-  /** Tells nodes of targets, and takes lost homes off the network. */
+  /** Sends changed lists of targets to the nodes, and disconnects homes that the scenario cuts off. */
   private updateEnvironment(): void {
     const nowMs = this.clock.getMonotonicTime();
     const records = this.targets
@@ -208,9 +208,9 @@
       });
     }
     for (const service of this.scenario.services) {
-      const isLost = listEvents(this.scenario, 'home-loss', service.name, nowMs).length > 0;
+      const isHomeLost = listEvents(this.scenario, 'home-loss', service.name, nowMs).length > 0;
       const [home] = this.fleet.rankHomes(service.name);
-      if (home !== undefined) this.network.setDisconnected(home, isLost);
+      if (home !== undefined) this.network.setDisconnected(home, isHomeLost);
     }
   }
 
@@ -233,7 +233,7 @@
   }
 }
 
-/** Times of a scenario count from the first caller on. */
+/** Shifts the scenario's times, which count from the first caller, by the warm-up. */
 function withWarmUp(scenario: IScenario): IScenario {
   const events = scenario.events.map((event) => ({ ...event, atMs: event.atMs + WARM_UP_MS }));
   const crashingRequests = (scenario.crashingRequests ?? []).map((crashing) => ({
--- a/packages/lab/src/experiment/common/fleetObserver.test.ts
+++ b/packages/lab/src/experiment/common/fleetObserver.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** A request with so many arrivals, 10 ms apart. */
+/** Adds a served request with `arrivals` arrivals at targets, 10 ms apart. */
 function addRequest(observer: FleetObserver, id: string, atMs: number, arrivals: number): void {
   observer.recordRequest('booking', id, atMs);
   observer.recordServed(id);
@@ -38,7 +38,7 @@
   }
 }
 
-test('retries up to the ratio and the burst are within the limit, one more is not', () => {
+test('retries up to the ratio plus the burst are within the limit, one more is not', () => {
   const observer = createObserver();
   for (let index = 0; index < 100; index += 1) {
     addRequest(observer, `q${index}`, 12_000 + index, index < 30 ? 2 : 1);
@@ -50,7 +50,7 @@
   assert.equal(first.text, '31 retries for 100 requests; allowed 30');
 });
 
-test('requests of the window before count for retries that come late', () => {
+test('requests of the previous window count for late retries', () => {
   const observer = createObserver();
   for (let index = 0; index < 100; index += 1) addRequest(observer, `q${index}`, index, 1);
   for (let index = 0; index < 30; index += 1) {
@@ -59,7 +59,7 @@
   assert.deepEqual(observer.findViolations([]), []);
 });
 
-test('the floor binds between a tenth and a half of requests that are not served', () => {
+test('the floor binds while more than a tenth and less than half of the requests are unserved', () => {
   for (const [unserved, isBroken] of [
     [10, false],
     [11, true],
@@ -78,7 +78,7 @@
   }
 });
 
-test('targets that were disturbed, or failed lately, do not count for the floor', () => {
+test('disturbed targets and recently failed targets do not count for the floor', () => {
   const observer = createObserver();
   for (let index = 0; index < 100; index += 1) {
     const id = `q${index}`;
--- a/packages/lab/src/experiment/common/fleetObserver.ts
+++ b/packages/lab/src/experiment/common/fleetObserver.ts
@@ -1,41 +1,41 @@
-/** What callers and targets saw of a run, and whether the whole fleet kept its limits by it. */
+/** Checks limits of the whole fleet by what callers sent and what targets received. */
 import type { IScenario } from './scenario.js';
 import type { INodeArrival, INodeTargetPair, INoticeViolation } from './targetNoticeChecker.js';
 import { TargetNoticeChecker } from './targetNoticeChecker.js';
 
-/** Floors are judged over this time, in ms; a target that failed this long ago is sound again. */
+/** Window of the floor, in ms; a target whose last failure is older than this counts as healthy. */
 const FLOOR_WINDOW_MS = 2000;
-/** A target counts as sound when nothing disturbed it for this long, in ms. */
+/** A target counts as healthy if no event disturbed it for this long, in ms. */
 const UNDISTURBED_MS = 6000;
-/** The floor binds while more than a tenth, but less than half, of the requests aren't served. */
+/** The floor binds while the share of unserved requests is between these bounds. */
 const MIN_UNSERVED_SHARE = 0.1;
 const MAX_UNSERVED_SHARE = 0.5;
-/** A request that has crashed this many targets is known to the fleet within the time below. */
+/** A request that has crashed this many targets must be known to all nodes within the time below, in ms. */
 const KNOWN_CRASHES = 3;
 const KNOWN_AFTER_MS = 3000;
-/** Times that such a request may still be sent to targets after that. */
+/** Times that such a request may still reach targets afterwards. */
 const MAX_ARRIVALS_AFTER_KNOWN = 3;
-/** Windows begin this far apart, in ms. */
+/** Interval between the starts of two windows, in ms. */
 const STEP_MS = 250;
 
-/** One limit that was broken, for one service in one window. */
+/** A violation of one limit, for one service in one window. */
 export interface ILimitViolation {
   readonly limit: 'retries' | 'floor' | 'crashes' | INoticeViolation['limit'];
   readonly service: string;
-  /** When the window began. */
+  /** Start of the window, in ms of the run. */
   readonly atMs: number;
   readonly text: string;
 }
 
-/** A target as it was in truth, whatever the fleet believes. */
+/** The actual state of a target, regardless of the fleet's health estimate. */
 export interface IObservedTarget {
   readonly id: string;
   readonly service: string;
-  /** Whether it was ready, and nothing disturbed it, from one moment to another. */
+  /** Whether it was ready and no event disturbed it between two times. */
   readonly isUndisturbed: (fromMs: number, toMs: number) => boolean;
-  /** Whether it was failing by itself at any moment between two, asked or not. */
+  /** Whether it was in a failing epoch at any time between two times, with or without requests. */
   readonly isFailingWithin: (fromMs: number, toMs: number) => boolean;
-  /** When it failed a request by itself. */
+  /** Times at which it failed a request, in ms of the run. */
   readonly failedMs: readonly number[];
 }
 
@@ -50,7 +50,7 @@
   readonly isFirst: boolean;
 }
 
-/** One request that crashes the targets that run it. */
+/** Crashes and arrivals of one crashing request. */
 interface IObservedCrashes {
   readonly service: string;
   readonly crashesMs: number[];
@@ -63,8 +63,8 @@
 }
 
 /**
- * Checks limits that hold over all nodes together. It counts what arrived at targets, never what a
- * node counted itself: a limit that every node keeps by its own account may be broken in sum.
+ * Checks limits that apply to all nodes together. It counts arrivals at targets and not the counters
+ * of nodes, since a limit that each node keeps by its own count may be exceeded in sum.
  *
  * @example
  * observer.recordArrival('booking', 'q7.0', 'booking-3', nowMs);
@@ -82,12 +82,12 @@
       this.services.set(name, { requests: [], arrivals: [] });
     }
     for (const { kind, name } of scenario.crashingRequests ?? []) {
-      const service = scenario.kinds.find((one) => one.name === kind)?.service ?? '';
+      const service = scenario.kinds.find((candidate) => candidate.name === kind)?.service ?? '';
       this.crashes.set(name, { service, crashesMs: [], arrivalsMs: [] });
     }
   }
 
-  /** A caller sent a request; each one that a caller sends again is a new one. */
+  /** Records a request of a caller; each retry by the caller is a new request. */
   recordRequest(service: string, id: string, atMs: number): void {
     const request = { atMs, isServed: false };
     this.requests.set(id, request);
@@ -99,7 +99,7 @@
     if (request !== undefined) request.isServed = true;
   }
 
-  /** A request reached a target, whatever came of it. */
+  /** Records that a request reached a target, regardless of its outcome. */
   recordArrival(service: string, id: string, target: string, atMs: number): void {
     const isFirst = !this.arrived.has(id);
     this.arrived.add(id);
@@ -110,50 +110,50 @@
     this.noticeChecker.recordArrival(arrival);
   }
 
-  /** A node passed on an answer that says that the target leaves. */
+  /** Records that a node received a response that reports the target as draining. */
   recordDrainingNotice(pair: INodeTargetPair): void {
     this.noticeChecker.recordDrainingNotice(pair);
   }
 
-  /** A target that shed a request asked the node to be left alone for `waitMs`. */
+  /** Records that a target that shed a request asked the node for a wait of `waitMs`. */
   recordWaitNotice(pair: INodeTargetPair, waitMs: number): void {
     this.noticeChecker.recordWaitNotice(pair, waitMs);
   }
 
-  /** A node got an answer in which the target names a limit of requests. */
+  /** Records that a node received a response that advertises a limit of requests. */
   recordAdvertisedLimit(pair: INodeTargetPair): void {
     this.noticeChecker.recordAdvertisedLimit(pair);
   }
 
   /**
-   * A request that crashes targets reached one, sent by a node that had started at `nodeStartedMs`.
-   * What the fleet knows needs its time to reach a node that has just started.
+   * Records that a crashing request reached a target. Ignored if the node, which started at
+   * `nodeStartedMs`, hasn't had the time to receive quarantine decisions yet.
    */
   recordCrashingArrival(name: string, atMs: number, nodeStartedMs: number): void {
     if (atMs < nodeStartedMs + KNOWN_AFTER_MS) return;
     this.crashes.get(name)?.arrivalsMs.push(atMs);
   }
 
-  /** A target crashed under such a request. */
+  /** Records that a target crashed under a crashing request. */
   recordCrash(name: string, atMs: number): void {
     this.crashes.get(name)?.crashesMs.push(atMs);
   }
 
-  /** Targets that crashed under requests that crash them. */
+  /** Number of crashes of targets under crashing requests. */
   countCrashes(): number {
     return [...this.crashes.values()].reduce((sum, { crashesMs }) => sum + crashesMs.length, 0);
   }
 
-  /** All windows in which a limit was broken, in the order of services and time. */
+  /** All windows in which a limit was violated, ordered by service and time. */
   findViolations(targets: readonly IObservedTarget[]): readonly ILimitViolation[] {
     const violations: ILimitViolation[] = [];
     for (const [service, observed] of this.services) {
-      const own = targets.filter((target) => target.service === service);
+      const serviceTargets = targets.filter((target) => target.service === service);
       const firstMs = Math.floor(observed.requests[0]?.atMs ?? 0);
       const lastMs = observed.requests.at(-1)?.atMs ?? 0;
       for (let atMs = firstMs; atMs <= lastMs; atMs += STEP_MS) {
         const retries = this.checkRetries(observed, atMs);
-        const floor = this.checkFloor(observed, own, atMs);
+        const floor = this.checkFloor(observed, serviceTargets, atMs);
         if (retries !== undefined)
           violations.push({ limit: 'retries', service, atMs, text: retries });
         if (floor !== undefined) violations.push({ limit: 'floor', service, atMs, text: floor });
@@ -164,17 +164,20 @@
 
   private checkCrashes(): readonly ILimitViolation[] {
     return [...this.crashes.values()].flatMap(({ arrivalsMs, crashesMs, service }) => {
-      const thirdMs = crashesMs[KNOWN_CRASHES - 1];
-      if (thirdMs === undefined) return [];
-      const late = arrivalsMs.filter((atMs) => atMs > thirdMs + KNOWN_AFTER_MS);
+      const knownMs = crashesMs[KNOWN_CRASHES - 1];
+      if (knownMs === undefined) return [];
+      const late = arrivalsMs.filter((atMs) => atMs > knownMs + KNOWN_AFTER_MS);
       const atMs = late[MAX_ARRIVALS_AFTER_KNOWN];
       if (atMs === undefined) return [];
-      const text = `sent ${late.length} times after it had crashed ${KNOWN_CRASHES} targets; ${crashesMs.length} crashed`;
+      const text = `sent ${late.length} times after it had crashed ${KNOWN_CRASHES} targets; ${crashesMs.length} crashes in total`;
       return [{ limit: 'crashes', service, atMs, text } as const];
     });
   }
 
-  /** Requests of the window, of the one before or of the one half a window before: the most. */
+  /**
+   * Limits retries by the highest count of requests in this window, in the previous one, and in the
+   * window halfway between them.
+   */
   private checkRetries(observed: IObservedService, atMs: number): string | undefined {
     const { retryBurst, retryRatio, retryWindowMs: windowMs } = this.scenario;
     const retries = observed.arrivals.filter((arrival) => {
@@ -205,15 +208,15 @@
       unserved > MIN_UNSERVED_SHARE * requests.length &&
       unserved < MAX_UNSERVED_SHARE * requests.length;
     if (!isBinding) return undefined;
-    const sound = targets.filter((target) => isHealthy(target, atMs));
+    const healthy = targets.filter((target) => isHealthy(target, atMs));
     const usedIds = new Set(
       observed.arrivals
         .filter((arrival) => isWithin(arrival.atMs, atMs, FLOOR_WINDOW_MS))
         .map(({ target }) => target),
     );
-    const used = sound.filter(({ id }) => usedIds.has(id)).length;
-    if (used === 0 || used >= this.scenario.floorShare * sound.length) return undefined;
-    return `${sound.length - used} of ${sound.length} sound targets got nothing while ${unserved} of ${requests.length} requests weren't served`;
+    const used = healthy.filter(({ id }) => usedIds.has(id)).length;
+    if (used === 0 || used >= this.scenario.floorShare * healthy.length) return undefined;
+    return `${healthy.length - used} of ${healthy.length} healthy targets received no request while ${unserved} of ${requests.length} requests were unserved`;
   }
 }
 
@@ -225,6 +228,6 @@
   return !target.failedMs.some((failureMs) => failureMs > sinceMs && failureMs < endMs);
 }
 
-function isWithin(ms: number, fromMs: number, forMs: number): boolean {
-  return ms >= fromMs && ms < fromMs + forMs;
+function isWithin(atMs: number, fromMs: number, forMs: number): boolean {
+  return atMs >= fromMs && atMs < fromMs + forMs;
 }
--- a/packages/lab/src/experiment/common/modelledCaller.ts
+++ b/packages/lab/src/experiment/common/modelledCaller.ts
@@ -1,4 +1,4 @@
-/** A caller: sends a request, comes back after refusals, and notes how it ended. */
+/** A caller that sends a request, retries it after refusals and records its outcome. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import { ResultCode } from '@parsleymux/base';
 import type { IEntryResponse, IRouteRule } from '@parsleymux/dispatch';
@@ -18,61 +18,61 @@
 
 const OK = 200;
 const NOT_RUN_STATUSES: readonly number[] = [429, 503];
-/** Callers wait as they are told, up to this share of the time that they have left. */
+/** Callers wait for the time in retry-after, up to this share of their remaining time. */
 const MAX_WAIT_SHARE = 1 / 3;
 const MS_PER_S = 1000;
 
-/** What a caller looks at. */
+/** The parts of a response that a caller reads. */
 type CallerResponse = Pick<IEntryResponse, 'status' | 'headers'>;
 
-/** No node is up, or the node's process ended while the request was under way. */
+/** No node is up, or the node's process ended before it responded. */
 const NO_RESPONSE: CallerResponse = { status: 0, headers: [] };
 
 /** Options of {@link sendRequest}. */
 export interface ISendRequestOptions {
   readonly kind: IRequestKind;
   readonly id: string;
-  /** What is asked for; copies of one thing are the same request. Default: the identifier. */
+  /** Content of the request; requests with the same content have one fingerprint. Default: the identifier. */
   readonly content?: string;
-  /** Name of a crashing request, if it is one: all of its copies are the same request. */
+  /** Name of the crashing request, if it is one; all of its copies have one fingerprint. */
   readonly crashName?: string;
   readonly workMs: number;
-  /** Attempts that the caller makes at once instead of waiting; 0 for one that behaves. */
+  /** Attempts that an abusive caller makes without waiting; 0 for other callers. */
   readonly immediateAttempts: number;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Nodes that take requests now. */
+  /** Nodes that accept requests now. */
   readonly listNodes: () => readonly ModelledNode[];
-  readonly ledger: RunRecorder;
+  readonly recorder: RunRecorder;
   readonly observer: FleetObserver;
 }
 
-/** Resolves when the caller has its answer or has given up. */
+/** Resolves when the caller has received its final response or has given up. */
 export async function sendRequest(options: ISendRequestOptions): Promise<void> {
-  const { clock, kind, ledger } = options;
+  const { clock, kind, recorder } = options;
   const startMs = clock.getMonotonicTime();
   const endMs = startMs + kind.deadlineMs;
-  const tries = Math.max(1 + kind.returns, options.immediateAttempts);
-  for (let attempt = 0; attempt < tries; attempt += 1) {
+  const maxAttempts = Math.max(1 + kind.returns, options.immediateAttempts);
+  for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
     const sentMs = clock.getMonotonicTime();
-    const answer = await runAttempt(options, endMs, attempt);
+    const response = await runAttempt(options, endMs, attempt);
     const nowMs = clock.getMonotonicTime();
-    if (answer.status === OK) {
+    if (response.status === OK) {
       const isInTime = nowMs - startMs <= kind.objectiveMs;
-      ledger.record(kind, startMs, isInTime ? RequestOutcome.InTime : RequestOutcome.Late);
+      recorder.record(kind, startMs, isInTime ? RequestOutcome.InTime : RequestOutcome.Late);
       return;
     }
-    if (isQuarantined(answer) && options.crashName === undefined) ledger.recordQuarantined();
-    const isRefused = NOT_RUN_STATUSES.includes(answer.status);
-    if (isRefused) ledger.recordRefusal(kind, nowMs - sentMs);
-    const isLast = attempt === tries - 1 || nowMs >= endMs;
-    const mayTryAgain = isRefused || (kind.isIdempotent && attempt + 1 < options.immediateAttempts);
-    if (isLast || !mayTryAgain) {
-      ledger.record(kind, startMs, isRefused ? RequestOutcome.Refused : RequestOutcome.Failed);
+    if (isQuarantined(response) && options.crashName === undefined) recorder.recordQuarantined();
+    const isRefused = NOT_RUN_STATUSES.includes(response.status);
+    if (isRefused) recorder.recordRefusal(kind, nowMs - sentMs);
+    const isLast = attempt === maxAttempts - 1 || nowMs >= endMs;
+    const canRetry = isRefused || (kind.isIdempotent && attempt + 1 < options.immediateAttempts);
+    if (isLast || !canRetry) {
+      recorder.record(kind, startMs, isRefused ? RequestOutcome.Refused : RequestOutcome.Failed);
       return;
     }
     if (attempt + 1 >= options.immediateAttempts) {
-      const retryAfterMs = getRetryAfterMs(answer);
+      const retryAfterMs = getRetryAfterMs(response);
       await clock.sleep(Math.min(retryAfterMs, (endMs - nowMs) * MAX_WAIT_SHARE));
     }
   }
@@ -111,9 +111,9 @@
     deadlineMs: Math.min(endMs, nowMs + kind.timeoutMs),
   };
   try {
-    const answer = await node.runner.run(request, node.endSignal);
-    if (answer.status === OK) observer.recordServed(request.id);
-    return answer;
+    const response = await node.runner.run(request, node.endSignal);
+    if (response.status === OK) observer.recordServed(request.id);
+    return response;
   } catch (error) {
     if (node.endSignal.aborted) return NO_RESPONSE;
     throw error;
--- a/packages/lab/src/experiment/common/modelledFleet.ts
+++ b/packages/lab/src/experiment/common/modelledFleet.ts
@@ -1,4 +1,4 @@
-/** The nodes of an experiment over time: who is up, who knows it, and who is home of what. */
+/** The nodes of an experiment over time: restarts, membership, and the homes of services. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { ITargetRecord } from '@parsleymux/dispatch';
 import { RendezvousPlacement } from '@parsleymux/fleet';
@@ -7,15 +7,15 @@
 import type { ModelledTransport } from './modelledTransport.js';
 import type { IScenario, IScenarioEvent } from './scenario.js';
 
-/** Homes that are ranked for a service. */
+/** Number of homes that are ranked for a service. */
 const RANKED_HOMES = 3;
-/** News of a member reaches the nodes this late at most, each after a time of its own, in ms. */
+/** Upper bound of the delay, drawn for each node, until a node receives a membership change, in ms. */
 const MAX_MEMBERSHIP_DELAY_MS = 1000;
-/** A node that was told to stop gets new callers for this long: a balancer's two misses, in ms. */
+/** A stopping node receives new callers for this long: two failed health checks of a balancer, in ms. */
 const BALANCER_DELAY_MS = 2000;
-/** From the signal to stop to the end of the process, in ms: requests end, then callers are gone. */
+/** Time from the stop signal to the end of the process, in which pending requests end, in ms. */
 const SHUTDOWN_MS = 3500;
-/** From the start of a process until it is registered and ready, in ms. */
+/** Time from the start of a process until it is registered and ready, in ms. */
 const START_MS = 700;
 const DEFAULT_BATCH_INTERVAL_MS = 1000;
 
@@ -42,8 +42,8 @@
 }
 
 /**
- * Restarts nodes as the scenario says. Nodes hear of members late, each in its own time, so for a
- * moment two of them take different nodes for the home of one service.
+ * Restarts nodes according to the scenario. Each node receives membership changes with a delay of its
+ * own, so two nodes may rank different nodes as the home of one service for a short time.
  *
  * @example
  * const fleet = new ModelledFleet(options);
@@ -53,7 +53,7 @@
   private readonly nodeStates: INodeState[] = [];
   private readonly history: IMembershipSnapshot[] = [];
   private readonly registered = new Set<string>();
-  /** Of all processes that ever ran, for what they cost. */
+  /** Transports of all processes, ended ones included, for the costs of the run. */
   private readonly transports: ModelledTransport[] = [];
   private records: readonly ITargetRecord[] = [];
 
@@ -69,7 +69,7 @@
     this.recordMembers(-MAX_MEMBERSHIP_DELAY_MS);
   }
 
-  /** Starts what the scenario does to nodes. */
+  /** Schedules the scenario's restarts and power losses. */
   start(): void {
     for (const event of this.options.scenario.events) {
       if (event.kind === 'restart') this.planRestarts(event);
@@ -77,15 +77,15 @@
     }
   }
 
-  /** Nodes that callers reach. */
+  /** Nodes that callers can reach. */
   listOpen(): readonly ModelledNode[] {
     return this.nodeStates.flatMap(({ isOpen, node }, index) => {
-      const isReached = isOpen && !this.options.network.isDisconnected(formatNode(index));
-      return isReached ? [node] : [];
+      const isReachable = isOpen && !this.options.network.isDisconnected(formatNode(index));
+      return isReachable ? [node] : [];
     });
   }
 
-  /** Transports of all processes that ever ran. */
+  /** Transports of all processes, ended ones included. */
   listTransports(): readonly ModelledTransport[] {
     return this.transports;
   }
@@ -103,7 +103,10 @@
     for (const { node } of this.nodeStates) node.setTargets(records);
   }
 
-  /** Homes of a service as node `index` sees them; without one, as they are. */
+  /**
+   * Ranks the homes of a service by the membership that node `index` has received, or by the current
+   * one if `index` is undefined.
+   */
   rankHomes(service: string, index?: number): readonly string[] {
     const lagMs = index === undefined ? 0 : (this.nodeStates[index]?.lagMs ?? 0);
     const knownMs = this.options.clock.getMonotonicTime() - lagMs;
@@ -122,7 +125,7 @@
     for (const [position, { index }] of order.entries()) {
       const delayMs = Math.floor(position / batch) * gapMs;
       clock.startTimer(atMs + delayMs, () => {
-        this.restartNode(index, forMs);
+        this.runRestart(index, forMs);
       });
     }
   }
@@ -136,7 +139,7 @@
     });
   }
 
-  private restartNode(index: number, forMs: number): void {
+  private runRestart(index: number, forMs: number): void {
     const { clock } = this.options;
     const place = this.nodeStates[index];
     if (place === undefined || !this.registered.has(formatNode(index))) return;
@@ -189,7 +192,7 @@
   }
 }
 
-/** Address of a node of an experiment. */
+/** Formats the address of a node of an experiment. */
 export function formatNode(index: number): string {
   return `node-${index}`;
 }
--- a/packages/lab/src/experiment/common/modelledNetwork.ts
+++ b/packages/lab/src/experiment/common/modelledNetwork.ts
@@ -1,4 +1,4 @@
-/** Datagrams between the nodes of an experiment: delayed, and some of them lost. */
+/** Datagrams between the nodes of an experiment, with delay and random loss. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { DatagramBody } from '@parsleymux/dispatch';
 import { DatagramChannel } from '@parsleymux/dispatch';
@@ -14,6 +14,8 @@
 type Handler = (sender: string, body: DatagramBody) => void;
 
 /**
+ * Delivers datagrams between connected nodes.
+ *
  * @example
  * const channel = network.open('node-1');
  */
@@ -27,7 +29,7 @@
     return new ModelledChannel(address, this);
   }
 
-  /** Takes a node off the network, or back on. */
+  /** Disconnects a node from the network or reconnects it. */
   setDisconnected(address: string, isDisconnected: boolean): void {
     if (isDisconnected) this.disconnected.add(address);
     else this.disconnected.delete(address);
--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -1,4 +1,4 @@
-/** One node of an experiment: the real entry, home and questions on simulated time. */
+/** One node of an experiment: the real entry, home and grant protocol on simulated time. */
 import type { Clock, Logger, RandomSource } from '@parsleymux/base';
 import { create } from '@bufbuild/protobuf';
 import type {
@@ -34,7 +34,7 @@
   readonly scenario: IScenario;
   readonly channel: DatagramChannel;
   readonly failureDomain: string;
-  /** Tells processes of one node apart. */
+  /** Number of this process among those of the node, from 1. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -47,7 +47,7 @@
   readonly quarantineStore: QuarantineStore;
 }
 
-/** What a node does with callers' requests. */
+/** One process of a node that handles callers' requests. */
 export class ModelledNode {
   readonly runner: RequestRunner;
   readonly transport: ModelledTransport;
@@ -151,12 +151,12 @@
     quarantinePersister.start();
   }
 
-  /** Aborts when the process ends: its callers' connections break. */
+  /** Aborts when the process ends, which closes its callers' connections. */
   get endSignal(): AbortSignal {
     return this.end.signal;
   }
 
-  /** Says to all that it is not to be asked any more. */
+  /** Notifies all members that this node accepts no more grant requests. */
   announceShutdown(members: readonly string[]): void {
     const { channel } = this.options;
     this.retrySharing.announce();
--- a/packages/lab/src/experiment/common/modelledQuarantineStore.ts
+++ b/packages/lab/src/experiment/common/modelledQuarantineStore.ts
@@ -1,12 +1,12 @@
-/** The store of an experiment: keeps verdicts on requests when all nodes lose power. */
+/** Store of an experiment that keeps quarantine decisions while all nodes are down. */
 import type { Clock } from '@parsleymux/base';
 import type { ICrashHistoryRecord } from '@parsleymux/dispatch';
 import { QuarantineStore } from '@parsleymux/dispatch';
 
-/** From a call to its answer, in ms. */
+/** Duration of each call, in ms. */
 const CALL_MS = 5;
 
-/** Answers every call. */
+/** Quarantine store in memory that is always available. */
 export class ModelledQuarantineStore extends QuarantineStore {
   private readonly rows = new Map<string, ICrashHistoryRecord>();
 
--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -1,4 +1,4 @@
-/** One target on simulated time: slots, a short queue, and epochs in which it fails. */
+/** A target on simulated time with slots, a bounded queue and epochs in which it fails. */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { IObservedTarget } from './fleetObserver.js';
 import type { ICrashingRequest, IScenario, IScenarioEvent, ISimulatedService } from './scenario.js';
@@ -7,7 +7,7 @@
 const OK = 200;
 const FAILED = 500;
 const SHED = 503;
-/** What disturbs a target from outside. */
+/** Events that disturb a target from outside. */
 const DISTURBING_EVENTS: readonly IScenarioEvent['kind'][] = [
   'slow',
   'fail',
@@ -18,29 +18,29 @@
   'limit',
 ];
 
-/** What a target makes of one request. */
+/** A target's response to one request. */
 export interface IModelledResponse {
   readonly status: number;
   readonly notRun: boolean;
-  /** Whether the target says that it leaves. */
+  /** Whether the target reports that it is draining. */
   readonly draining: boolean;
-  /** For how long a target that sheds asks to be left alone, in ms. */
+  /** Wait that a shedding target requests from the node, in ms. */
   readonly waitMs?: number | undefined;
-  /** Requests a second that it takes, if it names a limit. */
+  /** Advertised limit in requests per second; undefined if the target advertises none. */
   readonly rateLimit?: number | undefined;
 }
 
-/** A request as it reaches a target. */
+/** A request that reaches a target. */
 export interface IModelledArrival {
   readonly workMs: number;
-  /** From 0 to 1; decides whether the target fails it. */
+  /** Random number from 0 to 1 that decides whether the target fails or sheds the request. */
   readonly luck: number;
-  /** What the request does to the target that runs it; undefined for nearly all requests. */
+  /** Set if the request crashes the target that runs it. */
   readonly crash: ICrashingRequest | undefined;
-  /** It has crashed the target. */
+  /** Called when the request has crashed the target. */
   readonly onCrash: () => void;
-  readonly respond: (answer: IModelledResponse) => void;
-  /** The target's process has ended, and its connections with it. */
+  readonly respond: (response: IModelledResponse) => void;
+  /** Called when the target's process has ended and its connections are closed. */
   readonly onConnectionLost: () => void;
 }
 
@@ -60,21 +60,21 @@
 }
 
 /**
- * Draws its own luck, so that two policies that send it different requests still meet the same
- * epochs.
+ * Draws its epochs from a generator of its own, so that runs under different policies have the same
+ * failures.
  *
  * @example
- * const job = target.accept(workMs, (answer) => resolve(answer));
+ * const job = target.accept({ workMs, luck, crash: undefined, onCrash, respond, onConnectionLost });
  */
 export class ModelledTarget {
   arrivals = 0;
-  /** When it failed a request, in ms of the run. */
+  /** Times at which it failed a request, in ms of the run. */
   readonly failedMs: number[] = [];
-  /** Counts the starts of its process. */
+  /** Number of starts of its process. */
   incarnation = 1;
   private readonly running = new Set<IJob>();
   private readonly waiting: IJob[] = [];
-  /** When its process ended under a request, and when it was there again. */
+  /** Times at which its process ended and at which it was up again, in ms of the run. */
   private readonly outages: { readonly fromMs: number; readonly toMs: number }[] = [];
   private readonly offsetMs: number;
   private readonly epochs: boolean[] = [];
@@ -85,7 +85,7 @@
     for (const event of options.scenario.events) this.planPowerLoss(event);
   }
 
-  /** Each loss takes targets of its own choice: those that stand in one rack differ from day to day. */
+  /** Each event draws its affected targets separately, since targets move between racks. */
   private planPowerLoss(event: IScenarioEvent): void {
     const { clock, random, service } = this.options;
     if (event.kind !== 'target-loss' || (event.service ?? service.name) !== service.name) return;
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Whether nothing listens at its address now. */
+  /** Whether its process is down, so that connections are refused. */
   isDown(): boolean {
     return this.isAffected('crash') || this.getNowMs() < (this.outages.at(-1)?.toMs ?? 0);
   }
@@ -104,35 +104,35 @@
     return this.isAffected('drain');
   }
 
-  /** Whether it is failing by itself now. */
+  /** Whether it is failing now for a reason of its own, not because of its load. */
   isFailing(): boolean {
     return this.isAffected('fail') || this.isEpochFailing(this.getEpoch(this.getNowMs()));
   }
 
-  /** Takes a request. Disposing drops it. */
+  /** Accepts a request. Disposing the result cancels the request. */
   accept(arrival: IModelledArrival): IDisposable {
     const { clock, service } = this.options;
-    const { respond: answer, luck } = arrival;
+    const { respond, luck } = arrival;
     this.arrivals += 1;
     if (luck > 1 - this.getShedShare()) {
       return clock.startTimer(service.gray.failMs, () => {
-        answer(this.makeShedResponse());
+        respond(this.makeShedResponse());
       });
     }
     const isFailing = this.isFailing();
     if (luck < (isFailing ? service.gray.failShare : service.errorShare)) {
       this.failedMs.push(clock.getMonotonicTime());
-      // It does no work, so it takes no slot either.
+      // A failed request does no work, so it uses no slot.
       const { failMs } = service.gray;
       return clock.startTimer(failMs, () => {
-        answer(this.makeResponse(FAILED));
+        respond(this.makeResponse(FAILED));
       });
     }
     const workMs = arrival.workMs * this.getSlowness();
     const job: IJob = { ...arrival, workMs, isCancelled: false };
     if (this.running.size < service.slots) this.run(job);
     else if (this.waiting.length < service.queue) this.waiting.push(job);
-    else answer(this.makeShedResponse());
+    else respond(this.makeShedResponse());
     return {
       dispose: () => {
         job.isCancelled = true;
@@ -140,13 +140,13 @@
     };
   }
 
-  /** Requests a second that it takes now; undefined while it names no limit. */
+  /** The limit that it advertises now, in requests per second; undefined while it has none. */
   getRateLimit(): number | undefined {
     const rates = this.listAffectingEvents('limit').flatMap(({ ratePerS }) => ratePerS ?? []);
     return rates.length === 0 ? undefined : Math.min(...rates);
   }
 
-  /** What an observer who knows the truth sees of it. */
+  /** The target's actual state, for the checks of {@link FleetObserver}. */
   toObserved(): IObservedTarget {
     return {
       id: this.options.id,
@@ -191,11 +191,11 @@
 
   private run(job: IJob): void {
     const { clock } = this.options;
-    const { incarnation: life } = this;
+    const { incarnation } = this;
     this.running.add(job);
     const endsAfterMs = job.crash?.runMs ?? job.workMs;
     clock.startTimer(endsAfterMs, () => {
-      if (this.incarnation !== life) return;
+      if (this.incarnation !== incarnation) return;
       if (job.crash !== undefined) {
         job.onCrash();
         this.end(job.crash.downMs);
@@ -207,7 +207,7 @@
     });
   }
 
-  /** The process ends: all that it runs and all that waits is lost with its connections. */
+  /** Ends the process: running and waiting requests are lost with their connections. */
   private end(downMs: number): void {
     const lost = [...this.running, ...this.waiting];
     this.running.clear();
@@ -238,7 +238,7 @@
     return this.isDraining() || this.isAffected('drain-told');
   }
 
-  /** Share of its requests that it sheds, whether it has free slots or not. */
+  /** Share of requests that it sheds even while slots are free. */
   private getShedShare(): number {
     return this.listAffectingEvents('shed').reduce(
       (most, { factor = 1 }) => Math.max(most, factor),
@@ -257,17 +257,18 @@
     return this.listAffectingEvents(kind).length > 0;
   }
 
-  /** Events that concern this target now. */
+  /** Events of a kind that affect this target now. */
   private listAffectingEvents(kind: IScenarioEvent['kind']): readonly IScenarioEvent[] {
     const { clock, scenario, service } = this.options;
     const events = listEvents(scenario, kind, service.name, clock.getMonotonicTime());
     return events.filter((event) => this.isAffectedBy(event));
   }
 
-  private isAffectedBy({ kind, service: only, share = 0 }: IScenarioEvent): boolean {
+  private isAffectedBy({ kind, service: eventService, share = 0 }: IScenarioEvent): boolean {
     const { index, service } = this.options;
-    if (only !== undefined && only !== service.name) return false;
-    // Slow ones from the first, others from the last: a slow target and a lost one are different.
+    if (eventService !== undefined && eventService !== service.name) return false;
+    // Slow targets are counted from the first and others from the last, so that a slow target and a
+    // crashed one differ.
     const position = kind === 'slow' ? index : service.targets - 1 - index;
     return position < share * service.targets;
   }
--- a/packages/lab/src/experiment/common/modelledTransport.ts
+++ b/packages/lab/src/experiment/common/modelledTransport.ts
@@ -1,4 +1,4 @@
-/** The connections of one node to modelled targets. */
+/** Transport of one node to modelled targets, on simulated time. */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { Header, ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
@@ -8,21 +8,20 @@
 
 /** Header that carries the request's identifier. */
 export const ID_HEADER = 'x-id';
-/** Header that carries how long work on the request takes at a target of usual speed, in ms. */
+/** Header that carries the work of the request, in ms at a target that isn't slowed. */
 export const WORK_HEADER = 'x-work-ms';
-/** Header that names what the request does to the target that runs it, see {@link ICrashingRequest}. */
+/** Header that carries the name of the {@link ICrashingRequest}, if the request is one. */
 export const CRASH_HEADER = 'x-crash';
-/** Header that carries the size of the answer, in bytes. */
+/** Header that carries the size of the response, in bytes. */
 export const SIZE_HEADER = 'x-answer-bytes';
-
-/** Header that carries when the caller sent the request, in ms of the run. */
+/** Header that carries the time at which the caller sent the request, in ms of the run. */
 export const SENT_HEADER = 'x-sent-ms';
 
 const OK = 200;
 const MS_PER_S = 1000;
 const CONNECT_MS = 1;
 const ONE_WAY_DELAY_MS = 0.5;
-/** A kept connection is used again within this time, in ms: targets close idle ones a little later. */
+/** Idle connections are reused within this time, in ms; targets close them a little later. */
 const IDLE_TIMEOUT_MS = 8500;
 
 /** Options of a {@link ModelledTransport}. */
@@ -31,17 +30,17 @@
   readonly random: RandomSource;
   readonly targets: ReadonlyMap<string, ModelledTarget>;
   readonly observer: FleetObserver;
-  /** Names this process of the node, for what targets have told it. */
+  /** Identifies this process of the node in the notices that targets send it. */
   readonly node: string;
   readonly crashingRequests: readonly ICrashingRequest[];
-  /** Whether a target stands in another failure domain than the node. */
+  /** Whether a target is in another failure domain than the node. */
   readonly isInOtherDomain: (target: ModelledTarget) => boolean;
 }
 
-/** Counts connections as a node does, and drops them as its pools do. */
+/** Sends to modelled targets and models the node's pools of idle connections. */
 export class ModelledTransport extends TargetTransport {
   openedConnections = 0;
-  /** Bytes of answers from targets of other failure domains. */
+  /** Size of all responses from targets of other failure domains, in bytes. */
   crossDomainBytes = 0;
   private readonly idle = new Map<string, number[]>();
   private readonly startedMs: number;
@@ -54,7 +53,7 @@
   override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const { clock, targets } = this.options;
     const target = targets.get(request.target);
-    if (target === undefined) throw new Error(`there is no target ${request.target}`);
+    if (target === undefined) throw new Error(`target "${request.target}" does not exist`);
     if (target.isDown()) {
       this.idle.delete(request.target);
       throw makeError(TransportFailure.Connect, false);
@@ -124,11 +123,11 @@
         if (signal.aborted) return;
         const nowMs = clock.getMonotonicTime();
         observer.recordArrival(service.name, requestId, targetId, nowMs);
-        const life = `${targetId}/${target.incarnation}`;
+        const incarnation = `${targetId}/${target.incarnation}`;
         observer.recordNodeArrival({
           node,
           service: service.name,
-          target: life,
+          target: incarnation,
           sentMs,
           atMs: nowMs,
           ratePerS: target.getRateLimit(),
@@ -138,15 +137,15 @@
           workMs,
           luck: random.getFloat(),
           crash,
-          respond: (answer) => {
+          respond: (response) => {
             clock.startTimer(ONE_WAY_DELAY_MS, () => {
               void timeout.dispose();
               signal.removeEventListener('abort', onAbort);
-              const told = { node, target: life, atMs: clock.getMonotonicTime() };
-              if (answer.draining) observer.recordDrainingNotice(told);
-              if (answer.waitMs !== undefined) observer.recordWaitNotice(told, answer.waitMs);
-              if (answer.rateLimit !== undefined) observer.recordAdvertisedLimit(told);
-              resolve(answer);
+              const pair = { node, target: incarnation, atMs: clock.getMonotonicTime() };
+              if (response.draining) observer.recordDrainingNotice(pair);
+              if (response.waitMs !== undefined) observer.recordWaitNotice(pair, response.waitMs);
+              if (response.rateLimit !== undefined) observer.recordAdvertisedLimit(pair);
+              resolve(response);
             });
           },
           onCrash: () => {
@@ -163,9 +162,9 @@
   private takeIdle(target: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
     const fresh = (this.idle.get(target) ?? []).filter((atMs) => nowMs - atMs < IDLE_TIMEOUT_MS);
-    const isThere = fresh.pop() !== undefined;
+    const hasIdle = fresh.pop() !== undefined;
     this.idle.set(target, fresh);
-    return isThere;
+    return hasIdle;
   }
 
   private storeIdle(target: string): void {
--- a/packages/lab/src/experiment/common/requestLimits.test.ts
+++ b/packages/lab/src/experiment/common/requestLimits.test.ts
@@ -2,51 +2,46 @@
 import { test } from 'node:test';
 import { listViolations, runScenario } from '../test/scenarioRuns.js';
 
-test('a request that crashes the targets that run it is held back before it takes the service', async () => {
-  // Symptom: half of the targets of a service are down at any moment, and callers of other requests get
-  // failures or are refused. Sequence: a caller sends a request under which a target's process ends; the
-  // entry sends it to a second target; the same request comes again at another node a second later.
-  // Cause: nothing remembers a request beyond its answer. Each copy is a new one, and is granted the target
-  // that is believed soundest, for only targets are judged by outcomes.
-  // Proof: copies of one fingerprint in the nodes' logs, granted at low suspicion by one home all along.
+test('a request that crashes targets is quarantined before it takes down the service', async () => {
+  // Guards against a poison request that keeps half of a service's targets down. The entry retries it at a
+  // second target, and its caller repeats it at another node. Without a record per fingerprint each copy
+  // counts as a new request and is granted the healthiest target.
   assert.deepEqual(await listViolations('crashing-request', 'crashes', [1, 2]), []);
 });
 
-test('such a request stays held back when its home is lost and nodes start anew', async () => {
-  // The same while the home of its service is cut off, all nodes are restarted four at a time, and at last
-  // lose power at once: what is known of the request must outlive each of them.
+test('a request stays quarantined when its home is lost and nodes restart', async () => {
+  // The home of its service is partitioned, all nodes restart in batches of four, and finally all nodes
+  // lose power at the same time: the quarantine decision must survive each of these.
   assert.deepEqual(await listViolations('crashing-request-restarts', 'crashes', [1, 2]), []);
 });
 
-test('no harmless request is held back while racks lose power again and again', async () => {
-  // Targets of all services are lost every few seconds, all of them once, while callers repeat what
-  // failed and ask for popular things again and again.
+test('no harmless request is quarantined while racks lose power repeatedly', async () => {
+  // Targets of all services lose power every few seconds, once all of them together, while callers retry
+  // failed requests and send popular requests many times.
   for (const seed of [1, 2, 3]) {
     const { heldBack } = await runScenario('crashes-of-their-own', seed);
     assert.equal(heldBack, 0, `seed ${seed}`);
   }
 });
 
-test('a node sends nothing to a target that has told it that it leaves', async () => {
-  // Symptom: a node sends a request to a target 4 s after it passed on an answer of it which says that it
-  // leaves. Sequence: the target writes to the store that it leaves; the store is away for seconds, so
-  // no list says so; the target says it in each answer. Cause: only the list is believed, answers are
-  // not looked at. Proof: logs of that time have grants of the target, and no line that it leaves.
+test('a node sends nothing to a target whose draining notice it has received', async () => {
+  // Guards against nodes that read draining only from the list of targets and ignore the notice in
+  // responses. While the store is unavailable, the list doesn't show that a target is draining.
   assert.deepEqual(await listViolations('told-leaving', 'drain', [1, 2]), []);
 });
 
-test('a target that asks to be left alone for some seconds is left alone', async () => {
-  // Symptom: a target that sheds a request and says for how long it wants none gets the next one from the
-  // same node 100 ms later. Cause: how long a shed target is spared is fixed, whatever it says.
+test('a target that requests a wait gets no requests during it', async () => {
+  // Guards against a fixed pause after a shed request: a node must honor the time that the target requests
+  // in its response, instead of sending the next request 100 ms later.
   assert.deepEqual(await listViolations('told-to-wait', 'wait', [1, 2]), []);
 });
 
-test('a target that names a limit gets no more from all nodes together', async () => {
-  // Guards against limits in answers that nobody reads, or that each node keeps to by itself.
+test('all nodes together keep to the limit that a target advertises', async () => {
+  // Guards against limits in responses that are ignored, or that each node applies for itself alone.
   assert.deepEqual(await listViolations('named-limits-calm', 'rate', [1, 2]), []);
 });
 
-test('a named limit holds while homes are lost and nodes start anew', async () => {
-  // Guards against a home that takes over and does not know the limit, or what was sent before it.
+test('an advertised limit holds while homes are lost and nodes restart', async () => {
+  // Guards against a new home that lacks the limit or the count of requests granted before it took over.
   assert.deepEqual(await listViolations('named-limits', 'rate', [1, 2]), []);
 });
--- a/packages/lab/src/experiment/common/runRecorder.ts
+++ b/packages/lab/src/experiment/common/runRecorder.ts
@@ -1,54 +1,55 @@
-/** What callers got in one run, and what it cost. */
+/** Records the outcomes of requests in one run, and its costs. */
 import type { ILimitViolation } from './fleetObserver.js';
 import type { IRequestKind } from './scenario.js';
 
-/** Windows in which the worst moments are looked for, in ms. */
+/** Length of the windows that are searched for the worst credit, in ms. */
 const WINDOW_MS = 2000;
 const BYTES_PER_KIB = 1024;
-/** A refusal within this share of the objective came at once. */
+/** A refusal after more than this share of the objective counts as held. */
 const HELD_REFUSAL_SHARE = 1 / 8;
-/** Windows that count as the worst. */
+/** Number of windows that count as the worst. */
 const WORST_WINDOWS = 2;
 
-/** How a request ended for its caller. */
+/** Outcome of a request for its caller. */
 export const RequestOutcome = {
-  /** Answered within its objective. */
+  /** Served within its objective. */
   InTime: 'inTime',
+  /** Served after its objective. */
   Late: 'late',
-  /** Told that it has not run, until its caller gave up. */
+  /** Refused as not run at each attempt, until its caller gave up. */
   Refused: 'refused',
   Failed: 'failed',
 } as const;
 
 export type RequestOutcome = (typeof RequestOutcome)[keyof typeof RequestOutcome];
 
-/** Figures of one run; shares are of all requests. */
+/** Results of one run; shares are of all requests. */
 export interface IRunResult {
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
-  /** Worth earned as a share of the worth asked for. */
+  /** Worth of served requests as a share of the worth of all requests. */
   readonly credit: number;
-  /** The same over the worst two windows of 2 s. */
+  /** Mean credit of the two worst windows of 2 s. */
   readonly worstCredit: number;
-  /** The same for the kind that fares worst. */
+  /** Credit of the kind with the lowest credit. */
   readonly worstKindCredit: number;
-  /** Refusals after more than an eighth of the objective, for each request. */
+  /** Refusals after more than an eighth of the objective, per request. */
   readonly heldRefusals: number;
-  /** New connections for each request. */
+  /** New connections per request. */
   readonly connections: number;
-  /** Answers carried between failure domains for each request, in KiB. */
+  /** Size of responses transferred between failure domains, in KiB per request. */
   readonly crossedKib: number;
-  /** Failed runs at targets for each request. */
+  /** Executions that failed at targets, per request. */
   readonly failedRuns: number;
-  /** Targets that crashed under requests that crash them. */
+  /** Number of crashes of targets under crashing requests. */
   readonly crashedTargets: number;
-  /** Answers to harmless requests that were held back for what they were taken to do to targets. */
+  /** Harmless requests that were quarantined by mistake. */
   readonly heldBack: number;
-  /** Limits that hold over all nodes together, and were broken. */
+  /** Violations of limits that apply to all nodes together. */
   readonly violations: readonly ILimitViolation[];
-  /** Share of the requests of each kind that ended so. */
+  /** Share of the requests of each kind with each outcome. */
   readonly kinds: Readonly<Record<string, Readonly<Record<RequestOutcome, number>>>>;
 }
 
@@ -58,7 +59,7 @@
   readonly outcome: RequestOutcome;
 }
 
-/** Costs that are counted besides the endings. */
+/** Costs that are counted besides the outcomes. */
 export interface IRunCosts {
   readonly connections: number;
   readonly crossDomainBytes: number;
@@ -68,33 +69,33 @@
 }
 
 /**
- * Collects endings.
+ * Collects the outcomes of requests and summarizes them.
  *
  * @example
- * ledger.record(kind, atMs, Ending.InTime);
+ * recorder.record(kind, atMs, RequestOutcome.InTime);
  */
 export class RunRecorder {
   private readonly records: IOutcomeRecord[] = [];
   private heldRefusals = 0;
   private heldBack = 0;
 
-  record(kind: IRequestKind, atMs: number, ending: RequestOutcome): void {
-    this.records.push({ kind, atMs, outcome: ending });
+  record(kind: IRequestKind, atMs: number, outcome: RequestOutcome): void {
+    this.records.push({ kind, atMs, outcome });
   }
 
-  /** Counts a refusal that came `heldMs` after the question. */
-  recordRefusal(kind: IRequestKind, heldMs: number): void {
-    if (heldMs > kind.objectiveMs * HELD_REFUSAL_SHARE) this.heldRefusals += 1;
+  /** Counts a refusal as held if it came late; `latencyMs` is the time since the request was sent. */
+  recordRefusal(kind: IRequestKind, latencyMs: number): void {
+    if (latencyMs > kind.objectiveMs * HELD_REFUSAL_SHARE) this.heldRefusals += 1;
   }
 
-  /** Counts a harmless request that was held back for what it was taken to do to targets. */
+  /** Counts a harmless request that was quarantined by mistake. */
   recordQuarantined(): void {
     this.heldBack += 1;
   }
 
   summarize(costs: IRunCosts): IRunResult {
     const { records } = this;
-    const asked = Math.max(1, records.length);
+    const requests = Math.max(1, records.length);
     const windows = toGroups(records, ({ atMs }) => String(Math.floor(atMs / WINDOW_MS)));
     const kinds = toGroups(records, ({ kind }) => kind.name);
     const worst = windows.map(computeCredit).sort((left, right) => left - right);
@@ -105,10 +106,10 @@
       worstCredit:
         worstWindows.reduce((sum, credit) => sum + credit, 0) / Math.max(1, worstWindows.length),
       worstKindCredit: Math.min(...kinds.map(computeCredit)),
-      heldRefusals: this.heldRefusals / asked,
-      connections: costs.connections / asked,
-      crossedKib: costs.crossDomainBytes / BYTES_PER_KIB / asked,
-      failedRuns: costs.failedRuns / asked,
+      heldRefusals: this.heldRefusals / requests,
+      connections: costs.connections / requests,
+      crossedKib: costs.crossDomainBytes / BYTES_PER_KIB / requests,
+      failedRuns: costs.failedRuns / requests,
       crashedTargets: costs.crashedTargets,
       heldBack: this.heldBack,
       violations: costs.violations,
@@ -122,8 +123,8 @@
 function computeShares(
   records: readonly IOutcomeRecord[],
 ): Readonly<Record<RequestOutcome, number>> {
-  const getShare = (ending: RequestOutcome) => {
-    return records.filter((record) => record.outcome === ending).length / records.length;
+  const getShare = (outcome: RequestOutcome) => {
+    return records.filter((record) => record.outcome === outcome).length / records.length;
   };
   return {
     inTime: getShare(RequestOutcome.InTime),
@@ -135,13 +136,13 @@
 
 function computeCredit(records: readonly IOutcomeRecord[]): number {
   let earned = 0;
-  let owed = 0;
-  for (const { outcome: ending, kind } of records) {
-    owed += kind.worth;
-    if (ending === RequestOutcome.InTime) earned += kind.worth;
-    if (ending === RequestOutcome.Late) earned += kind.lateWorth;
+  let total = 0;
+  for (const { outcome, kind } of records) {
+    total += kind.worth;
+    if (outcome === RequestOutcome.InTime) earned += kind.worth;
+    if (outcome === RequestOutcome.Late) earned += kind.lateWorth;
   }
-  return owed === 0 ? 1 : earned / owed;
+  return total === 0 ? 1 : earned / total;
 }
 
 function toGroups(
--- a/packages/lab/src/experiment/common/scenario.ts
+++ b/packages/lab/src/experiment/common/scenario.ts
@@ -1,6 +1,6 @@
-/** What an experiment plays: services, kinds of requests, and what goes wrong when. */
+/** Scenarios of experiments: services, kinds of requests, and scheduled events. */
 
-/** How long work on a request takes: lognormal with a heavier tail, cut off at `maxMs`. */
+/** Distribution of the work of a request: lognormal with a heavier tail, capped at `maxMs`. */
 export interface IWorkDistribution {
   readonly meanMs: number;
   /** Standard deviation of the logarithm. */
@@ -18,46 +18,46 @@
   readonly perS: number;
   readonly isIdempotent: boolean;
   readonly objectiveMs: number;
-  /** How long a caller waits, over all of its attempts. */
+  /** How long a caller waits in total, over all of its attempts. */
   readonly deadlineMs: number;
   readonly timeoutMs: number;
   readonly maxAttempts: number;
   readonly priority: number;
-  /** Worth of an answer within the objective, and of a later one. */
+  /** Worth of a response within the objective, and of a later one. */
   readonly worth: number;
   readonly lateWorth: number;
-  /** Times that a caller comes back after a refusal. */
+  /** Number of times that a caller retries after a refusal. */
   readonly returns: number;
   readonly work: IWorkDistribution;
-  /** Things that callers ask for again and again; absent where each asks for something of its own. */
+  /** Number of different contents that callers request repeatedly; absent if each content is unique. */
   readonly popular?: number;
-  /** Size of an answer. */
+  /** Size of a response, in bytes. */
   readonly answerBytes: number;
 }
 
-/** How targets of a service fail by themselves. */
+/** Epochs in which targets of a service fail for reasons of their own. */
 export interface IGrayEpochs {
   /** Probability that a target is failing during one epoch. */
   readonly share: number;
-  /** Each target draws anew after this time. */
+  /** Length of an epoch, after which each target draws again. */
   readonly everyMs: number;
-  /** Share of its requests that a failing target fails. */
+  /** Share of requests that a failing target fails. */
   readonly failShare: number;
-  /** How long a failing target takes to fail: short, or until the caller gives up. */
+  /** Time until a failing target responds with a failure, in ms; a long time models targets that hang. */
   readonly failMs: number;
 }
 
-/** One request that crashes each target that begins to run it, and comes again and again. */
+/** A request that is repeated and crashes each target that runs it. */
 export interface ICrashingRequest {
   readonly name: string;
-  /** Name of the kind of requests that it belongs to. */
+  /** Name of its kind of requests. */
   readonly kind: string;
   readonly perS: number;
   readonly fromMs: number;
   readonly toMs: number;
-  /** How long a target runs it before it crashes, in ms. */
+  /** How long a target runs it before the crash, in ms. */
   readonly runMs: number;
-  /** How long a target stays down, in ms. */
+  /** How long a target stays down after the crash, in ms. */
   readonly downMs: number;
 }
 
@@ -66,14 +66,14 @@
   readonly name: string;
   readonly targets: number;
   readonly slots: number;
-  /** Requests that wait at a target before it sheds. */
+  /** Number of requests that wait at a target before it sheds. */
   readonly queue: number;
-  /** Share of requests that a sound target fails. */
+  /** Share of requests that a healthy target fails. */
   readonly errorShare: number;
   readonly gray: IGrayEpochs;
 }
 
-/** What happens for a while. */
+/** An event that lasts for some time. */
 export interface IScenarioEvent {
   readonly kind:
     | 'burst'
@@ -82,43 +82,43 @@
     | 'fail'
     | 'shed'
     | 'crash'
-    /** Targets lose power: what runs there is lost with its connections. */
+    /** Targets lose power; their running requests are lost with the connections. */
     | 'target-loss'
     | 'drain'
-    /** Targets say in their answers that they leave; the list of targets does not say so. */
+    /** Targets report in responses that they are draining; the list of targets doesn't show it. */
     | 'drain-told'
-    /** Targets name in their answers how many requests a second they take. */
+    /** Targets advertise a limit of requests per second in responses. */
     | 'limit'
     | 'home-loss'
-    /** Nodes are told to stop, a batch each `gapMs`, and start anew. */
+    /** Nodes stop and start again, one batch every `gapMs`. */
     | 'restart'
-    /** All nodes lose power at once, and start anew after `forMs`. */
+    /** All nodes lose power at the same time and start again after `forMs`. */
     | 'power-loss';
   readonly atMs: number;
   readonly forMs: number;
-  /** Share of the targets, callers or nodes concerned, from 0 to 1. Default 0. */
+  /** Share of the affected targets, callers or nodes, from 0 to 1. Default 0. */
   readonly share?: number;
-  /** Times as much load, work, or attempts; of `shed`, the share of requests. Default 1. */
+  /** Multiple of load, work or attempts; for `shed`, the share of requests. Default 1. */
   readonly factor?: number;
-  /** Of `shed`: for how long targets ask to be left alone. Default: they don't say. */
+  /** For `shed`: the wait that targets request in responses, in ms. Default: none. */
   readonly waitMs?: number;
-  /** Of `limit`: requests a second that each target takes from all nodes together. */
+  /** For `limit`: requests per second that each target accepts from all nodes together. */
   readonly ratePerS?: number;
-  /** Nodes of one batch of restarts. Default 1. */
+  /** Number of nodes in one batch of restarts. Default 1. */
   readonly batch?: number;
-  /** Between two batches, in ms. Default 1,000. */
+  /** Interval between two batches, in ms. Default 1,000. */
   readonly gapMs?: number;
-  /** Default: all. */
+  /** The affected service. Default: all. */
   readonly service?: string;
 }
 
-/** A whole scenario, as its file holds it. */
+/** A scenario as stored in its file. */
 export interface IScenario {
   readonly name: string;
   readonly durationMs: number;
   readonly nodes: number;
   readonly failureDomains: number;
-  /** One way of a datagram between nodes, and the share of datagrams that is lost. */
+  /** One-way delay of a datagram between nodes in ms, and the share of datagrams that is lost. */
   readonly datagramMs: number;
   readonly datagramLoss: number;
   readonly services: readonly ISimulatedService[];
@@ -126,7 +126,7 @@
   readonly events: readonly IScenarioEvent[];
   /** Default: none. */
   readonly crashingRequests?: readonly ICrashingRequest[];
-  /** The fleet's retries. */
+  /** Limit of the fleet's retries: their ratio to requests, the burst, and the window in ms. */
   readonly retryRatio: number;
   readonly retryBurst: number;
   readonly retryWindowMs: number;
@@ -134,7 +134,7 @@
 }
 
 /**
- * Events that concern a service now.
+ * Events of a kind that affect a service at `nowMs`.
  *
  * @example
  * const slow = listEvents(scenario, 'slow', 'booking', nowMs);
--- a/packages/lab/src/experiment/common/targetNoticeChecker.ts
+++ b/packages/lab/src/experiment/common/targetNoticeChecker.ts
@@ -1,14 +1,17 @@
-/** What targets have told single nodes, and whether the nodes kept to it. */
+/** Checks that each node acts on the notices that it receives in responses of targets. */
 import { AdvertisedLimitChecker } from './advertisedLimitChecker.js';
 
-/** A node that was told that a target leaves sends it nothing that came this much later, in ms. */
+/**
+ * A node that received a draining notice sends the target no request that its caller sent this long
+ * after the notice, in ms.
+ */
 const DRAIN_NOTICE_GRACE_MS = 2000;
-/** From this long after a target asked to be left alone, in ms, it gets next to nothing. */
+/** Arrivals count against a requested wait from this long after the request for it, in ms. */
 const WAIT_GRACE_MS = 500;
-/** Requests that it gets all the same within that time, at most. */
+/** Requests that may still reach the target during the rest of the wait. */
 const MAX_ARRIVALS_IN_WAIT = 2;
 
-/** One process of a node, and one life of a target. */
+/** One process of a node and one incarnation of a target. */
 export interface INodeTargetPair {
   readonly node: string;
   readonly target: string;
@@ -18,13 +21,13 @@
 /** A request that reached a target. */
 export interface INodeArrival extends INodeTargetPair {
   readonly service: string;
-  /** When the caller sent it. */
+  /** Time at which the caller sent the request, in ms of the run. */
   readonly sentMs: number;
-  /** Requests a second that the target takes at that moment; undefined while it names no limit. */
+  /** Limit that the target advertises then, in requests per second; undefined while it has none. */
   readonly ratePerS?: number | undefined;
 }
 
-/** One thing that was not kept to. */
+/** A notice that a node did not act on. */
 export interface INoticeViolation {
   readonly limit: 'drain' | 'wait' | 'rate';
   readonly service: string;
@@ -39,9 +42,11 @@
 }
 
 /**
+ * Records the notices of targets and checks each request that reaches a target against them.
+ *
  * @example
- * limits.recordToldDraining({ node: 'n1/1', target: 'booking-3/1', atMs });
- * limits.recordArrival(arrival);
+ * checker.recordDrainingNotice({ node: 'n1/1', target: 'booking-3/1', atMs });
+ * checker.recordArrival(arrival);
  */
 export class TargetNoticeChecker {
   readonly violations: INoticeViolation[] = [];
@@ -75,10 +80,10 @@
 
   private checkDraining(arrival: INodeArrival): void {
     const { atMs, node, sentMs, service, target } = arrival;
-    const toldMs = this.draining.get(formatKey(arrival));
-    if (toldMs === undefined || sentMs <= toldMs + DRAIN_NOTICE_GRACE_MS) return;
-    const lateMs = Math.round(atMs - toldMs);
-    const text = `${node} sent to ${target} ${lateMs} ms after it had been told that it leaves`;
+    const noticeMs = this.draining.get(formatKey(arrival));
+    if (noticeMs === undefined || sentMs <= noticeMs + DRAIN_NOTICE_GRACE_MS) return;
+    const lateMs = Math.round(atMs - noticeMs);
+    const text = `${node} sent to ${target} ${lateMs} ms after its draining notice`;
     this.violations.push({ limit: 'drain', service, atMs, text });
   }
 
@@ -88,7 +93,7 @@
       if (atMs < wait.fromMs || atMs > wait.untilMs) continue;
       wait.arrivals += 1;
       if (wait.arrivals !== MAX_ARRIVALS_IN_WAIT + 1) continue;
-      const text = `${node} sent ${wait.arrivals} times to ${target}, which had asked to be left alone`;
+      const text = `${node} sent ${wait.arrivals} times to ${target} during the wait that it requested`;
       this.violations.push({ limit: 'wait', service, atMs, text });
     }
   }
--- a/packages/lab/src/experiment/node/experimentPool.ts
+++ b/packages/lab/src/experiment/node/experimentPool.ts
@@ -1,11 +1,11 @@
-/** Plays many runs on a few threads. */
+/** Runs many simulations on a pool of worker threads. */
 import { Worker } from 'node:worker_threads';
 import type { IRunResult } from '../common/runRecorder.js';
 import type { IScenario } from '../common/scenario.js';
 
 const WORKER_MODULE = new URL('./experimentWorker.js', import.meta.url);
 
-/** One run to play. */
+/** One simulation run. */
 export interface IExperimentJob {
   readonly scenario: IScenario;
   readonly policy: string;
@@ -13,10 +13,10 @@
 }
 
 /**
- * Resolves with the figures in the order of the jobs.
+ * Runs the jobs on `threads` workers. Resolves with the results in the order of the jobs.
  *
  * @example
- * const figures = await runExperiments(jobs, 4);
+ * const results = await runExperiments(jobs, 4);
  */
 export async function runExperiments(
   jobs: readonly IExperimentJob[],
@@ -41,9 +41,9 @@
 function runOn(worker: Worker, job: IExperimentJob | undefined): Promise<IRunResult> {
   return new Promise((resolve, reject) => {
     worker.once('error', reject);
-    worker.once('message', (figures: IRunResult) => {
+    worker.once('message', (result: IRunResult) => {
       worker.off('error', reject);
-      resolve(figures);
+      resolve(result);
     });
     worker.postMessage(job);
   });
--- a/packages/lab/src/experiment/node/experimentWorker.ts
+++ b/packages/lab/src/experiment/node/experimentWorker.ts
@@ -1,4 +1,4 @@
-/** A thread that plays scenarios one after another. */
+/** Worker thread that runs one simulation for each job it receives. */
 import { parentPort } from 'node:worker_threads';
 import { ExperimentRun } from '../common/experimentRun.js';
 import { parsePolicy } from '../policies/policySpec.js';
--- a/packages/lab/src/experiment/node/main.ts
+++ b/packages/lab/src/experiment/node/main.ts
@@ -19,11 +19,12 @@
 class ExperimentCommand extends Command {
   static override readonly paths = [Command.Default];
   static override readonly usage = Command.Usage({
-    description: 'Plays a scenario under several policies, on the same seeds, and compares them.',
-    details: `A policy is ${POLICY_SPECS}. The first one is what the others are compared with.`,
+    description:
+      'Simulates a scenario under several policies with the same seeds and compares the results.',
+    details: `A policy is ${POLICY_SPECS}. The first policy is the baseline of the comparison.`,
     examples: [
       [
-        'What the value of probes is worth',
+        'Compare expected credit with and without the value of probes',
         '$0 three-services --policy expected-credit --policy expected-credit,valuesProbes=false',
       ],
     ],
@@ -31,11 +32,17 @@
 
   readonly scenario = Option.String({ name: 'scenario' });
   readonly policies = Option.Array('--policy', {
-    description: `A policy; to be given once for each. Default: ${DEFAULT_POLICIES.join(', ')}.`,
+    description: `A policy; repeat the option for each one. Default: ${DEFAULT_POLICIES.join(', ')}.`,
+  });
+  readonly seeds = Option.String('--seeds', DEFAULT_SEEDS, {
+    description: 'Number of runs of each policy, with seeds from 1.',
+  });
+  readonly threads = Option.String('--threads', DEFAULT_THREADS, {
+    description: 'Number of worker threads.',
+  });
+  readonly json = Option.Boolean('--json', false, {
+    description: 'Print the report as one JSON object.',
   });
-  readonly seeds = Option.String('--seeds', DEFAULT_SEEDS, { description: 'Runs of each policy.' });
-  readonly threads = Option.String('--threads', DEFAULT_THREADS, { description: 'Runs at once.' });
-  readonly json = Option.Boolean('--json', false, { description: 'Print one JSON object.' });
 
   override async execute(): Promise<number> {
     const policies = this.policies ?? DEFAULT_POLICIES;
@@ -46,27 +53,27 @@
     const jobs = policies.flatMap((policy) => {
       return seeds.map((seed) => ({ scenario, policy, seed }));
     });
-    const figures = await runExperiments(jobs, Number(this.threads));
+    const results = await runExperiments(jobs, Number(this.threads));
     const runs = policies.map((policy, index) => {
-      return { policy, figures: figures.slice(index * count, (index + 1) * count) };
+      return { policy, figures: results.slice(index * count, (index + 1) * count) };
     });
     const compared = comparePolicies(runs);
-    const broken = runs.flatMap((run) => listViolations(run.policy, run.figures));
-    const report = { scenario: scenario.name, seeds: count, policies: compared, broken };
-    const text = [formatTable(scenario.name, compared), ...broken.map((line) => `${line}\n`)];
+    const violated = runs.flatMap((run) => listViolations(run.policy, run.figures));
+    const report = { scenario: scenario.name, seeds: count, policies: compared, broken: violated };
+    const text = [formatTable(scenario.name, compared), ...violated.map((line) => `${line}\n`)];
     this.context.stdout.write(this.json ? `${JSON.stringify(report)}\n` : text.join(''));
     return 0;
   }
 }
 
 function loadScenario(name: string): IScenario {
-  const own = new URL(`${name}.json`, SCENARIO_DIRECTORY);
-  const path = existsSync(name) ? name : own;
-  if (!existsSync(path)) throw new UsageError(`there is no scenario "${name}"`);
+  const bundled = new URL(`${name}.json`, SCENARIO_DIRECTORY);
+  const path = existsSync(name) ? name : bundled;
+  if (!existsSync(path)) throw new UsageError(`scenario "${name}" does not exist`);
   return JSON.parse(readFileSync(path, 'utf8')) as IScenario;
 }
 
-/** One line for each limit and service that a run broke, with the first window. */
+/** One line for each limit that a run violated for a service, with the first window. */
 function listViolations(policy: string, runs: readonly IRunResult[]): readonly string[] {
   return runs.flatMap(({ violations }, index) => {
     const first = new Map(
@@ -75,17 +82,17 @@
         .map((violation) => [`${violation.limit} ${violation.service}`, violation]),
     );
     return [...first].map(([name, { atMs, text }]) => {
-      return `broken: ${policy}, seed ${index + 1}, ${name} at ${atMs} ms: ${text}`;
+      return `violated: ${policy}, seed ${index + 1}, ${name} at ${atMs} ms: ${text}`;
     });
   });
 }
 
 function formatTable(name: string, policies: readonly IComparedPolicy[]): string {
-  const head = METRIC_NAMES.map((figure) => figure.padStart(CELL_WIDTH)).join('');
+  const head = METRIC_NAMES.map((metric) => metric.padStart(CELL_WIDTH)).join('');
   const lines = policies.flatMap(({ differences, figures, policy }) => {
-    const formatRow = (title: string, row: typeof figures) => {
-      const cells = METRIC_NAMES.map((figure) => formatEstimate(row[figure]));
-      return title.padEnd(NAME_WIDTH) + cells.map((cell) => cell.padStart(CELL_WIDTH)).join('');
+    const formatRow = (label: string, row: typeof figures) => {
+      const cells = METRIC_NAMES.map((metric) => formatEstimate(row[metric]));
+      return label.padEnd(NAME_WIDTH) + cells.map((cell) => cell.padStart(CELL_WIDTH)).join('');
     };
     const rows = [formatRow(policy, figures)];
     if (differences !== undefined) rows.push(formatRow('  difference', differences));
--- a/packages/lab/src/experiment/policies/freeSlotCost.ts
+++ b/packages/lab/src/experiment/policies/freeSlotCost.ts
@@ -1,25 +1,25 @@
 /**
- * What granting a target is expected to cost, as a share of what the request is worth. The home
- * grants the target with the lowest cost, so detection, load and distance weigh against each other
- * in one unit, and no threshold decides alone.
+ * Expected cost of granting a target, as a share of the request's worth. The policy grants the
+ * target with the lowest cost, so health, load and distance are traded off in one unit and no
+ * single threshold decides.
  */
 import type { TargetState, IGrantRequest } from '@parsleymux/dispatch';
 
-/** Weights of the parts of a cost, each as a share of a request's worth. */
+/** Weights of the terms of the cost, each as a share of a request's worth. */
 export interface ITargetCostWeights {
-  /** Losing a request that can't be repeated loses all of its worth. Default 1. */
+  /** Failing a request that can't be retried loses all of its worth. Default 1. */
   readonly lostRequest: number;
-  /** Losing an attempt that can be repeated costs time and some of the retry budget. Default 0.25. */
+  /** Failing an attempt that can be retried costs time and retry budget. Default 0.25. */
   readonly lostAttempt: number;
-  /** Carrying request and answer between failure domains. Default 0.12. */
+  /** Transferring request and response between failure domains. Default 0.12. */
   readonly crossDomain: number;
-  /** A target whose slots are all but used. Some slow down when nearly full. Default 0.06. */
+  /** Granting the last free slot of a target, since some targets slow down when nearly full. Default 0.06. */
   readonly fullTarget: number;
-  /** A target that is slow after its start. Default 0.1. */
+  /** Granting a target that is still warming up after its start. Default 0.1. */
   readonly coldTarget: number;
 }
 
-/** See the comment of each weight; the defaults were chosen by reasoning, then compared by runs. */
+/** Default weights; the comment of each weight gives its reason. */
 export const DEFAULT_COST_WEIGHTS: ITargetCostWeights = {
   lostRequest: 1,
   lostAttempt: 0.25,
@@ -28,23 +28,23 @@
   coldTarget: 0.1,
 };
 
-/** What the cost depends on besides the target. */
+/** Inputs of the cost other than the target. */
 export interface ICostContext {
   readonly request: IGrantRequest;
   readonly weights: ITargetCostWeights;
   readonly failingFailureRate: number;
-  /** Share of the service's retry allowance that is used up, from 0 to 1. */
+  /** Share of the service's retry budget that is used, from 0 to 1. */
   readonly retriesUsed: number;
   readonly nowMs: number;
 }
 
 /**
- * What a failed attempt loses. A request that could be repeated is lost all the same once the
- * service's retries are used up, so trying doubtful targets gets dearer on the way there.
+ * Loss of a failed attempt. A request that could be retried is also lost once the service's retry
+ * budget is used up, so granting suspected targets costs more as the budget shrinks.
  */
 function computeLoss({ request, retriesUsed, weights }: ICostContext): number {
-  const isRepeatable = request.isIdempotent && request.attempt === 1;
-  if (!isRepeatable) return weights.lostRequest;
+  const canRetry = request.isIdempotent && request.attempt === 1;
+  if (!canRetry) return weights.lostRequest;
   const { lostAttempt, lostRequest } = weights;
   return lostAttempt + (lostRequest - lostAttempt) * retriesUsed * retriesUsed;
 }
@@ -53,7 +53,9 @@
  * The expected cost of granting `target`.
  *
  * @example
- * const cost = computeTargetCost(target, { request, weights, failingFailureRate: 0.7, retriesUsed: 0, nowMs });
+ * const cost = computeTargetCost(target, {
+ *   request, weights, failingFailureRate: 0.7, retriesUsed: 0, nowMs,
+ * });
  */
 export function computeTargetCost(target: TargetState, context: ICostContext): number {
   const { request, weights, failingFailureRate, nowMs } = context;
--- a/packages/lab/src/experiment/policies/freeSlotPolicy.ts
+++ b/packages/lab/src/experiment/policies/freeSlotPolicy.ts
@@ -1,4 +1,4 @@
-/** Grants whatever slot is free, the least doubtful first; requests wait only while none is. */
+/** Grants any free slot, the cheapest target first; requests wait only while no slot is free. */
 import { ResultCode } from '@parsleymux/base';
 import type {
   TargetState,
@@ -12,7 +12,9 @@
 import { computeTargetCost, DEFAULT_COST_WEIGHTS } from './freeSlotCost.js';
 
 /**
- * The policy before expected credit, kept to compare with. Picks the lowest cost, but sees to it that new targets are tried and floors kept.
+ * Baseline for comparison with expected credit. Grants the free target with the lowest cost, except
+ * that new targets get a first request and that the floor of targets in use is maintained while
+ * the service is failing.
  *
  * @example
  * const decision = new FreeSlotPolicy().decide(waiting, state);
@@ -50,8 +52,8 @@
 
   private pick(request: IGrantRequest, state: IServiceState): TargetState | undefined {
     const free = listFreeTargets(request, state);
-    const untried = free.find((target) => isFirstRequestDue(target, request, state.nowMs));
-    if (untried !== undefined) return untried;
+    const firstDue = free.find((target) => isFirstRequestDue(target, request, state.nowMs));
+    if (firstDue !== undefined) return firstDue;
     if (state.isFailing && state.usage.share < state.floorShare) return findLeastRecent(free);
     return this.findCheapest(free, request, state);
   }
--- a/packages/lab/src/experiment/policies/oraclePolicy.ts
+++ b/packages/lab/src/experiment/policies/oraclePolicy.ts
@@ -1,13 +1,13 @@
-/** Decides as if it knew which targets fail: what is lost then, nobody can avoid. */
+/** Policy with perfect knowledge of failing targets: a bound on what any real policy can reach. */
 import type { IServiceState, IWaitingRequest, PolicyDecision } from '@parsleymux/dispatch';
 import { ExpectedCreditPolicy, listFreeTargets } from '@parsleymux/dispatch';
 
-/** Tells whether a target is failing at this moment. */
+/** Whether a target is failing now. */
 export type FailureOracle = (targetId: string) => boolean;
 
 /**
- * Grants only targets that don't fail now, by the present policy's own placing; requests wait for
- * them as long as that policy lets them. No detection and no probing can do better.
+ * Grants only targets that aren't failing now, with the placement and the waiting of the current
+ * policy. No detection and no probing can do better.
  */
 export class OraclePolicy extends ExpectedCreditPolicy {
   constructor(private readonly isFailing: FailureOracle) {
--- a/packages/lab/src/experiment/policies/policySpec.ts
+++ b/packages/lab/src/experiment/policies/policySpec.ts
@@ -1,4 +1,4 @@
-/** Names of policies, with settings, as a command line gives them. */
+/** Parses names of policies and their settings from the command line. */
 import type { GrantPolicy, IExpectedCreditSettings } from '@parsleymux/dispatch';
 import { DEFAULT_CREDIT_SETTINGS, ExpectedCreditPolicy } from '@parsleymux/dispatch';
 import VError from 'verror';
@@ -17,7 +17,7 @@
   .join(', ')} and the weights ${Object.keys(DEFAULT_CREDIT_SETTINGS.weights).join(', ')}`;
 
 /**
- * Makes the policies that a text names, one for each service.
+ * Returns a factory of the policy that `text` names. Throws if the policy or a setting is unknown.
  *
  * @example
  * const createPolicy = parsePolicy('expected-credit,valuesProbes=false');
--- a/packages/lab/src/experiment/test/scenarioRuns.ts
+++ b/packages/lab/src/experiment/test/scenarioRuns.ts
@@ -1,4 +1,4 @@
-/** Plays scenarios for tests, and lists the limits that they broke. */
+/** Runs scenarios for tests and lists the limits that they violated. */
 import { readFileSync } from 'node:fs';
 import { ExperimentRun } from '../common/experimentRun.js';
 import type { IRunResult } from '../common/runRecorder.js';
@@ -8,14 +8,14 @@
 
 const SCENARIOS = new URL('../../../scenarios/', import.meta.url);
 
-/** Plays a scenario once with what the fleet does. */
+/** Runs a scenario once with the fleet's default policy. */
 export function runScenario(name: string, seed: number): Promise<IRunResult> {
   const text = readFileSync(new URL(`${name}.json`, SCENARIOS), 'utf8');
   const scenario = JSON.parse(text) as IScenario;
   return new ExperimentRun(scenario, parsePolicy('expected-credit'), seed).run();
 }
 
-/** What broke one limit, in words, over some seeds. */
+/** Descriptions of all violations of one limit over several seeds. */
 export async function listViolations(
   name: string,
   limit: ILimitViolation['limit'],
@@ -24,8 +24,8 @@
   const found: string[] = [];
   for (const seed of seeds) {
     const { violations } = await runScenario(name, seed);
-    const broken = violations.filter((violation) => violation.limit === limit);
-    found.push(...broken.map(({ atMs, service, text }) => `${service}, ${atMs} ms: ${text}`));
+    const matching = violations.filter((violation) => violation.limit === limit);
+    found.push(...matching.map(({ atMs, service, text }) => `${service}, ${atMs} ms: ${text}`));
   }
   return found;
 }
--- a/packages/lab/src/load/common/callerHeaders.ts
+++ b/packages/lab/src/load/common/callerHeaders.ts
@@ -1,7 +1,7 @@
 /** Headers between callers and nodes. */
 
 export const CallerHeader = {
-  /** Unique to a request and the same on its retries. */
+  /** Unique for each request; retries carry the same value. */
   RequestId: 'x-request-id',
   IdempotencyKey: 'idempotency-key',
   TimeoutMs: 'parsleymux-timeout-ms',
--- a/packages/lab/src/load/common/outcomeComparison.test.ts
+++ b/packages/lab/src/load/common/outcomeComparison.test.ts
@@ -49,7 +49,7 @@
 const ANSWERED = { outcome: AttemptOutcome.Answered, status: 200, code: 0 } as const;
 const UNKNOWN = { runState: RunState.MayHaveRun, code: 4004 } as const;
 
-test('a booking that two targets executed is found, a read executed twice is not', () => {
+test('a booking that two targets executed is reported, a read executed twice is not', () => {
   const executions = [makeExecution(10, 'k'), makeExecution(20, 'k')];
   assert.deepEqual(listBrokenGuarantees(makeRecord(true, [ANSWERED]), executions), [
     'at most once',
@@ -58,7 +58,7 @@
   assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), reads), []);
 });
 
-test('a refusal as not run is false when an execution began before the next attempt', () => {
+test('a refusal as not run is false if an execution started before the next attempt', () => {
   const refusedThenAnswered = makeRecord(true, [{}, ANSWERED]);
   assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(120, 'k')]), []);
   assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(20, 'k')]), [
@@ -73,10 +73,10 @@
   );
 });
 
-test('foreign and partial answers, answers that nobody executed, and bare errors are found', () => {
+test('partial responses, responses without execution and unexplained errors are reported', () => {
   const partial = makeRecord(false, [{ outcome: AttemptOutcome.Partial }, ANSWERED]);
   assert.deepEqual(listBrokenGuarantees(partial, [makeExecution(10)]), ['whole answers']);
   assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), []), ['whole answers']);
-  const bare = makeRecord(false, [{ outcome: AttemptOutcome.Unexplained }]);
-  assert.deepEqual(listBrokenGuarantees(bare, []), ['truthful refusals']);
+  const unexplained = makeRecord(false, [{ outcome: AttemptOutcome.Unexplained }]);
+  assert.deepEqual(listBrokenGuarantees(unexplained, []), ['truthful refusals']);
 });
--- a/packages/lab/src/load/common/outcomeComparison.ts
+++ b/packages/lab/src/load/common/outcomeComparison.ts
@@ -1,38 +1,38 @@
 /**
- * Compares what callers were told with what the targets executed. This is the outside view of
- * three promises: at most once, truthful refusals, whole answers.
+ * Compares the outcomes that callers received with the executions of targets. This verifies three
+ * guarantees end to end: at-most-once execution, truthful refusals and complete responses.
  */
 import { RunState } from '@parsleymux/base';
 import type { IExecution } from '@parsleymux/standins';
 import type { IAttemptRecord, IRequestRecord } from './requestRecord.js';
 import { AttemptOutcome, getFinalAttempt } from './requestRecord.js';
 
-/** One broken promise, with enough to find the request in the logs. */
+/** A violated guarantee, with the identifier that finds the request in the logs. */
 export interface IFinding {
   readonly promise: string;
   readonly requestId: string;
   readonly detail: string;
 }
 
-/** The outcome of a comparison. */
+/** Result of a comparison. */
 export interface IOutcomeComparison {
   readonly requests: number;
   readonly executions: number;
-  /** Non-idempotent requests that were answered whole. */
+  /** Non-idempotent requests with a complete response. */
   readonly bookingsDone: number;
   readonly bookings: number;
-  /** Refusals as "not run" that were compared. */
+  /** Requests whose refusals as "not run" were compared. */
   readonly notRunChecked: number;
   readonly findings: readonly IFinding[];
 }
 
 /**
- * Compares all records with all executions. Call it when the load has ended and the targets
- * have come to rest.
+ * Compares all records with all executions. Call it after the load has ended and the targets run no
+ * more requests.
  *
  * @example
- * const verdict = compareOutcomes(records, executions);
- * if (verdict.findings.length > 0) process.exitCode = 1;
+ * const comparison = compareOutcomes(records, executions);
+ * if (comparison.findings.length > 0) process.exitCode = 1;
  */
 export function compareOutcomes(
   records: readonly IRequestRecord[],
@@ -85,12 +85,12 @@
   return findings;
 }
 
-/** Attempts that reached a node. */
+/** Attempts that were sent to a node. */
 function getSentAttempts(record: IRequestRecord): readonly IAttemptRecord[] {
   return record.attempts.filter(({ outcome }) => outcome !== AttemptOutcome.NotSent);
 }
 
-/** Sent attempts from the first on that were all refused as not run. */
+/** Number of sent attempts, from the first on, that were refused as not run. */
 function countLeadingNotRun(record: IRequestRecord): number {
   const sent = getSentAttempts(record);
   const first = sent.findIndex(({ outcome, runState }) => {
@@ -100,10 +100,10 @@
 }
 
 /**
- * Only attempts before the first of another outcome are judged: once an attempt may have run,
- * an execution that is seen later can be that one's, and a further "not run" speaks of its own
- * attempt alone. An execution counts against the refusals if it began before the next attempt
- * was sent, or at any time when no other attempt followed.
+ * Finds an execution that contradicts refusals as "not run". Only attempts before the first one with
+ * another outcome are checked: once an attempt may have run, a later execution can belong to it, and
+ * a further "not run" applies to its own attempt alone. An execution contradicts the refusals if it
+ * started before the next attempt was sent, or at any time if no other attempt followed.
  */
 function findFalseNotRun(
   record: IRequestRecord,
--- a/packages/lab/src/load/common/requestRecord.ts
+++ b/packages/lab/src/load/common/requestRecord.ts
@@ -1,54 +1,54 @@
-/** What callers saw, kept for comparison with what the targets executed. */
+/** Records of callers' requests, which are compared with the executions of targets. */
 import type { RunState } from '@parsleymux/base';
 import type { ICallerRequest } from './workload.js';
 
-/** How one attempt ended for the caller. */
+/** Outcome of one attempt for the caller. */
 export const AttemptOutcome = {
-  /** The whole answer to the caller's own request. */
+  /** The complete response to the caller's request. */
   Answered: 'answered',
-  /** A refusal by the fleet, with a result code and a run state. */
+  /** A refusal of the fleet with a result code and a run state. */
   Refused: 'refused',
-  /** The target's own failure, passed on whole. */
+  /** A complete failure response of the target. */
   TargetFailed: 'target-failed',
-  /** No connection to the node could be made; nothing was sent. */
+  /** The connection to the node failed; nothing was sent. */
   NotSent: 'not-sent',
-  /** An answer that was visibly cut, or a connection that broke: the caller knows nothing. */
+  /** The response was truncated or the connection lost, so the caller doesn't know whether it ran. */
   Broken: 'broken',
-  /** Nothing came in the caller's time and a margin. */
+  /** No response arrived within the caller's timeout plus a margin. */
   TimedOut: 'timed-out',
-  /** An answer that looked whole and was not. */
+  /** A response that appeared complete but was not. */
   Partial: 'partial',
-  /** The answer to another request. */
+  /** The response to another request. */
   Foreign: 'foreign',
-  /** An error without the fleet's result code or without a run state. */
+  /** An error without a result code of the fleet or without a run state. */
   Unexplained: 'unexplained',
 } as const;
 
 export type AttemptOutcome = (typeof AttemptOutcome)[keyof typeof AttemptOutcome];
 
-/** One attempt as its caller saw it. */
+/** One attempt as recorded by its caller. */
 export interface IAttemptRecord {
   readonly outcome: AttemptOutcome;
   readonly node: string;
-  /** HTTP status, or 0 when none came. */
+  /** HTTP status, or 0 without a response. */
   readonly status: number;
-  /** The fleet's result code, or -1 when none came. */
+  /** Result code of the fleet, or -1 without one. */
   readonly code: number;
   readonly runState: RunState | undefined;
   readonly sentAtMs: number;
-  /** Milliseconds since the Unix epoch at which the caller knew. */
+  /** Time at which the caller knew the outcome, in ms since the Unix epoch. */
   readonly endedAtMs: number;
 }
 
-/** One request with all its attempts. */
+/** One request with all of its attempts. */
 export interface IRequestRecord {
   readonly request: ICallerRequest;
-  /** In the order in which they were sent. */
+  /** Ordered by the time at which they were sent. */
   readonly attempts: readonly IAttemptRecord[];
 }
 
 /**
- * How the request ended in the end: answered, if any attempt was.
+ * The attempt that decides the outcome of a request: an answered one if there is one, else the last.
  *
  * @example
  * const outcome = getFinalAttempt(record.attempts)?.outcome;
--- a/packages/lab/src/load/common/workload.ts
+++ b/packages/lab/src/load/common/workload.ts
@@ -1,4 +1,4 @@
-/** What callers ask for. */
+/** Workloads of simulated callers. */
 
 /** A stream of requests to one route. */
 export interface IWorkload {
@@ -9,21 +9,21 @@
   readonly path: string;
   readonly method: 'GET' | 'POST';
   readonly idempotent: boolean;
-  /** Mean arrivals a second; they are a Poisson stream. */
+  /** Mean rate of the Poisson arrivals, per second. */
   readonly perSecond: number;
-  /** What the caller says it waits, in ms. */
+  /** Timeout that the caller sends with the request, in ms. */
   readonly timeoutMs: number;
-  /** Times that the caller asks in all, with the same key and request id. */
+  /** Maximum number of attempts, all with the same key and request id. */
   readonly maxAttempts: number;
   readonly bodyBytes: number;
   /**
-   * Share of requests that are asked a second time, through another node, while the first attempt
-   * still runs: by impatient callers, and by clients that think a connection lost.
+   * Share of requests that are sent a second time, through another node, while the first attempt is
+   * still pending, as impatient callers and clients that consider a connection lost do.
    */
   readonly twinShare: number;
 }
 
-/** One request, however often it is asked. */
+/** One request, regardless of its number of attempts. */
 export interface ICallerRequest {
   readonly workload: IWorkload;
   readonly requestId: string;
@@ -31,6 +31,6 @@
   readonly key: string;
   readonly path: string;
   readonly body: Uint8Array;
-  /** After this time a twin of the first attempt is sent, in ms; undefined: none. */
+  /** Delay until a duplicate of the first attempt is sent, in ms; undefined if there is none. */
   readonly twinAfterMs: number | undefined;
 }
--- a/packages/lab/src/load/node/caller.ts
+++ b/packages/lab/src/load/node/caller.ts
@@ -1,4 +1,4 @@
-/** A caller: sends one request to a node, and judges the answer as a careful client would. */
+/** Sends callers' requests to nodes and verifies the responses. */
 import type { RunState } from '@parsleymux/base';
 import { AnswerFault, computeChecksum, verifyAnswer } from '@parsleymux/standins';
 import type { IDisposable } from '@parsleymux/base';
@@ -11,13 +11,13 @@
 
 const OK = 200;
 const CONNECTIONS_PER_NODE = 64;
-/** A node answers by the deadline; what comes later than this counts as never. */
+/** A node responds by the deadline; the attempt times out this long after it, in ms. */
 const RESPONSE_MARGIN_MS = 3000;
 
 type AttemptResult = Pick<IAttemptRecord, 'outcome' | 'status' | 'code' | 'runState'>;
 
 /**
- * Sends attempts over connections that it keeps to each node.
+ * Sends attempts over keep-alive connections to each node.
  *
  * @example
  * const caller = new Caller();
@@ -29,11 +29,11 @@
 
   async send(node: string, request: ICallerRequest): Promise<IAttemptRecord> {
     const sentAtMs = Date.now();
-    const judgement = await this.request(node, request);
-    return { ...judgement, node, sentAtMs, endedAtMs: Date.now() };
+    const result = await this.request(node, request);
+    return { ...result, node, sentAtMs, endedAtMs: Date.now() };
   }
 
-  /** Drops the connections to a node that is gone. */
+  /** Closes the connections to a node that was removed. */
   async closeNode(node: string): Promise<void> {
     const pool = this.pools.get(node);
     this.pools.delete(node);
@@ -47,14 +47,14 @@
   private async request(node: string, request: ICallerRequest): Promise<AttemptResult> {
     const timeout = AbortSignal.timeout(request.workload.timeoutMs + RESPONSE_MARGIN_MS);
     try {
-      const answer = await this.ensurePool(node).request({
+      const response = await this.ensurePool(node).request({
         method: request.workload.method,
         path: request.path,
         headers: makeHeaders(request),
         body: request.workload.method === 'GET' ? null : request.body,
         signal: timeout,
       });
-      return decideOutcome(answer, await answer.body.bytes(), request);
+      return decideOutcome(response, await response.body.bytes(), request);
     } catch (error) {
       const outcome = timeout.aborted ? AttemptOutcome.TimedOut : toFailure(error);
       return { outcome, status: 0, code: -1, runState: undefined };
@@ -62,8 +62,8 @@
   }
 
   private ensurePool(node: string): Pool {
-    const known = this.pools.get(node);
-    if (known !== undefined) return known;
+    const existing = this.pools.get(node);
+    if (existing !== undefined) return existing;
     const pool = new Pool(`http://${node}`, { connections: CONNECTIONS_PER_NODE });
     this.pools.set(node, pool);
     return pool;
@@ -81,13 +81,13 @@
 }
 
 function decideOutcome(
-  answer: Dispatcher.ResponseData,
+  response: Dispatcher.ResponseData,
   body: Uint8Array,
   request: ICallerRequest,
 ): AttemptResult {
-  const code = Number(getHeader(answer, CallerHeader.ResultCode) ?? '-1');
-  const runState = getHeader(answer, CallerHeader.RunState) as RunState | undefined;
-  const status = answer.statusCode;
+  const code = Number(getHeader(response, CallerHeader.ResultCode) ?? '-1');
+  const runState = getHeader(response, CallerHeader.RunState) as RunState | undefined;
+  const status = response.statusCode;
   const { workload, requestId, path } = request;
   const fault = verifyAnswer(body, {
     member: workload.member,
@@ -119,7 +119,7 @@
   return fault === AnswerFault.Foreign ? AttemptOutcome.Foreign : AttemptOutcome.Partial;
 }
 
-function getHeader(answer: Dispatcher.ResponseData, name: string): string | undefined {
-  const value = answer.headers[name];
+function getHeader(response: Dispatcher.ResponseData, name: string): string | undefined {
+  const value = response.headers[name];
   return typeof value === 'string' ? value : undefined;
 }
--- a/packages/lab/src/load/node/loadGenerator.test.ts
+++ b/packages/lab/src/load/node/loadGenerator.test.ts
@@ -29,7 +29,7 @@
   return { workload: WORKLOAD, requestId, key, path: '/s', body, twinAfterMs: undefined };
 }
 
-/** A target serves callers directly here; a node in between changes nothing for them. */
+/** Starts a target that serves callers directly, without a node in between. */
 async function withTarget(use: (target: TargetStandIn) => Promise<void>): Promise<void> {
   const target = new TargetStandIn({ member: 'm', service: 's', meanServiceMs: 1, slots: 50 });
   await target.start();
@@ -47,7 +47,7 @@
   return attempt;
 }
 
-test('a caller tells whole, foreign, cut, failed and refused answers apart', async () => {
+test('a caller distinguishes complete, foreign, truncated, failed and refused responses', async () => {
   await withTarget(async (target) => {
     assert.equal((await sendOne(target, 'r1')).outcome, AttemptOutcome.Answered);
     await target.setFaults({ foreignShare: 1 });
--- a/packages/lab/src/load/node/loadGenerator.ts
+++ b/packages/lab/src/load/node/loadGenerator.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop load: requests arrive when they arrive, however slow the fleet is. A closed loop
- * would slow down with the fleet and hide the very delays that are to be measured.
+ * Open-loop load generator: arrivals don't depend on the fleet's latency. A closed loop would slow
+ * down with the fleet and hide the delays that are to be measured.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IDisposable } from '@parsleymux/base';
@@ -14,13 +14,13 @@
 
 const MAX_RETRY_WAIT_MS = 1500;
 const RETRY_WAIT_MS = 100;
-/** Twins come while the first attempt is queued, claimed, dispatched or answered. */
+/** Duplicates arrive while the first attempt is queued, claimed, dispatched or answered, in ms. */
 const MAX_DUPLICATE_DELAY_MS = 60;
 const MAX_LATENCY_MS = 120_000;
 
 /** Chooses the node for an attempt, as the platform's balancer does. */
 export abstract class Balancer {
-  /** Caller address of a node that is taken for ready, or undefined when there is none. */
+  /** Caller address of a node that is considered ready, or undefined if there is none. */
   abstract pick(): string | undefined;
 }
 
@@ -31,18 +31,18 @@
   readonly seed: number;
 }
 
-/** Latencies of the requests that ended one way. */
+/** Latencies of the requests with one outcome. */
 export interface IOutcomeSummary {
-  /** Outcome of the last attempt, with the result code when one came. */
+  /** Outcome of the deciding attempt, with the result code if there is one. */
   readonly outcome: string;
   readonly count: number;
-  /** From the first attempt to the end, retries and waits included, in ms. */
+  /** Time from the first attempt to the end, retries and waits included, in ms. */
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
 /**
- * Callers of several workloads.
+ * Generates the load of several workloads and records every request.
  *
  * @example
  * const load = new LoadGenerator({ workloads, balancer, seed: 1 });
@@ -66,7 +66,7 @@
     this.runId = `${options.seed.toString(36)}-${Date.now().toString(36)}`;
   }
 
-  /** Lets requests arrive until {@link stop}. */
+  /** Starts the arrivals, which continue until {@link stop}. */
   start(): void {
     this.isRunning = true;
     this.options.workloads.forEach((workload, index) => {
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Ends the arrivals and waits until every request has ended. */
+  /** Stops the arrivals and waits until every request has ended. */
   async stop(): Promise<void> {
     this.isRunning = false;
     for (const timer of this.timers) clearTimeout(timer);
@@ -110,7 +110,7 @@
       .sort((left, right) => right.count - left.count);
   }
 
-  /** Each arrival is due after the former one's due time, so that a late timer loses none. */
+  /** Schedules each arrival relative to the due time of the previous one, so a late timer loses none. */
   private startStream(workload: IWorkload, random: SeededRandom, lastDueMs: number): void {
     const dueMs = lastDueMs + random.getExponential(1000 / workload.perSecond);
     const timer = setTimeout(
--- a/packages/lab/src/replay/common/policies.ts
+++ b/packages/lab/src/replay/common/policies.ts
@@ -1,4 +1,4 @@
-/** Detection policies by name. */
+/** Failure detectors by policy name. */
 import type { FailureDetector, ISequentialOptions } from '@parsleymux/routing';
 import {
   CAREFUL_OPTIONS,
@@ -10,23 +10,23 @@
 } from '@parsleymux/routing';
 import type { DetectionName } from '../../trace/common/trace.js';
 
-/** The detectors that are compared. */
+/** Names of the detectors that are compared. */
 export const POLICY_NAMES = ['sequential', 'consecutive', 'success-rate', 'health'] as const;
 
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
-/** True for the name of a policy. */
+/** Whether `name` is the name of a policy. */
 export function isPolicyName(name: string): name is PolicyName {
   return POLICY_NAMES.some((known) => known === name);
 }
 
-/** Settings by which the curves of a policy are drawn. */
+/** Settings that are varied to plot the trade-off curve of a policy. */
 export interface IPolicySettings extends ISequentialOptions {
-  /** Failures in a row. */
+  /** Consecutive failures before an ejection. */
   readonly errors?: number;
 }
 
-/** Makes a detector. */
+/** Creates the detector of a policy. */
 export function createPolicy(
   name: PolicyName,
   detection: DetectionName,
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -1,4 +1,4 @@
-/** Collects figures while a trace is replayed. */
+/** Collects measurements while a trace is replayed. */
 import { MuxError } from '@parsleymux/base';
 import type { IResponse, IStandingChange } from '@parsleymux/routing';
 import { HealthStatus } from '@parsleymux/routing';
@@ -8,7 +8,7 @@
 import type { IDetectionResult } from './replayResult.js';
 
 const FIRST_SERVER_ERROR = 500;
-/** What was under way when a fault ended can still lead to an ejection, for so long. */
+/** Requests pending at the end of a fault can cause an ejection for this long after it, in ms. */
 const FAULT_GRACE_MS = 2000;
 const REMOVING_STATUSES: ReadonlySet<HealthStatus> = new Set([
   HealthStatus.Suspect,
@@ -16,15 +16,15 @@
 ]);
 const PROLONGING_REASONS: ReadonlySet<string> = new Set(['failed its trial']);
 /**
- * Without a dispatch for this long a target counts as given no work, in ms: longer than any
- * deadline, since a target whose slots are all held by stuck requests gets nothing new either.
+ * A target without a dispatch for this long counts as out of use, in ms. Longer than any deadline,
+ * since a target whose slots are all held by stuck requests receives no new ones either.
  */
 const NO_TRAFFIC_MS = 9000;
 const MS_PER_HOUR = 3_600_000;
-/** Histograms hold integers. */
+/** Histograms record integers, so latencies are recorded in microseconds. */
 const MICROSECONDS_PER_MS = 1000;
 
-/** Figures in the making. */
+/** Records responses, dispatches and changes of health status, and summarizes them. */
 export class ReplayRecorder {
   requests = 0;
   errors = 0;
@@ -41,10 +41,10 @@
 
   constructor(private readonly trace: ITrace) {}
 
-  recordResponse(request: ITraceRequest, answer: IResponse, latencyMs: number): void {
-    const isError = answer.status >= FIRST_SERVER_ERROR;
+  recordResponse(request: ITraceRequest, response: IResponse, latencyMs: number): void {
+    const isError = response.status >= FIRST_SERVER_ERROR;
     this.count(request, isError);
-    if (isError) this.countRefusal(String(answer.code));
+    if (isError) this.countRefusal(String(response.code));
     else this.latencies.recordValue(Math.round(latencyMs * MICROSECONDS_PER_MS));
     if (isError || !this.isDuringFault(request.atMs)) return;
     this.successfulWorkMs += request.workMs;
@@ -53,7 +53,7 @@
   }
 
   recordError(request: ITraceRequest, error: unknown): void {
-    // A caller that hangs up gets no answer, and is no error of ours.
+    // A caller that disconnects gets no response, which isn't an error of the fleet.
     if (request.hangUpMs !== undefined) return;
     this.count(request, true);
     this.countRefusal(error instanceof MuxError ? String(error.code) : String(error));
@@ -69,12 +69,12 @@
     this.changes.push(change);
   }
 
-  /** The `percentile` of the latencies of successes, in ms. */
+  /** The `percentile` of the latencies of successful requests, in ms. */
   getLatency(percentile: number): number {
     return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
-  /** The same for callers other than the one that floods, during the surge. */
+  /** The same for callers other than the flooding one, during the fault or surge. */
   getOthersLatency(percentile: number): number {
     return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
@@ -91,23 +91,25 @@
   }
 
   private listDetections(): readonly (number | undefined)[] {
-    const firsts = new Map<string, ITraceFault>();
+    const firstFaults = new Map<string, ITraceFault>();
     for (const fault of this.trace.faults) {
-      if (fault.verdict === 'eject' && !firsts.has(fault.target)) firsts.set(fault.target, fault);
+      if (fault.verdict === 'eject' && !firstFaults.has(fault.target))
+        firstFaults.set(fault.target, fault);
     }
-    return [...firsts.values()].map((fault) => this.measureDetection(fault));
+    return [...firstFaults.values()].map((fault) => this.measureDetection(fault));
   }
 
   /**
-   * Time from the fault's beginning until the target gets no more work by decision: the later of
-   * the first decision against it and the last dispatch before a long silence. The last dispatch
-   * alone flatters a home that does nothing: slots full of stuck requests let nothing new through.
+   * Time from the start of the fault until the target is out of use by decision, in ms: the later
+   * of the first decision against it and the last dispatch before a long gap. The last dispatch
+   * alone would credit a home that does nothing, since stuck requests that hold all slots also stop
+   * new dispatches.
    */
   private measureDetection(fault: ITraceFault): number | undefined {
     const endMs = this.findLastFaultEnd(fault.target);
     const decision = this.changes.find((change) => {
-      const isOwn = change.target === fault.target && REMOVING_STATUSES.has(change.standing);
-      return isOwn && change.atMs >= fault.atMs && change.atMs < endMs;
+      const isAgainst = change.target === fault.target && REMOVING_STATUSES.has(change.standing);
+      return isAgainst && change.atMs >= fault.atMs && change.atMs < endMs;
     });
     if (decision === undefined) return undefined;
     const times = this.dispatches.get(fault.target) ?? [];
@@ -141,27 +143,27 @@
   }
 
   private isUnjustified(change: IStandingChange): boolean {
-    const excuse = this.trace.faults.find((fault) => {
-      const isNear = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_GRACE_MS;
-      return fault.target === change.target && fault.verdict !== 'keep' && isNear;
+    const justification = this.trace.faults.find((fault) => {
+      const isDuring = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_GRACE_MS;
+      return fault.target === change.target && fault.verdict !== 'keep' && isDuring;
     });
-    // A failed trial prolongs an ejection that was counted when it began.
-    return excuse === undefined && !PROLONGING_REASONS.has(change.reason);
+    // A failed trial prolongs an ejection that has already been counted.
+    return justification === undefined && !PROLONGING_REASONS.has(change.reason);
   }
 
-  /** Slots that the home itself leaves in use; what the trace takes away is not its doing. */
+  /** Lowest number of slots that the home left in use; faults of the trace don't count. */
   private computeMinSlots(): number {
     const { slotsPerTarget, targets } = this.trace.header.service;
     const out = new Set<string>();
-    let lowest = targets.length;
+    let minTargets = targets.length;
     for (const change of this.changes) {
       const isOut =
         change.standing === HealthStatus.Ejected || change.standing === HealthStatus.Trial;
       if (isOut) out.add(change.target);
       else out.delete(change.target);
-      lowest = Math.min(lowest, targets.length - out.size);
+      minTargets = Math.min(minTargets, targets.length - out.size);
     }
-    return lowest * slotsPerTarget;
+    return minTargets * slotsPerTarget;
   }
 
   private count(request: ITraceRequest, isError: boolean): void {
@@ -185,7 +187,7 @@
   }
 }
 
-/** Out of use: ejected, or known to be beyond this home's reach. */
+/** Whether the change takes the target out of use: ejected, or unreachable from this home. */
 function isRemoval(change: IStandingChange): boolean {
   if (change.standing === HealthStatus.Ejected) return true;
   return change.standing === HealthStatus.Suspect && change.reason.startsWith('cut off');
--- a/packages/lab/src/replay/common/replayResult.ts
+++ b/packages/lab/src/replay/common/replayResult.ts
@@ -1,37 +1,40 @@
-/** What a replay measured. */
+/** Measurements of a replay. */
 
-/** How the faults of the trace met the detector. */
+/** How the detector reacted to the faults of the trace. */
 export interface IDetectionResult {
-  /** For each target with an "eject" fault: time until by decision none of callers' requests goes there, in ms. */
+  /**
+   * For each target with an "eject" fault: time until it gets no more requests of callers by decision,
+   * in ms.
+   */
   readonly detectionMs: readonly (number | undefined)[];
-  /** Removals of targets that should have stayed. */
+  /** Number of ejections of targets without a fault that justifies them. */
   readonly falseEjections: number;
-  /** Times that such targets were made the last choice, most of them for part of a second. */
+  /** Number of times that such targets were suspected, most of them for less than a second. */
   readonly demotions: number;
   readonly targetHours: number;
-  /** Lowest count of slots not taken out by the home, less the floor. */
+  /** Lowest number of slots that the home left in use, minus the floor. */
   readonly slotsOverFloor: number;
 }
 
-/** Figures of one replay. */
+/** Result of one replay. */
 export interface IReplayResult extends IDetectionResult {
   readonly trace: string;
   readonly policy: string;
   readonly seed: number;
   readonly requests: number;
   readonly errorShare: number;
-  /** Errors among requests that arrived while a fault or surge of the trace lasted. */
+  /** Share of errors among requests that arrived during a fault or surge of the trace. */
   readonly faultErrorShare: number;
-  /** Latency of the successful, in ms. */
+  /** Latency of successful requests, in ms. */
   readonly p50Ms: number;
   readonly p99Ms: number;
-  /** Attempts at targets, copies and observations among them, a request. */
+  /** Attempts at targets per request, trial copies and observations included. */
   readonly amplification: number;
-  /** Work of successes that arrived during a surge, as a share of what all slots could do then. */
+  /** Work of successful requests that arrived during a surge, as a share of the capacity of all slots. */
   readonly goodputShare: number | undefined;
-  /** Attempts for each request that was dispatched at all; the excess is retries and hedges. */
+  /** Attempts per dispatched request; the excess over 1 is retries and hedges. */
   readonly retryAmplification: number;
-  /** The same figures for all callers but the one that floods, while it does. */
+  /** Error share and latency of all callers but the flooding one, during the flood. */
   readonly othersErrorShare: number;
   readonly othersP99Ms: number;
   readonly refusals: Readonly<Record<string, number>>;
--- a/packages/lab/src/replay/common/replayTrace.test.ts
+++ b/packages/lab/src/replay/common/replayTrace.test.ts
@@ -23,12 +23,12 @@
   return JSON.parse(readFileSync(path, 'utf8')) as IExpectedOutcome;
 }
 
-test('a trace is the same after it was written and read', () => {
+test('a formatted trace parses to the same trace', () => {
   const trace = buildTrace('donautal-flapping', SEED);
   assert.deepEqual(parseTrace(formatTrace(trace)), trace);
 });
 
-test('a replay with the same seed gives the same figures', async () => {
+test('replays with the same seed give the same result', async () => {
   assert.deepEqual(await replay('dobrescu-fail-100'), await replay('dobrescu-fail-100'));
 });
 
@@ -42,12 +42,12 @@
   'donautal-half-shedding',
   'donautal-domain-gone',
 ]) {
-  test(`${name} ends as stated`, async () => {
+  test(`${name} meets its expected outcome`, async () => {
     assert.deepEqual(checkOutcome(await replay(name), loadOutcome(name)), []);
   });
 }
 
-test('health probes alone never see a gray failure, and the statement says so', async () => {
+test('health probes alone do not detect a gray failure and violate the expected outcome', async () => {
   const result = await replay('donautal-fail-20', 'health');
   assert.notDeepEqual(checkOutcome(result, loadOutcome('donautal-fail-20')), []);
 });
--- a/packages/lab/src/replay/common/replayTrace.ts
+++ b/packages/lab/src/replay/common/replayTrace.ts
@@ -1,4 +1,4 @@
-/** Replays a trace against the real home on a clock of its own. */
+/** Replays a trace against the real home on simulated time. */
 import { InvariantName, InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import type { FailureDetector, IRoutedRequest } from '@parsleymux/routing';
 import {
@@ -18,7 +18,7 @@
 import { buildConfigService, buildRoutes } from './traceConfig.js';
 
 const HOME_DOMAIN = 'domain-0';
-/** Time after the last request in which what runs may end. */
+/** Time after the last request in which pending requests end, in ms. */
 const TAIL_MS = 10_000;
 
 /** Options of {@link replayTrace}. */
@@ -28,7 +28,7 @@
   readonly createDetector: () => FailureDetector;
 }
 
-/** Replays and measures. */
+/** Replays a trace and resolves with its measurements. */
 export async function replayTrace(trace: ITrace, options: IReplayOptions): Promise<IReplayResult> {
   const replay = new Replay(trace, options);
   return replay.run();
@@ -91,13 +91,13 @@
     const abort = new AbortController();
     if (request.hangUpMs !== undefined) {
       this.clock.startTimer(request.hangUpMs, () => {
-        abort.abort(new Error('caller hung up'));
+        abort.abort(new Error('the caller disconnected'));
       });
     }
     try {
-      const answer = await this.home.handle(this.buildRequest(request), abort.signal);
+      const response = await this.home.handle(this.buildRequest(request), abort.signal);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordResponse(request, answer, latencyMs);
+      this.recorder.recordResponse(request, response, latencyMs);
     } catch (error) {
       this.recorder.recordError(request, error);
     }
@@ -143,11 +143,15 @@
     };
   }
 
-  /** Attempts at targets for each first attempt. */
+  /** Attempts at targets per first attempt. */
   private async measureRetries(): Promise<number> {
     const { attempts, retries, hedges } = this.metrics;
-    const [all, again, beside] = await Promise.all([attempts, retries, hedges].map(readCounter));
-    return (all ?? 0) / Math.max(1, (all ?? 0) - (again ?? 0) - (beside ?? 0));
+    const [attemptCount, retryCount, hedgeCount] = await Promise.all(
+      [attempts, retries, hedges].map(readCounter),
+    );
+    return (
+      (attemptCount ?? 0) / Math.max(1, (attemptCount ?? 0) - (retryCount ?? 0) - (hedgeCount ?? 0))
+    );
   }
 
   private countViolations(): number {
--- a/packages/lab/src/replay/common/simulatedObserver.ts
+++ b/packages/lab/src/replay/common/simulatedObserver.ts
@@ -1,18 +1,18 @@
-/** Another node's view of the targets on the replay's clock. */
+/** Another node that observes the targets on simulated time. */
 import type { Clock } from '@parsleymux/base';
 import type { IObservation, IObservationRequest } from '@parsleymux/routing';
 import { TargetObserver } from '@parsleymux/routing';
 import type { SimulatedTransport } from './simulatedTransport.js';
 import { WORK_HEADER } from './simulatedTransport.js';
 
-/** One way between the home and the observer, in ms. */
+/** One-way delay between the home and the observer, in ms. */
 const ONE_WAY_DELAY_MS = 1;
 const FIRST_SERVER_ERROR = 500;
-/** The observer has no headers of the caller, so the work is the route's usual one. */
+/** Work of a probe, in ms; the observer has no header of a caller that carries it. */
 const DEFAULT_WORK_MS = 50;
 const MAX_RESPONSE_BYTES = 1_048_576;
 
-/** Observes over a transport of its own. */
+/** Sends probes over its own transport. */
 export class SimulatedObserver extends TargetObserver {
   constructor(
     private readonly clock: Clock,
--- a/packages/lab/src/replay/common/simulatedTable.ts
+++ b/packages/lab/src/replay/common/simulatedTable.ts
@@ -1,4 +1,4 @@
-/** The platform's table on the replay's clock. */
+/** The platform's table on simulated time. */
 import type { Clock } from '@parsleymux/base';
 import type {
   IScanOptions,
@@ -11,7 +11,7 @@
 
 const ROUND_TRIP_MS = 10;
 
-/** Rows in memory behind a delay. */
+/** In-memory table that delays each call by a round trip. */
 export class SimulatedTable extends TableService {
   private readonly table = new VersionedTable();
 
--- a/packages/lab/src/replay/common/simulatedTarget.ts
+++ b/packages/lab/src/replay/common/simulatedTarget.ts
@@ -1,13 +1,13 @@
-/** A target on the replay's clock: slots, a short queue, and the faults of the trace. */
+/** A target on simulated time with slots, a bounded queue and the faults of the trace. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { IFaultEffect, ITraceFault } from '../../trace/common/trace.js';
 
-/** Time in which a failing target answers 500, in ms: it does no work. */
+/** Time until a failing target responds with 500, in ms; short, since it does no work. */
 const FAIL_MS = 3;
-/** Requests that wait at the target, as a multiple of its slots, before it sheds. */
+/** Length of the target's queue, as a multiple of its slots; further requests are shed. */
 const QUEUE_FACTOR = 2;
 
-/** What the target makes of one request. */
+/** The target's result for one request. */
 export interface IWorkResult {
   readonly status: number;
   readonly isShed: boolean;
@@ -27,13 +27,13 @@
   readonly faults: readonly ITraceFault[];
 }
 
-/** One target. */
+/** A target that runs requests for their recorded work and applies the effects of its faults. */
 export class SimulatedTarget {
   executed = 0;
   arrivals = 0;
   /** Arrivals that found no free slot. */
   collisions = 0;
-  /** Arrivals that were turned away. */
+  /** Arrivals that were shed. */
   sheds = 0;
   openConnections = 0;
   maxConnections = 0;
@@ -42,7 +42,7 @@
 
   constructor(private readonly options: ISimulatedTargetOptions) {}
 
-  /** Effects in force now, merged; the later fault of the trace wins. */
+  /** Effects of all current faults, merged; a later fault of the trace overrides an earlier one. */
   getEffect(): IFaultEffect {
     const nowMs = this.options.clock.getMonotonicTime();
     let effect: IFaultEffect = {};
@@ -52,7 +52,7 @@
     return effect;
   }
 
-  /** Beginning of the fault that silences connections opened before it; undefined without one. */
+  /** Start of the fault that makes older connections unresponsive, in ms; undefined without one. */
   getSilenceStart(): number | undefined {
     const nowMs = this.options.clock.getMonotonicTime();
     const fault = this.options.faults.find((candidate) => {
@@ -61,7 +61,7 @@
     return fault?.atMs;
   }
 
-  /** Works on a request. Never resolves when the signal aborts first: the work is dropped. */
+  /** Runs a request. Never resolves if the signal aborts first, which cancels the work. */
   accept(workMs: number, signal: AbortSignal): Promise<IWorkResult> {
     return new Promise((resolve) => {
       const effect = this.getEffect();
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Takes note of connections opened, or closed when negative. */
+  /** Records opened connections, or closed ones if `change` is negative. */
   recordConnectionChange(change: number): void {
     this.openConnections += change;
     this.maxConnections = Math.max(this.maxConnections, this.openConnections);
--- a/packages/lab/src/replay/common/simulatedTransport.ts
+++ b/packages/lab/src/replay/common/simulatedTransport.ts
@@ -1,15 +1,15 @@
-/** The network between homes and targets on the replay's clock. */
+/** The network between a home and its targets on simulated time. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { IFaultEffect } from '../../trace/common/trace.js';
 import type { IWorkResult, SimulatedTarget } from './simulatedTarget.js';
 
-/** Header in which a replayed request carries the work that it was recorded with, in ms. */
+/** Header that carries the recorded work of a replayed request, in ms. */
 export const WORK_HEADER = 'x-work-ms';
 
 const CONNECT_MS = 1;
-/** Unused connections kept to one target. */
+/** Idle connections kept to one target. */
 const MAX_IDLE_CONNECTIONS = 8;
 const CONNECT_TIMEOUT_MS = 1000;
 const HEALTH_WORK_MS = 1;
@@ -21,11 +21,11 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly targets: ReadonlyMap<string, SimulatedTarget>;
-  /** One way to each target, in ms. */
+  /** One-way delay to each target, in ms. */
   readonly delays: ReadonlyMap<string, number>;
-  /** False for another node, whose path to the targets is not the one that is cut. */
+  /** False for an observer, whose path to the targets isn't affected by faults of the home's path. */
   readonly isHome: boolean;
-  /** Told of every dispatch for a caller; copies and probes are not for callers. */
+  /** Called for each dispatch of a caller's request; not for trial copies and probes. */
   readonly onCallerDispatch?: (target: string, atMs: number) => void;
 }
 
@@ -49,7 +49,7 @@
 
   override send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const target = this.options.targets.get(request.target);
-    if (target === undefined) throw new Error(`unknown target ${request.target}`);
+    if (target === undefined) throw new Error(`target "${request.target}" does not exist`);
     return this.sendOver(request, options, target);
   }
 
@@ -107,17 +107,17 @@
         if (!isConnected || isSettled) return;
         hasDispatched = true;
         options.onDispatch?.();
-        const isForCaller = options.onDispatch !== undefined;
-        if (isForCaller) this.options.onCallerDispatch?.(request.target, this.getNow());
+        const isCallerRequest = options.onDispatch !== undefined;
+        if (isCallerRequest) this.options.onCallerDispatch?.(request.target, this.getNow());
         const startMs = this.getNow();
-        const answer = await this.run(request, target, connection, fail, dropped.signal);
-        if (answer === undefined || !settle(true)) return;
-        resolve({ ...answer, latencyMs: this.getNow() - startMs });
+        const response = await this.run(request, target, connection, fail, dropped.signal);
+        if (response === undefined || !settle(true)) return;
+        resolve({ ...response, latencyMs: this.getNow() - startMs });
       });
     });
   }
 
-  /** False when no connection came to be; then `fail` was or will be called. */
+  /** Resolves to false if the connection failed; `fail` has then been called. */
   private async openConnection(
     target: SimulatedTarget,
     connection: IConnection,
@@ -136,7 +136,7 @@
     return false;
   }
 
-  /** The answer's way there and back; undefined when none comes. */
+  /** Runs one exchange over the network; undefined if no response arrives. */
   private async run(
     request: ITargetRequest,
     target: SimulatedTarget,
--- a/packages/lab/src/replay/common/traceConfig.ts
+++ b/packages/lab/src/replay/common/traceConfig.ts
@@ -1,4 +1,4 @@
-/** The configuration that a trace was recorded under. */
+/** Builds the configuration of a trace's service. */
 import { create } from '@bufbuild/protobuf';
 import type { IFleetConfig } from '@parsleymux/config';
 import { ConfigService } from '@parsleymux/config';
@@ -12,7 +12,7 @@
 } from '@parsleymux/schema';
 import type { ITraceHeader, RouteName } from '../../trace/common/trace.js';
 
-/** Gives one unchanging configuration. */
+/** Returns one configuration that never changes. */
 class FixedConfigService extends ConfigService {
   readonly onDidChange = () => ({ dispose: () => undefined });
 
@@ -34,7 +34,7 @@
   return { read: build('read'), book: build('book') };
 }
 
-/** The member's service and routes in force. */
+/** Builds a configuration service with the member's service and routes. */
 export function buildConfigService(header: ITraceHeader): ConfigService {
   const { service, member } = header;
   const isFast = service.detection === 'fast';
--- a/packages/lab/src/replay/node/main.ts
+++ b/packages/lab/src/replay/node/main.ts
@@ -23,30 +23,32 @@
 class ReplayCommand extends Command {
   static override readonly paths = [Command.Default];
   static override readonly usage = Command.Usage({
-    description: 'Replays a trace against the decision code and checks its stated outcome.',
-    details: `A trace is a file of JSON lines, the name of one of the library, or "all".\n\n${listTraceNames().join(', ')}`,
-    examples: [['One target fails a fifth of its work', '$0 dobrescu-fail-20 --seed 2']],
+    description: 'Replays a trace against the routing code and checks its expected outcome.',
+    details: `A trace is a file of JSON lines, the name of a built-in trace, or "all".\n\n${listTraceNames().join(', ')}`,
+    examples: [['One target fails a fifth of its requests', '$0 dobrescu-fail-20 --seed 2']],
   });
 
   readonly trace = Option.String();
   readonly policy = Option.String('--policy', DEFAULT_POLICY, {
     description: `One of ${POLICY_NAMES.join(', ')}.`,
   });
-  readonly seed = Option.String('--seed', DEFAULT_SEED, { description: 'Seed of randomness.' });
+  readonly seed = Option.String('--seed', DEFAULT_SEED, {
+    description: 'Seed of the random numbers.',
+  });
   readonly json = Option.Boolean('--json', false, {
-    description: 'Print one JSON object a trace.',
+    description: 'Print one JSON object for each trace.',
   });
 
   override async execute(): Promise<number> {
-    if (!isPolicyName(this.policy)) throw new UsageError(`there is no policy "${this.policy}"`);
+    if (!isPolicyName(this.policy)) throw new UsageError(`policy "${this.policy}" does not exist`);
     const names = this.trace === ALL ? listTraceNames() : [this.trace];
-    let isBroken = false;
+    let hasViolations = false;
     for (const name of names) {
       const report = await runReplay(name, this.policy, Number(this.seed));
       this.context.stdout.write(this.json ? `${JSON.stringify(report)}\n` : formatReport(report));
-      isBroken ||= report.broken.length > 0;
+      hasViolations ||= report.broken.length > 0;
     }
-    return isBroken ? VIOLATION_EXIT_CODE : 0;
+    return hasViolations ? VIOLATION_EXIT_CODE : 0;
   }
 }
 
@@ -60,28 +62,28 @@
 
 function loadTrace(name: string, seed: number): ITrace {
   if (existsSync(name)) return parseTrace(readFileSync(name, 'utf8'));
-  if (!listTraceNames().includes(name)) throw new UsageError(`there is no trace "${name}"`);
+  if (!listTraceNames().includes(name)) throw new UsageError(`trace "${name}" does not exist`);
   return buildTrace(name, seed);
 }
 
-/** The statement beside the file, or else the library's for a trace of that name. */
+/** Loads the outcome file next to the trace, or else the built-in one for the trace's name. */
 function loadOutcome(name: string, trace: ITrace): IExpectedOutcome {
-  const beside = name.replace(/\.jsonl$/, '.outcome.json');
-  const stored = new URL(`${trace.header.name}.outcome.json`, OUTCOME_DIRECTORY);
-  const path = [beside, stored].find((candidate) => candidate !== name && existsSync(candidate));
+  const adjacent = name.replace(/\.jsonl$/, '.outcome.json');
+  const builtIn = new URL(`${trace.header.name}.outcome.json`, OUTCOME_DIRECTORY);
+  const path = [adjacent, builtIn].find((candidate) => candidate !== name && existsSync(candidate));
   return path === undefined ? {} : (JSON.parse(readFileSync(path, 'utf8')) as IExpectedOutcome);
 }
 
 function formatReport(report: IReplayReport): string {
   const detections = report.detectionMs.map((timeMs) => timeMs?.toFixed(0) ?? 'never').join(', ');
   const lines = [
-    `${report.trace} (${report.policy}, seed ${report.seed}): ${report.broken.length === 0 ? 'as stated' : 'NOT AS STATED'}`,
+    `${report.trace} (${report.policy}, seed ${report.seed}): ${report.broken.length === 0 ? 'as expected' : 'NOT AS EXPECTED'}`,
     `  requests ${report.requests}, errors ${(100 * report.errorShare).toFixed(3)}%`,
     `  latency p50 ${report.p50Ms.toFixed(0)} ms, p99 ${report.p99Ms.toFixed(0)} ms`,
-    `  detection ${detections === '' ? 'not called for' : `${detections} ms`}`,
+    `  detection ${detections === '' ? 'not required' : `${detections} ms`}`,
     `  false ejections ${report.falseEjections}, slots over the floor ${report.slotsOverFloor}`,
-    `  attempts a request ${report.amplification.toFixed(3)}`,
-    ...report.broken.map((line) => `  BROKEN: ${line}`),
+    `  attempts per request ${report.amplification.toFixed(3)}`,
+    ...report.broken.map((line) => `  VIOLATED: ${line}`),
   ];
   return `${lines.join('\n')}\n`;
 }
--- a/packages/lab/src/replay/node/replayPool.ts
+++ b/packages/lab/src/replay/node/replayPool.ts
@@ -1,11 +1,11 @@
-/** Runs many replays on a few threads. */
+/** Runs many replays on a pool of worker threads. */
 import { Worker } from 'node:worker_threads';
 import type { IPolicySettings, PolicyName } from '../common/policies.js';
 import type { IReplayResult } from '../common/replayResult.js';
 
 const WORKER_MODULE = new URL('./replayWorker.js', import.meta.url);
 
-/** One replay to run. */
+/** One replay. */
 export interface IReplayJob {
   readonly trace: string;
   readonly seed: number;
@@ -14,7 +14,7 @@
 }
 
 /**
- * Resolves with the results in the order of the jobs.
+ * Runs the jobs on `threads` workers. Resolves with the results in the order of the jobs.
  *
  * @example
  * const results = await runReplays(jobs, 4);
--- a/packages/lab/src/replay/node/replayWorker.ts
+++ b/packages/lab/src/replay/node/replayWorker.ts
@@ -1,4 +1,4 @@
-/** A thread that runs replays one after another. */
+/** Worker thread that runs one replay for each job it receives. */
 import { parentPort } from 'node:worker_threads';
 import { buildTrace } from '../../trace/common/traceGenerator.js';
 import { createPolicy } from '../common/policies.js';
--- a/packages/lab/src/trace/common/members.ts
+++ b/packages/lab/src/trace/common/members.ts
@@ -1,18 +1,19 @@
-/** The two members' sizes and round-trip times, as traces use them. */
+/** Profiles of the two members for whom traces are generated. */
 import type { DetectionName } from './trace.js';
 
-/** One service of a member, and the load on it. */
+/** One service of a member and the load on it. */
 export interface IMemberProfile {
   readonly member: string;
   readonly service: string;
   readonly targets: number;
   readonly slotsPerTarget: number;
   readonly detection: DetectionName;
+  /** One-way delay to targets within the home's failure domain and in others, in ms. */
   readonly nearMs: number;
   readonly farMs: number;
-  /** Share of the slots that is busy on an ordinary day. */
+  /** Share of the slots that is busy under normal load. */
   readonly load: number;
-  /** Share of requests that must not run twice. */
+  /** Share of non-idempotent requests. */
   readonly bookShare: number;
   readonly readWorkMs: number;
   readonly bookWorkMs: number;
@@ -23,7 +24,7 @@
 
 const FLOOR_SHARE = 0.6;
 
-/** Job booking: few requests, each of them dear. */
+/** Job booking: few requests, each of high value. */
 export const DOBRESCU: IMemberProfile = {
   member: 'dobrescu',
   service: 'job-booking',
@@ -41,7 +42,7 @@
   callers: 40,
 };
 
-/** Order booking: buyers ask all day. */
+/** Order booking: a steady load throughout the day. */
 export const DONAUTAL: IMemberProfile = {
   member: 'donautal',
   service: 'order-booking',
@@ -61,12 +62,12 @@
 
 export const MEMBER_PROFILES: readonly IMemberProfile[] = [DOBRESCU, DONAUTAL];
 
-/** Slots of the service. */
+/** Total number of slots of the service. */
 export function countSlots(profile: IMemberProfile): number {
   return profile.targets * profile.slotsPerTarget;
 }
 
-/** The service's floor. */
+/** Minimum number of slots that ejections leave in use. */
 export function computeFloor(profile: IMemberProfile): number {
   return Math.floor(FLOOR_SHARE * countSlots(profile));
 }
--- a/packages/lab/src/trace/common/scenarios.ts
+++ b/packages/lab/src/trace/common/scenarios.ts
@@ -1,33 +1,33 @@
-/** The library of traces: what goes wrong, when, and with how many targets. */
+/** Scenarios of the built-in traces: faults, their times and the affected targets. */
 import type { ExpectedReaction, IFaultEffect } from './trace.js';
 
-/** Parameters from which a trace is generated for either member. */
+/** Parameters from which a trace is generated for each member. */
 export interface ITraceScenario {
   readonly name: string;
   readonly durationMs: number;
-  /** Load as a multiple of the service's slots, by time; absent: the member's ordinary load. */
+  /** A period of higher load. Default: the member's normal load throughout. */
   readonly surge?: ISurge;
   readonly faults: readonly IScenarioFault[];
   readonly deadlines?: IScenarioDeadlines;
-  /** Share of callers that hang up early, over poor links. */
+  /** Share of requests whose callers disconnect early. */
   readonly hangUpShare?: number;
-  /** Share of exchanges between home and targets that break, always and everywhere. */
+  /** Share of exchanges between home and targets that fail, on all links at all times. */
   readonly lossShare?: number;
-  /** Bursts of loss on single links: mean time between them on one link, in ms. */
+  /** Mean time between bursts of loss on one link, in ms. */
   readonly burstEveryMs?: number;
 }
 
-/** More load than usual. */
+/** A period of higher load. */
 export interface ISurge {
   readonly fromMs: number;
   readonly untilMs: number;
-  /** Requests offered, as a multiple of what all slots can do. */
+  /** Offered load, as a multiple of the capacity of all slots. */
   readonly load: number;
-  /** All that is above the ordinary load comes from one caller. */
+  /** Whether all load above the normal load comes from one caller. */
   readonly isOneCaller?: boolean;
 }
 
-/** Deadlines other than the member's usual ones, in ms. */
+/** Deadlines that override the member's, in ms. */
 export interface IScenarioDeadlines {
   readonly readMs: number;
   readonly bookMs: number;
@@ -42,7 +42,7 @@
   readonly verdict: ExpectedReaction;
 }
 
-/** Which targets: the first so many, a share of them, or those of the first failure domain. */
+/** Affected targets: the first `count`, a share of them, or those of the first failure domain. */
 export type TargetChoice =
   | { readonly by: 'count'; readonly count: number }
   | { readonly by: 'share'; readonly share: number }
@@ -51,7 +51,10 @@
 const FROM_MS = 15_000;
 const UNTIL_MS = 60_000;
 const DURATION_MS = 80_000;
-/** Trouble begins up to so much later, by the seed, so that no rule's interval is favoured. */
+/**
+ * Faults and surges start up to this much later, drawn from the seed, in ms. Their start then isn't
+ * aligned with the intervals of a detector.
+ */
 export const MAX_SHIFT_MS = 10_000;
 const SURGE_UNTIL_MS = 35_000;
 const SURGE_DURATION_MS = 50_000;
@@ -85,7 +88,7 @@
   return { name: 'flapping', durationMs: DURATION_MS, faults };
 }
 
-/** Down for a moment, then slow by less and less. */
+/** Targets that are down for 2 s and then slow by a decreasing factor. */
 function makeColdStart(): ITraceScenario {
   const pick: TargetChoice = { by: 'count', count: 3 };
   const downUntilMs = FROM_MS + 2000;
@@ -111,7 +114,7 @@
   return { name, durationMs: SURGE_DURATION_MS, surge, faults: [], ...rest };
 }
 
-/** Every scenario, by name. */
+/** All scenarios. */
 export const SCENARIOS: readonly ITraceScenario[] = [
   {
     name: 'control',
--- a/packages/lab/src/trace/common/trace.ts
+++ b/packages/lab/src/trace/common/trace.ts
@@ -1,9 +1,9 @@
 /**
- * Traces: one header, then requests and faults in the order of time. docs/TRACES.md describes the
- * JSON lines that hold them.
+ * Traces: one header, then requests and faults ordered by time. docs/TRACES.md describes their format
+ * as JSON lines.
  */
 
-/** Who recorded what. */
+/** Header of a trace: its service, its seed and its duration. */
 export interface ITraceHeader {
   readonly kind: 'header';
   readonly name: string;
@@ -11,14 +11,14 @@
   readonly seed: number;
   readonly durationMs: number;
   readonly service: ITraceService;
-  /** One way between home and target, in ms, within a failure domain and across. */
+  /** One-way delay between home and target within a failure domain and across, in ms. */
   readonly nearMs: number;
   readonly farMs: number;
-  /** When the trouble that the trace is about begins and ends. */
+  /** Start and end of the faults or the surge that the trace is about. */
   readonly window?: ITraceWindow;
 }
 
-/** A stretch of time. */
+/** A period of time. */
 export interface ITraceWindow {
   readonly fromMs: number;
   readonly untilMs: number;
@@ -30,7 +30,7 @@
   readonly targets: readonly ITraceTarget[];
   readonly slotsPerTarget: number;
   readonly floorSlots: number;
-  /** "careful" or "fast". */
+  /** Detection preference of the service. */
   readonly detection: DetectionName;
 }
 
@@ -48,75 +48,78 @@
   readonly atMs: number;
   readonly caller: string;
   readonly route: RouteName;
-  /** Time that a healthy target works on it. */
+  /** Time that a healthy target takes for it, in ms. */
   readonly workMs: number;
   readonly deadlineMs: number;
-  /** The caller hangs up after so long. */
+  /** The caller disconnects after this time, in ms. */
   readonly hangUpMs?: number;
 }
 
 /** "read" is idempotent, "book" is not. */
 export type RouteName = 'read' | 'book';
 
-/** What is wrong with one target for some time. */
+/** A fault of one target. */
 export interface ITraceFault {
   readonly kind: 'fault';
   readonly atMs: number;
   readonly untilMs: number;
   readonly target: string;
   readonly effect: IFaultEffect;
-  /** Whether the target should be taken out while this lasts. */
+  /** Whether the target should be ejected during the fault. */
   readonly verdict: ExpectedReaction;
 }
 
-/** "eject": it fails callers; "keep": it is well, or honest; "either": a matter of taste. */
+/**
+ * "eject": the target fails callers' requests; "keep": it is healthy or sheds load correctly;
+ * "either": both reactions are acceptable.
+ */
 export type ExpectedReaction = 'eject' | 'keep' | 'either';
 
 /** Effects that can be combined. */
 export interface IFaultEffect {
-  /** Share of work that is answered 500 at once, while health probes are answered well. */
+  /** Share of requests that immediately fail with 500, while health probes succeed. */
   readonly failShare?: number;
   readonly slowFactor?: number;
-  /** What the home sends does not arrive; other nodes reach the target. */
+  /** Requests of the home don't arrive, while other nodes reach the target. */
   readonly isCutFromHome?: boolean;
-  /** Connections opened before the fault began stay silent. */
+  /** Connections opened before the start of the fault get no responses. */
   readonly hasSilentConnections?: boolean;
-  /** The process is down: connections are refused and open ones break. */
+  /** The process is down: new connections are refused and open ones closed. */
   readonly isDown?: boolean;
-  /** Nothing gets through from anywhere. */
+  /** The target is unreachable for all nodes. */
   readonly isUnreachable?: boolean;
-  /** Slots that the target really has; beyond them it sheds, saying so. */
+  /** Number of requests that the target runs concurrently; it sheds further ones with a 503. */
   readonly shedAboveSlots?: number;
-  /** Slots that other work takes, which the load endpoint does not tell. */
+  /** Slots used by other work, which the load endpoint doesn't report. */
   readonly hiddenSlots?: number;
-  /** Share of exchanges that break on the way. */
+  /** Share of exchanges that fail on the network. */
   readonly lossShare?: number;
 }
 
-/** A whole trace. */
+/** A trace with its requests and faults, each ordered by time. */
 export interface ITrace {
   readonly header: ITraceHeader;
   readonly requests: readonly ITraceRequest[];
   readonly faults: readonly ITraceFault[];
 }
 
-/** What must come of a trace, kept beside it. Limits that are absent are not checked. */
+/** Expected outcome of a trace, from a file next to it. Absent limits aren't checked. */
 export interface IExpectedOutcome {
-  /** Every target with an "eject" fault is out within this time of the fault's beginning. */
+  /** Every target with an "eject" fault is out of use within this time after its start, in ms. */
   readonly detectedWithinMs?: number;
-  /** Targets that were taken out though nothing, or a "keep" fault, was the matter. */
+  /** Number of ejections of targets with no fault or with a "keep" fault. */
   readonly maxFalseEjections?: number;
-  /** Share of requests that ended in a refusal or a server error. */
+  /** Share of requests that end with a refusal or a server error. */
   readonly maxErrorShare?: number;
-  /** Latency of the successful, in ms. */
+  /** 99th percentile of the latency of successful requests, in ms. */
   readonly maxP99Ms?: number;
-  /** Attempts a request. */
+  /** Attempts at targets per request. */
   readonly maxAmplification?: number;
-  /** Successes while the fault or overload lasts, as a share of what the slots can do. */
+  /** Work of successful requests during the fault or surge, as a share of the capacity of all slots. */
   readonly minGoodputShare?: number;
-  /** Attempts for each request that was dispatched. */
+  /** Attempts per dispatched request. */
   readonly maxRetryAmplification?: number;
-  /** Errors and latency of callers other than the one that floods. */
+  /** Error share and latency of callers other than the flooding one. */
   readonly maxOthersErrorShare?: number;
   readonly maxOthersP99Ms?: number;
 }
--- a/packages/lab/src/trace/common/traceFormat.ts
+++ b/packages/lab/src/trace/common/traceFormat.ts
@@ -1,16 +1,16 @@
-/** Traces as JSON lines. */
+/** Formats traces as JSON lines and parses them. */
 import type { ITrace, ITraceFault, ITraceHeader, ITraceRequest } from './trace.js';
 
 type TraceLine = ITraceHeader | ITraceRequest | ITraceFault;
 
-/** The trace as text, one JSON object a line, in the order of time. */
+/** Formats a trace as one JSON object per line, ordered by time. */
 export function formatTrace(trace: ITrace): string {
   const events = [...trace.faults, ...trace.requests].sort((left, right) => left.atMs - right.atMs);
   return [trace.header, ...events].map((line) => `${JSON.stringify(line)}\n`).join('');
 }
 
 /**
- * Reads a trace. Throws on a line that is not JSON or of no known kind.
+ * Parses a trace. Throws if a line isn't JSON or the header is missing.
  *
  * @example
  * const trace = parseTrace(readFileSync(path, 'utf8'));
--- a/packages/lab/src/trace/common/traceGenerator.ts
+++ b/packages/lab/src/trace/common/traceGenerator.ts
@@ -1,4 +1,4 @@
-/** Makes traces from scenarios, members' profiles and a seed. */
+/** Generates traces from scenarios, members' profiles and a seed. */
 import type { RandomSource } from '@parsleymux/base';
 import { hashToInteger, SeededRandom } from '@parsleymux/base';
 import { sampleServiceTime } from '@parsleymux/standins';
@@ -20,10 +20,10 @@
 const BURST_MS = 200;
 const BURST_LOSS_SHARE = 0.6;
 const DISCONNECT_AFTER_MS = 30;
-/** The one caller that floods. */
+/** Name of the caller that sends the load above the normal one. */
 export const FLOODER = 'flooder';
 
-/** Names of all traces: member and scenario. */
+/** Names of all built-in traces: member and scenario. */
 export function listTraceNames(): readonly string[] {
   return MEMBER_PROFILES.flatMap((profile) => {
     return SCENARIOS.map((scenario) => `${profile.member}-${scenario.name}`);
@@ -31,7 +31,7 @@
 }
 
 /**
- * Generates a trace of the library by name. Throws when there is none of that name.
+ * Generates a built-in trace by name. Throws if no trace has that name.
  *
  * @example
  * const trace = buildTrace('dobrescu-fail-20', 1);
@@ -42,10 +42,10 @@
       if (`${profile.member}-${scenario.name}` === name) return buildFrom(profile, scenario, seed);
     }
   }
-  throw new Error(`there is no trace "${name}"`);
+  throw new Error(`trace "${name}" does not exist`);
 }
 
-/** Generates a trace from parameters. */
+/** Generates a trace of a member and a scenario. */
 export function buildFrom(profile: IMemberProfile, template: ITraceScenario, seed: number): ITrace {
   const name = `${profile.member}-${template.name}`;
   const random = new SeededRandom(hashToInteger(name, seed));
@@ -58,7 +58,7 @@
   };
 }
 
-/** The scenario with everything that goes wrong beginning later by `shiftMs`. */
+/** Returns the scenario with its faults and surge shifted later by `shiftMs`. */
 function resolveShift(scenario: ITraceScenario, shiftMs: number): ITraceScenario {
   const shift = <T extends ITraceWindow>(part: T): T => ({
     ...part,
@@ -105,7 +105,7 @@
   };
 }
 
-/** From the first beginning to the last end of what the scenario is about. */
+/** Period from the first start to the last end of the scenario's surge or faults. */
 function findWindow(scenario: ITraceScenario): ITraceWindow | undefined {
   const parts = scenario.surge === undefined ? scenario.faults : [scenario.surge];
   if (parts.length === 0) return undefined;
@@ -115,7 +115,7 @@
   };
 }
 
-/** Poisson arrivals at the rate that keeps the wished share of the slots busy. */
+/** Poisson arrivals at the rate that keeps the given share of the slots busy. */
 function buildRequests(
   profile: IMemberProfile,
   scenario: ITraceScenario,
@@ -185,7 +185,7 @@
   return targets.filter((target) => target.failureDomain === targets[0]?.failureDomain);
 }
 
-/** Steady loss on every link, and now and then a burst of it on one. */
+/** Steady loss on every link, with occasional bursts of loss on single links. */
 function buildLinkFaults(
   scenario: ITraceScenario,
   targets: readonly ITraceTarget[],
@@ -214,7 +214,7 @@
   return faults;
 }
 
-/** Rounded to the microsecond, so that traces stay short. */
+/** Rounds to microseconds, which keeps trace files small. */
 function toMicroseconds(valueMs: number): number {
   return Math.round(1000 * valueMs) / 1000;
 }
--- a/packages/lab/src/trace/node/main.ts
+++ b/packages/lab/src/trace/node/main.ts
@@ -1,4 +1,4 @@
-/** `node packages/lab/dist/trace/node/main.js DIRECTORY [SEED]`: writes the library of traces. */
+/** `node packages/lab/dist/trace/node/main.js DIRECTORY [SEED]`: writes all built-in traces. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { formatTrace } from '../common/traceFormat.js';
