--- a/packages/lab/src/experiment/common/modelledNode.ts
+++ b/packages/lab/src/experiment/common/modelledNode.ts
@@ -140,7 +140,7 @@
     retrySharing.start();
     const quarantinePersister = new QuarantinePersister({
       quarantine,
-      sharing: sharing,
+      sharing,
       clock,
       log,
       store: options.quarantineStore,
--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -153,7 +153,7 @@
       service: this.options.service.name,
       failedMs: this.failedMs,
       isFailingWithin: (fromMs, toMs) => this.isFailingWithin(fromMs, toMs),
-      isUndisturbed: (fromMs, toMs) => this.isCalm(fromMs, toMs),
+      isUndisturbed: (fromMs, toMs) => this.isUndisturbed(fromMs, toMs),
     };
   }
 
@@ -180,7 +180,7 @@
     return false;
   }
 
-  private isCalm(fromMs: number, toMs: number): boolean {
+  private isUndisturbed(fromMs: number, toMs: number): boolean {
     const wasDown = this.outages.some((outage) => outage.fromMs < toMs && outage.toMs > fromMs);
     if (wasDown) return false;
     return !this.options.scenario.events.some((event) => {
