--- a/packages/ctl/src/output/common/lossText.ts
+++ b/packages/ctl/src/output/common/lossText.ts
@@ -1,16 +1,16 @@
-/** The account of lost requests for people. */
-import type { ILossAccount } from '../../explain/common/lossAccount.js';
+/** Formats the report of lost requests as a table. */
+import type { ILossReport } from '../../explain/common/lossReport.js';
 import { formatTable } from './table.js';
 
 const PERCENT = 100;
 
 /**
- * A table with a row for each service, kind and reason; its counts add up to all requests.
+ * Formats a table with a row for each service, kind and reason; its counts add up to all requests.
  *
  * @example
  * process.stdout.write(formatLosses(countLosses(lines)));
  */
-export function formatLosses({ inTime, requests, rows }: ILossAccount): string {
+export function formatLosses({ inTime, requests, rows }: ILossReport): string {
   const formatRow = (service: string, kind: string, reason: string, count: number) => {
     const share = `${((count / Math.max(1, requests)) * PERCENT).toFixed(2)}%`;
     return [service, kind, reason, String(count), share];
--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -1,8 +1,8 @@
-/** Load on one guard: bookings that arrive at random, and what each cost. */
+/** Runs randomly arriving bookings through one claim guard and measures their cost. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, InvariantRegistry, RandomSource } from '@parsleymux/base';
 import { ResultCode, RunState } from '@parsleymux/base';
-import type { IClaimLookUpAnswer } from '@parsleymux/claims';
+import type { IClaimLookUpResponse } from '@parsleymux/claims';
 import { ClaimGuard, ClaimPeer, GroupCommitter } from '@parsleymux/claims';
 import type { IPlatform } from '@parsleymux/store';
 import type { IResponse, IGuardedAttempt } from '@parsleymux/routing';
@@ -14,35 +14,35 @@
 const DEADLINE_MS = 10_000;
 const SERVICE_MS = 5;
 const US = 1000;
-const HIGHEST_US = 60_000_000;
+const MAX_US = 60_000_000;
 
-/** One setting that is measured. */
+/** Settings of one measurement. */
 export interface IClaimCase {
-  /** Whose bookings they are; a case of its own has rows of its own. */
+  /** Member that owns the bookings. Claim rows are stored per member, so cases do not share rows. */
   readonly member: string;
   readonly groupMs: number;
   readonly maxInFlight: number;
-  /** Mean arrivals a second. */
+  /** Mean arrival rate per second. */
   readonly perSecond: number;
   readonly durationMs: number;
-  readonly answerBytes: number;
+  readonly responseBytes: number;
 }
 
-/** What the bookings of one case cost. */
-export interface IClaimFigures {
+/** Results of one case. */
+export interface IClaimResults {
   readonly bookings: number;
   readonly refused: number;
-  /** From the arrival to the dispatch, in µs. */
+  /** Time from arrival to dispatch, in µs. */
   readonly claimUs: Histogram;
-  /** From the target's answer to the caller's, in µs. */
+  /** Time from the target's response to the response to the caller, in µs. */
   readonly recordUs: Histogram;
   readonly transactions: number;
   readonly rows: number;
-  /** Processor time of this process, callers included, in µs. */
+  /** Processor time of this process, including the simulated callers, in µs. */
   readonly cpuUs: number;
 }
 
-/** Services that a measurement runs on. */
+/** Services that a measurement uses. */
 export interface IClaimBenchServices {
   readonly platform: IPlatform;
   readonly clock: Clock;
@@ -51,8 +51,8 @@
 }
 
 class NoPeer extends ClaimPeer {
-  override lookUp(): Promise<IClaimLookUpAnswer> {
-    return Promise.reject(new Error('one node alone has no peers'));
+  override lookUp(): Promise<IClaimLookUpResponse> {
+    return Promise.reject(new Error('a single node has no peers'));
   }
 }
 
@@ -60,12 +60,12 @@
  * Runs bookings with fresh keys through one guard.
  *
  * @example
- * const figures = await measureClaims(setting, services);
+ * const results = await measureClaims(setting, services);
  */
 export async function measureClaims(
   setting: IClaimCase,
   services: IClaimBenchServices,
-): Promise<IClaimFigures> {
+): Promise<IClaimResults> {
   const { platform, clock, random, invariants } = services;
   const { table, objects } = platform;
   const { groupMs, maxInFlight } = setting;
@@ -101,12 +101,12 @@
     private readonly guard: ClaimGuard,
   ) {}
 
-  getCounts(): Pick<IClaimFigures, 'bookings' | 'refused' | 'claimUs' | 'recordUs'> {
+  getCounts(): Pick<IClaimResults, 'bookings' | 'refused' | 'claimUs' | 'recordUs'> {
     const { bookings, refused, claimUs, recordUs } = this;
     return { bookings, refused, claimUs, recordUs };
   }
 
-  /** Open loop: arrivals don't wait for earlier ones. */
+  /** Open loop: a booking starts when it is due, even if earlier ones are still running. */
   async runToEnd(): Promise<void> {
     const { clock, random } = this.services;
     const endMs = clock.getMonotonicTime() + this.setting.durationMs;
@@ -125,16 +125,16 @@
     const { clock } = this.services;
     this.bookings += 1;
     const startMs = clock.getMonotonicTime();
-    let answeredMs = startMs;
+    let respondedMs = startMs;
     const run = async () => {
       this.claimUs.recordValue(toMicroseconds(clock.getMonotonicTime() - startMs));
       await clock.sleep(SERVICE_MS);
-      answeredMs = clock.getMonotonicTime();
-      return this.makeAnswer();
+      respondedMs = clock.getMonotonicTime();
+      return this.makeResponse();
     };
     try {
       await this.guard.execute(this.makeAttempt(run), new AbortController().signal);
-      this.recordUs.recordValue(toMicroseconds(clock.getMonotonicTime() - answeredMs));
+      this.recordUs.recordValue(toMicroseconds(clock.getMonotonicTime() - respondedMs));
     } catch {
       this.refused += 1;
     }
@@ -158,14 +158,14 @@
     };
   }
 
-  private makeAnswer(): IResponse {
+  private makeResponse(): IResponse {
     return {
       status: 201,
       headers: [
         ['content-type', 'application/json'],
         ['location', '/jobs/17'],
       ],
-      body: new Uint8Array(this.setting.answerBytes),
+      body: new Uint8Array(this.setting.responseBytes),
       code: ResultCode.Ok,
       runState: RunState.Ran,
     };
@@ -173,9 +173,9 @@
 }
 
 function toMicroseconds(durationMs: number): number {
-  return Math.min(HIGHEST_US, Math.max(1, Math.round(durationMs * US)));
+  return Math.min(MAX_US, Math.max(1, Math.round(durationMs * US)));
 }
 
 function makeHistogram(): Histogram {
-  return build({ highestTrackableValue: HIGHEST_US, numberOfSignificantValueDigits: 3 });
+  return build({ highestTrackableValue: MAX_US, numberOfSignificantValueDigits: 3 });
 }
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -1,4 +1,4 @@
-/** A home with the real transport on the real clock, and what its callers see. */
+/** Runs a home with the HTTP transport on the system clock and records what its callers see. */
 import type { RandomSource } from '@parsleymux/base';
 import { InvariantRegistry, SeededRandom, SystemClock } from '@parsleymux/base';
 import type { ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
@@ -10,7 +10,7 @@
   TableEjectionLedger,
 } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
-import type { IServiceLayout, ITargetPlace } from '../../../processes/common/worldLayout.js';
+import type { IServiceLayout, ILabTarget } from '../../../processes/common/worldLayout.js';
 import type { PolicyName } from '../../../replay/common/policies.js';
 import { createPolicy } from '../../../replay/common/policies.js';
 import { SimulatedTable } from '../../../replay/common/simulatedTable.js';
@@ -18,29 +18,29 @@
 import type { ITraceHeader } from '../../../trace/common/trace.js';
 
 const READ_DEADLINE_MS = 2000;
-const BOOK_SHARE = 0.3;
+const BOOKING_SHARE = 0.3;
 const FIRST_SERVER_ERROR = 500;
 const MICROSECONDS = 1000;
-/** Without a dispatch for longer than any deadline, a target counts as given no work. */
-const NO_TRAFFIC_MS = 6000;
+/** Longer than any deadline: a target without a dispatch for this long counts as out of use. */
+const MIN_IDLE_MS = 6000;
 
 /** Options of a {@link RealHome}. */
 export interface IRealHomeOptions {
   readonly policy: PolicyName;
   readonly service: IServiceLayout;
-  readonly places: readonly ITargetPlace[];
+  readonly places: readonly ILabTarget[];
   readonly seed: number;
 }
 
-/** What was measured since the fault began. */
-export interface IRealFigures {
+/** Results since the fault began. */
+export interface IRealDetectionResults {
   readonly detectionMs: number | undefined;
   readonly errorShare: number;
   readonly p99Ms: number;
   readonly falseEjections: number;
 }
 
-/** Notes when requests for callers are sent to which target. */
+/** Records the time and target of each dispatch for a caller. */
 class RecordingTransport extends HttpTargetTransport {
   readonly dispatches: { readonly target: string; readonly atMs: number }[] = [];
 
@@ -52,7 +52,7 @@
   }
 }
 
-/** Sends requests through a home and measures. */
+/** Sends requests through a home and measures detection, errors and latency. */
 export class RealHome {
   private readonly transport = new RecordingTransport();
   private readonly home: LocalHomeService;
@@ -83,13 +83,13 @@
       }),
       invariants,
       createDetector: () => createPolicy(options.policy, 'fast'),
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         if (change.standing === HealthStatus.Ejected) this.ejected.push(change.target);
       },
     });
   }
 
-  /** From now on the target is faulty, and figures count. */
+  /** Records the start of the fault of `target` and resets the measurements. */
   markFault(target: string): void {
     this.fault = { target, atMs: performance.now() };
     this.latencies = hdr.build({ highestTrackableValue: 120_000_000 });
@@ -97,7 +97,7 @@
     this.errors = 0;
   }
 
-  /** Poisson arrivals for `durationMs`. */
+  /** Sends requests with Poisson arrivals for `durationMs`. */
   async sendFor(durationMs: number, meanMs: number, random: RandomSource): Promise<void> {
     const clock = new SystemClock();
     const endMs = performance.now() + durationMs;
@@ -106,14 +106,14 @@
       dueMs += random.getExponential(meanMs);
       const waitMs = dueMs - performance.now();
       if (waitMs > 0) await clock.sleep(waitMs);
-      const task = this.send(random.getFloat() < BOOK_SHARE).finally(() => {
+      const task = this.send(random.getFloat() < BOOKING_SHARE).finally(() => {
         this.running.delete(task);
       });
       this.running.add(task);
     }
   }
 
-  async finish(): Promise<IRealFigures> {
+  async finish(): Promise<IRealDetectionResults> {
     const endMs = performance.now();
     await Promise.all(this.running);
     await this.home.dispose();
@@ -130,7 +130,7 @@
     const startMs = performance.now();
     this.requests += 1;
     try {
-      const answer = await this.home.handle(
+      const response = await this.home.handle(
         {
           member: this.options.service.member,
           route: isBook ? this.routes.book : this.routes.read,
@@ -144,25 +144,28 @@
         },
         new AbortController().signal,
       );
-      if (answer.status >= FIRST_SERVER_ERROR) this.errors += 1;
+      if (response.status >= FIRST_SERVER_ERROR) this.errors += 1;
       else this.latencies.recordValue(Math.round((performance.now() - startMs) * MICROSECONDS));
     } catch {
       this.errors += 1;
     }
   }
 
-  /** Time to the last dispatch for a caller before a long time without any. */
+  /**
+   * Time from the fault to the last dispatch for a caller before {@link MIN_IDLE_MS} without any;
+   * undefined if the target was not detected.
+   */
   private measureDetection(endMs: number): number | undefined {
     if (this.fault === undefined) return undefined;
     const { target, atMs: startMs } = this.fault;
     let lastMs = startMs;
     for (const dispatch of this.transport.dispatches) {
       if (dispatch.target !== target || dispatch.atMs < startMs) continue;
-      if (dispatch.atMs - lastMs >= NO_TRAFFIC_MS) break;
+      if (dispatch.atMs - lastMs >= MIN_IDLE_MS) break;
       lastMs = dispatch.atMs;
     }
-    const isQuiet = endMs - lastMs >= NO_TRAFFIC_MS;
-    return isQuiet ? lastMs - startMs : undefined;
+    const isIdle = endMs - lastMs >= MIN_IDLE_MS;
+    return isIdle ? lastMs - startMs : undefined;
   }
 }
 
--- a/packages/lab/src/bench/hop/node/hopWorld.ts
+++ b/packages/lab/src/bench/hop/node/hopWorld.ts
@@ -1,4 +1,4 @@
-/** Two nodes before the targets of one service, each a process of its own. */
+/** Runs two nodes in front of the targets of one service, in separate processes. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,7 +11,7 @@
 import { openHttpPlatform, VmState } from '@parsleymux/store';
 import type { Intent } from '@parsleymux/schema';
 import { IntentSchema } from '@parsleymux/schema';
-import type { ITargetPlace } from '../../../processes/common/worldLayout.js';
+import type { ILabTarget } from '../../../processes/common/worldLayout.js';
 import type { NodeProcess } from '../../../processes/node/nodeProcess.js';
 import { startNode } from '../../../processes/node/nodeProcess.js';
 import type { PlatformProcess } from '../../../processes/node/platformProcess.js';
@@ -19,13 +19,13 @@
 import { ProcessFleet } from '../../../processes/node/processFleet.js';
 import { startTargetGroup } from '../../../processes/node/targetGroup.js';
 
-/** The one member of the world. */
+/** The only member. */
 export const MEMBER = 'member';
-/** Its one service. */
+/** The only service of the member. */
 export const SERVICE = 'service';
-/** Host name of the route that is idempotent. */
+/** Host name of the idempotent route. */
 export const READ_HOST = 'read.example';
-/** Host name of the route that is not. */
+/** Host name of the non-idempotent route. */
 export const BOOK_HOST = 'book.example';
 
 const NODE_COUNT = 2;
@@ -34,19 +34,19 @@
 const TARGETS_PER_DOMAIN = 8;
 const SLOTS = 16;
 const SETTLE_MS = 1500;
-/** Today's settings of a node in use, instead of the short ones of the lab. */
+/** Default intervals of a production node, in place of the shorter ones of the lab. */
 const TIMING = { configPollMs: 2000, vmListPollMs: 2000 };
 
 /** Options of {@link startHopWorld}. */
 export interface IHopWorldOptions {
   readonly seed: number;
   readonly meanServiceMs: number;
-  /** Options of Node for the nodes, such as those of its profiler. */
+  /** Options of Node.js for the nodes, such as profiler options. */
   readonly nodeOptions: readonly string[];
 }
 
 /**
- * A running world.
+ * The running processes.
  *
  * @example
  * const { home, other } = await startHopWorld(options);
@@ -54,8 +54,8 @@
 export class HopWorld implements IDisposable {
   constructor(
     readonly fleet: ProcessFleet,
-    readonly targets: readonly ITargetPlace[],
-    /** Home of the service. */
+    readonly targets: readonly ILabTarget[],
+    /** The home of the service. */
     readonly home: NodeProcess,
     readonly other: NodeProcess,
     private readonly directory: string,
@@ -98,10 +98,10 @@
     nodes.push(await addNode(fleet, platform, directory, index, options.nodeOptions));
   }
   await Promise.all(nodes.map((node) => node.waitUntilReady()));
-  await putInForce(platform.address, makeIntent(group.places), options.seed);
+  await putInForce(platform.address, makeIntent(group.targets), options.seed);
   await sleep(SETTLE_MS + TIMING.configPollMs);
   const [home, other] = sortByHome(nodes);
-  return new HopWorld(fleet, group.places, home, other, directory);
+  return new HopWorld(fleet, group.targets, home, other, directory);
 }
 
 async function addNode(
@@ -139,7 +139,7 @@
   await platform.dispose();
 }
 
-function makeIntent(places: readonly ITargetPlace[]): Intent {
+function makeIntent(places: readonly ILabTarget[]): Intent {
   const targets = places.map(({ address }) => {
     return { address, failureDomain: DOMAIN, slots: SLOTS, maxConnections: 400 };
   });
--- a/packages/lab/src/bench/placement/common/boundedPlacement.ts
+++ b/packages/lab/src/bench/placement/common/boundedPlacement.ts
@@ -1,16 +1,16 @@
 /**
- * Rendezvous hashing with bounded loads: shards are placed one after another, each at the best
- * candidate that has not reached a bound above the mean. Kept in the benchmark only.
+ * Rendezvous hashing with bounded loads: shards are placed one after another, each on the best
+ * candidate whose load stays within a multiple of the mean. Used only for comparison.
  */
 import { hashToInteger } from '@parsleymux/base';
 import type { INode, IShard } from '@parsleymux/fleet';
 import { Placement, RendezvousPlacement } from '@parsleymux/fleet';
 import type { ISizedShard } from './placementCase.js';
 
-const CANDIDATES = 12;
+const CANDIDATE_COUNT = 12;
 
 /**
- * Needs to know every shard beforehand, and gives each only one candidate of its own.
+ * Requires all shards in advance, and bounds the load of only the first candidate of each.
  *
  * @example
  * const placement = new BoundedPlacement(shards, 1.25);
@@ -49,7 +49,7 @@
     const loads = new Map<INode, number>();
     for (const shard of this.shards) {
       const bound = bounds.get(shard.failureDomains[0] ?? '') ?? Infinity;
-      const candidates = this.inner.rank(shard, CANDIDATES);
+      const candidates = this.inner.rank(shard, CANDIDATE_COUNT);
       const home = candidates.find((node) => {
         const load = loads.get(node) ?? 0;
         return load === 0 || load + shard.slots <= bound;
--- a/packages/lab/src/bench/placement/common/measurePlacement.ts
+++ b/packages/lab/src/bench/placement/common/measurePlacement.ts
@@ -1,41 +1,41 @@
-/** Balance, movement and cost of one placement scheme on one case. */
+/** Measures balance, movement and look-up cost of a placement scheme on one case. */
 import type { Clock } from '@parsleymux/base';
 import type { INode, Placement } from '@parsleymux/fleet';
 import type { IPlacementSize, ISizedShard } from './placementCase.js';
 import { makeNode, makeNodes } from './placementCase.js';
 
 const CANDIDATES = 3;
-const CHANGES_TRIED = 10;
+const CHANGE_COUNT = 10;
 
-/** What was measured. Shares are of all slots. */
-export interface IPlacementFigures {
+/** Results of one measurement. Loads are measured in slots per node. */
+export interface IPlacementResults {
   readonly maxToMean: number;
   readonly p99ToMean: number;
-  /** Slots moved by the loss of one node, over the slots that it held. 1 is ideal. */
+  /** Slots moved when a node is lost, divided by the slots it held. 1 is ideal. */
   readonly lossMovement: number;
-  /** Slots moved by a join, over the slots that the new node got. 1 is ideal. */
+  /** Slots moved when a node joins, divided by the slots it received. 1 is ideal. */
   readonly joinMovement: number;
-  /** Look-up of three candidates just after the live set changed, in µs. */
+  /** Look-up of three candidates directly after the live set changed, in µs. */
   readonly coldLookUpUs: number;
-  /** The same look-up again, in µs. */
+  /** The same look-up repeated, in µs. */
   readonly warmLookUpUs: number;
 }
 
-/** Makes a scheme anew, so that one measurement does not warm the next. */
+/** Creates a new instance, so that one measurement does not warm the caches of the next. */
 export type PlacementFactory = () => Placement;
 
 /**
  * Measures one scheme.
  *
  * @example
- * const figures = measurePlacement(() => new RendezvousPlacement(), size, shards, clock);
+ * const results = measurePlacement(() => new RendezvousPlacement(), size, shards, clock);
  */
 export function measurePlacement(
   make: PlacementFactory,
   size: IPlacementSize,
   shards: readonly ISizedShard[],
   clock: Clock,
-): IPlacementFigures {
+): IPlacementResults {
   const nodes = makeNodes(size);
   const placement = make();
   placement.setNodes(nodes);
@@ -88,8 +88,8 @@
 ): number {
   let moved = 0;
   let held = 0;
-  for (let index = 0; index < CHANGES_TRIED; index += 1) {
-    const lost = nodes[Math.floor((index * nodes.length) / CHANGES_TRIED)];
+  for (let index = 0; index < CHANGE_COUNT; index += 1) {
+    const lost = nodes[Math.floor((index * nodes.length) / CHANGE_COUNT)];
     const placement = make();
     placement.setNodes(nodes);
     placement.setNodes(nodes.filter((node) => node !== lost));
@@ -108,7 +108,7 @@
 ): number {
   let moved = 0;
   let gained = 0;
-  for (let index = 0; index < CHANGES_TRIED; index += 1) {
+  for (let index = 0; index < CHANGE_COUNT; index += 1) {
     const joined = makeNode(size, nodes.length + index);
     const placement = make();
     placement.setNodes(nodes);
@@ -125,11 +125,11 @@
   nodes: readonly INode[],
   shards: readonly ISizedShard[],
   clock: Clock,
-): Pick<IPlacementFigures, 'coldLookUpUs' | 'warmLookUpUs'> {
+): Pick<IPlacementResults, 'coldLookUpUs' | 'warmLookUpUs'> {
   const placement = make();
   const cold: number[] = [];
   const warm: number[] = [];
-  for (let round = 0; round < CHANGES_TRIED; round += 1) {
+  for (let round = 0; round < CHANGE_COUNT; round += 1) {
     placement.setNodes(nodes);
     cold.push(measurePass(placement, shards, clock));
     warm.push(measurePass(placement, shards, clock));
--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -1,4 +1,4 @@
-/** Runs one trace under one way to route, on a clock of its own. */
+/** Runs one trace under one routing mode, on a separate manual clock. */
 import { InvariantRegistry, ManualClock, SeededRandom } from '@parsleymux/base';
 import { LocalHomeService, PassThroughGuard, TableEjectionLedger } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
@@ -13,31 +13,31 @@
 
 const NODES = 48;
 const DOMAINS: readonly string[] = ['domain-0', 'domain-1', 'domain-2'];
-const TAIL_MS = 10_000;
+const DRAIN_MS = 10_000;
 const MICROSECONDS = 1000;
 
-/** Figures of one run. */
-export interface IRoutingFigures {
-  /** Latency beyond the recorded work, of successes, in ms. */
+/** Results of one run. */
+export interface IRoutingResults {
+  /** Latency of successful requests beyond their recorded work, in ms. */
   readonly addedP50Ms: number;
   readonly addedP99Ms: number;
-  /** Share of arrivals at targets that found every slot taken. */
+  /** Fraction of arrivals at targets that found every slot in use. */
   readonly collisionShare: number;
   readonly shedShare: number;
-  /** Refused, failed, or shed without another target. */
+  /** Fraction of requests refused, failed, or shed without another target to retry on. */
   readonly errorShare: number;
-  /** Most connections that one target had open. */
+  /** Maximum number of connections open to one target. */
   readonly connections: number;
   readonly detectionMs: readonly (number | undefined)[];
   readonly falseEjections: number;
 }
 
-/** Runs and measures. */
+/** Runs a trace and measures it. */
 export async function runRouting(
   trace: ITrace,
   mode: RoutingMode,
   seed: number,
-): Promise<IRoutingFigures> {
+): Promise<IRoutingResults> {
   return new RoutingRun(trace, mode, seed).run();
 }
 
@@ -67,12 +67,12 @@
     this.homes = this.buildHomes();
   }
 
-  async run(): Promise<IRoutingFigures> {
+  async run(): Promise<IRoutingResults> {
     for (const request of this.trace.requests) {
       await this.clock.advanceTo(request.atMs);
       void this.send(request);
     }
-    await this.clock.advanceBy(TAIL_MS);
+    await this.clock.advanceBy(DRAIN_MS);
     for (const { home } of this.homes) await home.dispose();
     return this.summarize();
   }
@@ -91,7 +91,7 @@
     });
     try {
       await this.clock.sleep(hopMs);
-      const answer = await placed.home.handle(
+      const response = await placed.home.handle(
         {
           member: header.member,
           route: this.routes[request.route],
@@ -107,10 +107,10 @@
       );
       const spare = placed.home.getSpareSlots(header.member, header.service.name);
       await this.clock.sleep(hopMs);
-      // The home's spare slots come with each answer, and are all that an entry knows.
+      // An entry knows a home's spare slots only from the last response of that home.
       entry.spareShares.set(placed, spare / placed.slots);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordResponse(request, answer, latencyMs);
+      this.recorder.recordResponse(request, response, latencyMs);
       const addedMs = Math.max(0, latencyMs - request.workMs);
       this.added.recordValue(Math.round(addedMs * MICROSECONDS));
     } catch (error) {
@@ -118,7 +118,7 @@
     }
   }
 
-  private summarize(): IRoutingFigures {
+  private summarize(): IRoutingResults {
     const targets = [...this.targets.values()];
     const arrivals = targets.reduce((sum, target) => sum + target.arrivals, 0);
     const collisions = targets.reduce((sum, target) => sum + target.collisions, 0);
@@ -197,7 +197,7 @@
         node: `node-${index}`,
       }),
       invariants,
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         this.recorder.recordChange(change);
       },
     });
@@ -205,7 +205,7 @@
   }
 }
 
-/** The part of the service in one failure domain, with its share of the floor, rounded up. */
+/** Restricts the service to one failure domain, with its share of the floor rounded up. */
 function pickDomain(header: ITraceHeader, domain: string): ITraceHeader {
   const { service } = header;
   const targets = service.targets.filter((target) => target.failureDomain === domain);
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -1,6 +1,6 @@
 /** Collects measurements while a trace is replayed. */
 import { MuxError } from '@parsleymux/base';
-import type { IResponse, IStandingChange } from '@parsleymux/routing';
+import type { IResponse, IHealthStatusChange } from '@parsleymux/routing';
 import { HealthStatus } from '@parsleymux/routing';
 import * as hdr from 'hdr-histogram-js';
 import type { ITrace, ITraceFault, ITraceRequest } from '../../trace/common/trace.js';
@@ -37,7 +37,7 @@
   private readonly othersLatencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly latencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly dispatches = new Map<string, number[]>();
-  private readonly changes: IStandingChange[] = [];
+  private readonly changes: IHealthStatusChange[] = [];
 
   constructor(private readonly trace: ITrace) {}
 
@@ -65,7 +65,7 @@
     else times.push(atMs);
   }
 
-  recordChange(change: IStandingChange): void {
+  recordChange(change: IHealthStatusChange): void {
     this.changes.push(change);
   }
 
@@ -142,7 +142,7 @@
     return count;
   }
 
-  private isUnjustified(change: IStandingChange): boolean {
+  private isUnjustified(change: IHealthStatusChange): boolean {
     const justification = this.trace.faults.find((fault) => {
       const isDuring = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_GRACE_MS;
       return fault.target === change.target && fault.verdict !== 'keep' && isDuring;
@@ -188,7 +188,7 @@
 }
 
 /** Whether the change takes the target out of use: ejected, or unreachable from this home. */
-function isRemoval(change: IStandingChange): boolean {
+function isRemoval(change: IHealthStatusChange): boolean {
   if (change.standing === HealthStatus.Ejected) return true;
   return change.standing === HealthStatus.Suspect && change.reason.startsWith('cut off');
 }
--- a/packages/lab/src/replay/common/replayTrace.ts
+++ b/packages/lab/src/replay/common/replayTrace.ts
@@ -71,7 +71,7 @@
       observer: new SimulatedObserver(clock, this.observerTransport),
       createDetector: options.createDetector,
       metrics: this.metrics,
-      onStandingChange: (change) => {
+      onHealthStatusChange: (change) => {
         this.recorder.recordChange(change);
       },
     });
@@ -156,7 +156,7 @@
 
   private countViolations(): number {
     const names = Object.values(InvariantName);
-    return names.reduce((sum, name) => sum + this.invariants.getViolations(name), 0);
+    return names.reduce((sum, name) => sum + this.invariants.getViolationCount(name), 0);
   }
 
   private buildTargets(): ReadonlyMap<string, SimulatedTarget> {
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -1,5 +1,5 @@
-/** Brings the soak's faults about, and ends them. */
-import { FOREIGN_TARGET_TEXTS, MetadataFault } from '@parsleymux/standins';
+/** Injects the faults of the soak and ends them. */
+import { INVALID_TARGET_TEXTS, MetadataFault } from '@parsleymux/standins';
 import type { IFaultStep } from '../../prove/common/faultSchedule.js';
 import type { EndFault, Injection } from '../../prove/node/faultInjector.js';
 import { endNothing, pickElement } from '../../prove/node/faultInjector.js';
@@ -13,28 +13,30 @@
 import type { SoakWorld } from './soakWorld.js';
 
 const MS_PER_S = 1000;
-/** Fewer usable nodes or targets of a service than this are left alone. */
-const LEAST_NODES = 2;
-const LEAST_TARGETS = 2;
-/** Longest delay of a link in one direction, in ms. */
-const LONGEST_DELAY_MS = 400;
+/** Faults of nodes and targets are skipped unless more than this many are usable. */
+const MIN_NODES = 2;
+const MIN_TARGETS = 2;
+/** Longest delay of a link, in ms. */
+const MAX_DELAY_MS = 400;
 const STORM_PAUSE_MS = 150;
 /** Pause between two copies of a request that crashes targets, in ms. */
 const CRASHING_PAUSE_MS = 250;
-/** A process that was killed is started again after this, in ms. */
-const RESTART_MS = 300;
-/** An address goes to another target this long after the former one's entry went, in ms. */
-const REUSE_MS = 1500;
-/** A leaving target serves a little longer than nodes may send to it, in ms. */
-const LEAVE_MS = SOAK_BOUNDS.drain_s * MS_PER_S + 1000;
+/** Time until a process that was terminated is started again, in ms. */
+const RESTART_DELAY_MS = 300;
+/** Time between the removal of a target's entry and the reuse of its address, in ms. */
+const REUSE_DELAY_MS = 1500;
+/** Time that a draining target serves, in ms; a little longer than nodes may send to it. */
+const DRAINING_MS = SOAK_BOUNDS.drain_s * MS_PER_S + 1000;
 
-/** The store is away for this long before it comes back older, in ms; then others write again. */
-const STORE_AWAY_MS = 400;
-const REWRITE_MS = 600;
+/** How long the store is unavailable before it is restored from an older copy, in ms. */
+const STORE_OUTAGE_MS = 400;
+/** Time until other writers repeat the writes that the restored store has lost, in ms. */
+const REWRITE_DELAY_MS = 600;
+/** Rounds of writes that the store loses by the restore. */
 const LOST_WRITES = 10;
-/** A target names a limit for this long, in ms, and how many requests a second it may be. */
+/** How long a target advertises a limit, in ms, and the range of the limit in requests per second. */
 const LIMIT_MS = 9000;
-const LEAST_LIMIT_PER_S = 0.5;
+const MIN_LIMIT_PER_S = 0.5;
 const LIMIT_RANGE_PER_S = 2;
 
 type Step = IFaultStep<SoakFaultKind>;
@@ -43,7 +45,7 @@
   return fault !== MetadataFault.None;
 });
 
-/** Injects a step; the result ends it. */
+/** Injects the fault of a step; the result ends it. */
 export function startSoakFault(step: Step, world: SoakWorld): Promise<Injection> {
   switch (step.kind) {
     case SoakFaultKind.NodeKill:
@@ -87,11 +89,11 @@
     case SoakFaultKind.CrashingRequest:
       return Promise.resolve(startCrashingRequest(step, world));
     case SoakFaultKind.TargetTellsDrain:
-      return withTarget(step, world, (target) => startToldDrain(target, world));
+      return withTarget(step, world, (target) => startAnnouncedDrain(target, world));
     case SoakFaultKind.StoreRestore:
       return Promise.resolve(startStoreRestore(world));
     case SoakFaultKind.TargetNamesLimit:
-      return withTarget(step, world, (target) => startNamedLimit(target, step));
+      return withTarget(step, world, (target) => startAdvertisedLimit(target, step));
   }
 }
 
@@ -101,7 +103,7 @@
   act: (node: SoakNode) => Promise<Injection>,
 ): Promise<Injection> {
   const usable = world.nodes.filter((node) => node.isUsable());
-  const node = usable.length > LEAST_NODES ? pickElement(usable, step.pick) : undefined;
+  const node = usable.length > MIN_NODES ? pickElement(usable, step.pick) : undefined;
   return node === undefined ? Promise.resolve('skipped') : act(node);
 }
 
@@ -114,7 +116,7 @@
   const siblings = world.targets.filter(({ options }) => {
     return options.service === target?.options.service;
   });
-  if (target === undefined || siblings.length <= LEAST_TARGETS) return Promise.resolve('skipped');
+  if (target === undefined || siblings.length <= MIN_TARGETS) return Promise.resolve('skipped');
   return act(target);
 }
 
@@ -146,8 +148,8 @@
 }
 
 function startTermination(node: SoakNode, world: SoakWorld): Promise<EndFault> {
-  const askedMs = performance.now();
-  world.plannedStops.push({ node: node.name, life: node.life, askedMs });
+  const requestedMs = performance.now();
+  world.plannedStops.push({ node: node.name, incarnation: node.incarnation, requestedMs });
   node.sendSignal('SIGTERM');
   const graceMs = SOAK_BOUNDS.grace_s * MS_PER_S;
   const killer = setTimeout(() => {
@@ -155,19 +157,19 @@
   }, graceMs);
   void node.waitForEnd().then(() => {
     clearTimeout(killer);
-    const tookMs = performance.now() - askedMs;
-    const wasCalm = world.disturbances.isCalm([node.name], askedMs, askedMs + tookMs);
+    const tookMs = performance.now() - requestedMs;
+    const wasCalm = world.disturbances.isCalm([node.name], requestedMs, requestedMs + tookMs);
     world.findings.check('stops end within the grace time', !wasCalm || tookMs < graceMs, () => {
       return `${node.name} took ${Math.round(tookMs)} ms`;
     });
-    setTimeout(() => void world.ensureRunning(node), RESTART_MS);
+    setTimeout(() => void world.ensureRunning(node), RESTART_DELAY_MS);
   });
   return Promise.resolve(endNothing);
 }
 
 async function startReload(node: SoakNode, step: Step, world: SoakWorld): Promise<Injection> {
   if (!node.isReloadCaught()) return 'skipped';
-  // Fewer repeats than the deployment allows: the checks know only the greater number.
+  // Below the deployment's limit, which the checks use.
   const retryBurst = Math.floor(SOAK_BOUNDS.retry_burst * step.size);
   await node.writeSettings(world.listSeeds(), false, { retryBurst });
   node.sendSignal('SIGHUP');
@@ -195,21 +197,21 @@
   };
 }
 
-/** The copy is as old as the step is long. */
+/** Restores the store from a copy taken at the start of the step, so its age is the step's duration. */
 function startStoreRestore(world: SoakWorld): Injection {
   if (world.store.fault !== MetadataFault.None) return 'skipped';
   const copy = world.store.rows.copy();
-  // What the store loses moves its versions, as the entries of many targets do that report again and again.
+  // The lost writes advance the store's versions, as targets do that renew their entries.
   for (let count = 0; count < LOST_WRITES; count += 1) world.writeTargets();
   return async () => {
     const endDisturbance = markDisturbed(STORE_SCOPE, world);
     world.store.fault = MetadataFault.Reset;
-    await new Promise((resolve) => setTimeout(resolve, STORE_AWAY_MS));
+    await new Promise((resolve) => setTimeout(resolve, STORE_OUTAGE_MS));
     world.store.restore(copy);
     world.store.fault = MetadataFault.None;
     endDisturbance();
-    await new Promise((resolve) => setTimeout(resolve, REWRITE_MS));
-    world.writeAgain();
+    await new Promise((resolve) => setTimeout(resolve, REWRITE_DELAY_MS));
+    world.restoreLostWrites();
   };
 }
 
@@ -220,8 +222,8 @@
   world: SoakWorld,
 ): Promise<EndFault> {
   const endDisturbance = markDisturbed(scope, world);
-  const ways = ['forward', 'backward', 'both', 'delay', 'reset', 'silent', 'refuse'] as const;
-  switch (pickElement(ways, step.pick)) {
+  const kinds = ['forward', 'backward', 'both', 'delay', 'reset', 'silent', 'refuse'] as const;
+  switch (pickElement(kinds, step.pick)) {
     case 'forward':
       await link.setFaults({ cutForward: true });
       break;
@@ -232,7 +234,7 @@
       await link.setFaults({ cutForward: true, cutBackward: true });
       break;
     case 'delay':
-      await link.setFaults({ delayMs: LONGEST_DELAY_MS * step.size });
+      await link.setFaults({ delayMs: MAX_DELAY_MS * step.size });
       break;
     case 'reset':
       link.resetConnections();
@@ -255,11 +257,11 @@
 
 function startTargetFault(target: SoakTarget, step: Step, world: SoakWorld): Promise<EndFault> {
   const endDisturbance = markDisturbed(target.options.id, world);
-  const modes = TARGET_MODES.filter((mode) => mode !== TargetMode.Well);
+  const modes = TARGET_MODES.filter((mode) => mode !== TargetMode.Healthy);
   target.mode = pickElement(modes, step.pick) ?? TargetMode.Failing;
   target.share = step.size;
   return Promise.resolve(() => {
-    target.mode = TargetMode.Well;
+    target.mode = TargetMode.Healthy;
     endDisturbance();
     return Promise.resolve();
   });
@@ -268,12 +270,12 @@
 async function startDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
   await world.openTarget(target.options.service);
   world.retireTarget(target);
-  const leave = async () => {
+  const shutDown = async () => {
     world.removeTarget(target);
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), LEAVE_MS);
+  setTimeout(() => void shutDown(), DRAINING_MS);
   return endNothing;
 }
 
@@ -290,10 +292,10 @@
   const services = [...new Set(world.targets.map(({ options }) => options.service))];
   const service = pickElement(services, Math.floor(step.pick / 7)) ?? target.options.service;
   markDisturbed(target.options.id, world);
-  const place = await target.releasePlace();
+  const endpoint = await target.releaseEndpoint();
   world.removeTarget(target);
-  await new Promise((resolve) => setTimeout(resolve, REUSE_MS));
-  await world.openTarget(service, place);
+  await new Promise((resolve) => setTimeout(resolve, REUSE_DELAY_MS));
+  await world.openTarget(service, endpoint);
   return endNothing;
 }
 
@@ -309,19 +311,19 @@
 }
 
 function startForeignEntry(target: SoakTarget, step: Step, world: SoakWorld): Promise<EndFault> {
-  const restore = world.putForeignEntry(target, pickElement(FOREIGN_TARGET_TEXTS, step.pick) ?? '');
+  const restore = world.putForeignEntry(target, pickElement(INVALID_TARGET_TEXTS, step.pick) ?? '');
   return Promise.resolve(() => {
     restore();
     return Promise.resolve();
   });
 }
 
-/** The caller goes on until the run ends: what is held back stays so. */
+/** Repeats the request until the step ends. Nodes must go on holding it back. */
 function startCrashingRequest(step: Step, world: SoakWorld): Injection {
   const path = `${CRASH_PREFIX}${step.pick}`;
   const timer = setInterval(() => {
     const node = pickElement(
-      world.nodes.filter((one) => one.isUsable()),
+      world.nodes.filter((candidate) => candidate.isUsable()),
       Math.floor(performance.now()),
     );
     if (node !== undefined) void sendCrashingRequest(node, path, world.ledger);
@@ -332,20 +334,20 @@
   };
 }
 
-async function startToldDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
+async function startAnnouncedDrain(target: SoakTarget, world: SoakWorld): Promise<EndFault> {
   await world.openTarget(target.options.service);
-  target.tellsDrain = true;
-  const leave = async () => {
+  target.isAnnouncingDrain = true;
+  const shutDown = async () => {
     world.removeTarget(target);
     markDisturbed(target.options.id, world);
     await target.dispose();
   };
-  setTimeout(() => void leave(), 2 * LEAVE_MS);
+  setTimeout(() => void shutDown(), 2 * DRAINING_MS);
   return endNothing;
 }
 
-function startNamedLimit(target: SoakTarget, step: Step): Promise<EndFault> {
-  const ratePerS = LEAST_LIMIT_PER_S + step.size * LIMIT_RANGE_PER_S;
+function startAdvertisedLimit(target: SoakTarget, step: Step): Promise<EndFault> {
+  const ratePerS = MIN_LIMIT_PER_S + step.size * LIMIT_RANGE_PER_S;
   target.limit = { ratePerS, sinceMs: performance.now() };
   setTimeout(() => {
     target.limit = undefined;
--- a/packages/lab/src/soak/node/soakWorld.ts
+++ b/packages/lab/src/soak/node/soakWorld.ts
@@ -1,4 +1,4 @@
-/** Store, targets and nodes of one run, and what the run has seen of them. */
+/** Store, targets and nodes of one run, and the evidence that is recorded about them. */
 import { rmSync } from 'node:fs';
 import { mkdtemp } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -18,34 +18,34 @@
   makeSoakConfig,
 } from '../common/soakLayout.js';
 import { SoakNode } from './soakNode.js';
-import type { ITargetPlace } from './soakTarget.js';
+import type { ITargetEndpoint } from './soakTarget.js';
 import { SoakTarget, TargetMode } from './soakTarget.js';
 
 const CONFIG_TABLE = 'op';
 const TARGET_TABLE = 'servers';
 const SLOTS = 4;
 const MS_PER_S = 1000;
-/** The run's own end of processes: what is left then is killed. */
+/** Grace time of processes at the end of the run; those still running then are killed. */
 const GRACE_MS = SOAK_BOUNDS.grace_s * MS_PER_S;
 const READY_CHECK_MS = 50;
 const READY_LIMIT_MS = 60_000;
 const MAX_SEEDS = 3;
 
-/** A target that a request has crashed stays away for this long, in ms. */
-const CRASHED_FOR_MS = 2000;
+/** Time until a target that a request has crashed is replaced, in ms. */
+const REPLACEMENT_DELAY_MS = 2000;
 
 /** Options of a {@link SoakWorld}. */
 export interface ISoakWorldOptions {
   readonly seed: number;
   readonly nodeCount: number;
   readonly targetsPerService: number;
-  /** Module that nodes load first, and that turns a mechanism off in them. */
+  /** Module that nodes load first and that disables a mechanism in them. */
   readonly breakModule?: string;
-  /** Targets that run what is meant for others. Default false. */
+  /** Whether targets run requests that are addressed to other targets. Default false. */
   readonly hasLaxTargets?: boolean;
 }
 
-/** What faults act on. */
+/** The system under test of a soak, on which faults act. */
 export class SoakWorld implements IDisposable {
   readonly ledger = new SoakLedger();
   readonly disturbances = new DisturbanceLog();
@@ -58,11 +58,11 @@
   readonly nodes: SoakNode[] = [];
   readonly targets: SoakTarget[] = [];
   private readonly fleet = new ProcessFleet({ graceMs: GRACE_MS, handleSignals: false });
-  private readonly gone: SoakTarget[] = [];
-  /** Targets that have written that they leave, and are still there. */
-  private readonly leaving = new Set<SoakTarget>();
+  private readonly formerTargets: SoakTarget[] = [];
+  /** Targets whose entries say that they are draining and that still run. */
+  private readonly draining = new Set<SoakTarget>();
   /** Identifiers of targets whose entries were removed. */
-  private readonly removed = new Set<string>();
+  private readonly removedIds = new Set<string>();
   private openedStore: MetadataStandIn | undefined;
   private targetCount = 0;
   private isEnding = false;
@@ -77,7 +77,7 @@
     return this.openedStore;
   }
 
-  /** Processes of nodes that run now. */
+  /** Number of running node processes. */
   get processCount(): number {
     return this.fleet.getRunning().length;
   }
@@ -104,39 +104,39 @@
     this.versions.push({ version, acceptedMs: performance.now() });
   }
 
-  /** Targets write their entries again. */
+  /** Writes the entries of all targets again. */
   writeTargets(): void {
     for (const target of this.targets) this.register(target, false);
   }
 
-  /** Operator and targets write again what a store has lost that came back older. */
-  writeAgain(): void {
+  /** Repeats the writes of operator and targets that a store restored from an older copy has lost. */
+  restoreLostWrites(): void {
     const newest = this.versions[this.versions.length - 1];
     if (newest !== undefined) {
       this.store.put(CONFIG_TABLE, 'config', makeSoakConfig(newest.version));
     }
     this.writeTargets();
     const present = new Set(this.targets.map(({ options }) => options.id));
-    for (const { options } of this.gone) {
-      if (this.removed.has(options.id) && !present.has(options.id)) {
+    for (const { options } of this.formerTargets) {
+      if (this.removedIds.has(options.id) && !present.has(options.id)) {
         this.store.remove(TARGET_TABLE, options.id);
       }
     }
-    for (const target of this.leaving) this.register(target, true);
+    for (const target of this.draining) this.register(target, true);
   }
 
-  /** Opens and registers a target, at a former one's place or at its own. */
-  async openTarget(service: string, place?: ITargetPlace): Promise<void> {
+  /** Opens and registers a target, at a former target's endpoint or at a new one. */
+  async openTarget(service: string, endpoint?: ITargetEndpoint): Promise<void> {
     this.targetCount += 1;
-    await this.openAs(`${service}-${this.targetCount}`, service, place);
+    await this.openWithId(`${service}-${this.targetCount}`, service, endpoint);
   }
 
-  /** Starts a target that has crashed again under its identifier, at an address of its own. */
+  /** Starts a crashed target again under the same identifier, at a new address. */
   async startTargetAgain({ options: { id, service } }: SoakTarget): Promise<void> {
-    await this.openAs(id, service);
+    await this.openWithId(id, service);
   }
 
-  /** Overwrites a target's entry as another writer might; the result makes it good again. */
+  /** Overwrites a target's entry as another writer might; the result restores the entry. */
   putForeignEntry(target: SoakTarget, text: string): () => void {
     const { id } = target.options;
     this.store.put(TARGET_TABLE, id, text);
@@ -146,7 +146,7 @@
     };
   }
 
-  private async openAs(id: string, service: string, place?: ITargetPlace): Promise<void> {
+  private async openWithId(id: string, service: string, endpoint?: ITargetEndpoint): Promise<void> {
     if (this.isEnding) return;
     const target = new SoakTarget({
       id,
@@ -156,48 +156,48 @@
       random: this.random,
       isStrict: this.options.hasLaxTargets !== true,
       recordArrival: (arrival) => this.ledger.recordArrival(arrival),
-      onCrash: (crashed, path) => void this.endTarget(crashed, path),
-      ...(place === undefined ? {} : { place }),
+      onCrash: (crashed, path) => void this.handleTargetCrash(crashed, path),
+      ...(endpoint === undefined ? {} : { endpoint }),
     });
     await target.open();
     this.targets.push(target);
     this.register(target, false);
   }
 
-  /** Writes that a target leaves; it goes on serving. */
+  /** Marks a target's entry as draining; the target continues to serve. */
   retireTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
-    this.gone.push(target);
-    this.leaving.add(target);
+    this.formerTargets.push(target);
+    this.draining.add(target);
     this.register(target, true);
     this.drains.push({ target: target.options.id, acceptedMs: performance.now() });
   }
 
-  /** Takes a target that has crashed from the list; its entry stays. */
+  /** Removes a crashed target from the list of targets; its entry stays. */
   releaseTarget(target: SoakTarget): void {
     this.targets.splice(this.targets.indexOf(target), 1);
-    this.gone.push(target);
+    this.formerTargets.push(target);
   }
 
-  /** A request has crashed a target: it is back some seconds later, as another one. */
-  private async endTarget(target: SoakTarget, path: string): Promise<void> {
+  /** Ends a target that a request has crashed, and replaces it some seconds later by a new one. */
+  private async handleTargetCrash(target: SoakTarget, path: string): Promise<void> {
     if (!this.targets.includes(target)) return;
     this.crashes.push({ path, atMs: performance.now() });
     this.disturbances.start(target.options.id, performance.now());
     this.releaseTarget(target);
     await target.dispose();
-    await new Promise((resolve) => setTimeout(resolve, CRASHED_FOR_MS));
+    await new Promise((resolve) => setTimeout(resolve, REPLACEMENT_DELAY_MS));
     this.removeTarget(target);
     await this.openTarget(target.options.service);
   }
 
-  /** Removes a target's entry. */
+  /** Removes a target and its entry. */
   removeTarget(target: SoakTarget): void {
     const index = this.targets.indexOf(target);
     if (index !== -1) this.targets.splice(index, 1);
-    if (!this.gone.includes(target)) this.gone.push(target);
-    this.leaving.delete(target);
-    this.removed.add(target.options.id);
+    if (!this.formerTargets.includes(target)) this.formerTargets.push(target);
+    this.draining.delete(target);
+    this.removedIds.add(target.options.id);
     this.store.remove(TARGET_TABLE, target.options.id);
   }
 
@@ -210,14 +210,14 @@
     return this.nodes.slice(0, MAX_SEEDS);
   }
 
-  /** Ends every fault and brings every node back. */
+  /** Ends every fault, starts the nodes that have ended and waits until all are ready. */
   async clearFaults(): Promise<void> {
     this.store.fault = MetadataFault.None;
     const noFaults = { cutForward: false, cutBackward: false, refuse: false, delayMs: 0 };
     for (const target of this.targets) {
-      target.mode = TargetMode.Well;
+      target.mode = TargetMode.Healthy;
       await target.link.setFaults(noFaults);
-      // What a cut has swallowed never comes: such connections are dead, as after a real one.
+      // Data lost during a partition never arrives, so connections from before it are unusable.
       target.link.resetConnections();
     }
     for (const node of this.nodes) {
@@ -249,7 +249,7 @@
     for (const node of this.nodes) node.sendSignal('SIGTERM');
     await this.fleet.dispose();
     for (const node of this.nodes) node.dispose();
-    await Promise.all([...this.targets, ...this.gone].map((target) => target.dispose()));
+    await Promise.all([...this.targets, ...this.formerTargets].map((target) => target.dispose()));
     await this.openedStore?.dispose();
     rmSync(this.directory, { recursive: true, force: true });
   }
@@ -263,8 +263,8 @@
         directory: this.directory,
         storeAddress: this.store.address,
         breakModule,
-        onDidEnd: (ended, end, isAsked) => {
-          this.findings.check('processes end only when asked', isAsked || this.isEnding, () => {
+        onDidEnd: (ended, end, isRequested) => {
+          this.findings.check('processes end only when asked', isRequested || this.isEnding, () => {
             const lines = ended.getLogLines().slice(-5).join('\n');
             return `${ended.name} ended with ${end.code ?? end.signal ?? '?'}:\n${lines}`;
           });
@@ -290,7 +290,7 @@
     if (!isDraining) this.endDrains(id);
   }
 
-  /** A target whose entry is good again is one to use, whatever its entry was before. */
+  /** Ends the drains of a target whose entry is valid and not draining again. */
   private endDrains(id: string): void {
     for (const drain of this.drains) {
       if (drain.target === id) drain.endMs ??= performance.now();
--- a/packages/operators/src/access/common/memberLimiter.ts
+++ b/packages/operators/src/access/common/memberLimiter.ts
@@ -1,25 +1,25 @@
-/** Keeps one member's operators from taking a node's time and the store's from the others. */
+/** Limits the load that one member's operators put on a node and on the store. */
 import type { Clock } from '@parsleymux/base';
 import { MuxError, ResultCode, RunState } from '@parsleymux/base';
 import { RateLimiter } from './rateLimiter.js';
 
 /** Limits of one member on one node. */
 export interface IMemberLimits {
-  /** Requests a second. Default 10. */
+  /** Requests per second. Default 10. */
   readonly requestsPerSecond?: number;
-  /** Requests at once after a pause. Default 50. */
+  /** Requests in a burst after an idle period. Default 50. */
   readonly requestBurst?: number;
-  /** Requests being worked on. Default 8. */
+  /** Requests in progress at a time. Default 8. */
   readonly concurrentRequests?: number;
-  /** Intents submitted a minute. Default 12. */
+  /** Submitted intents per minute. Default 12. */
   readonly proposalsPerMinute?: number;
-  /** Bytes of an intent. Default 524288. */
+  /** Size of a request's body, such as an intent, in bytes. Default 524288. */
   readonly intentBytes?: number;
-  /** Targets of an intent, over all services. Default 2000. */
+  /** Targets of an intent, summed over its services. Default 2000. */
   readonly targets?: number;
 }
 
-/** The limits when none are given. */
+/** Default limits. */
 export const DEFAULT_MEMBER_LIMITS: Required<IMemberLimits> = {
   requestsPerSecond: 10,
   requestBurst: 50,
@@ -32,7 +32,7 @@
 const SECONDS_PER_MINUTE = 60;
 
 /**
- * Counts what each member does on this node.
+ * Enforces the limits of each member on this node.
  *
  * @example
  * return limiter.run('dobrescu', () => handle(request));
@@ -40,50 +40,50 @@
 export class MemberLimiter {
   readonly limits: Required<IMemberLimits>;
   private readonly requests: RateLimiter;
-  private readonly proposals: RateLimiter;
-  private readonly running = new Map<string, number>();
+  private readonly proposalLimiter: RateLimiter;
+  private readonly runningCounts = new Map<string, number>();
 
   constructor(clock: Clock, limits: IMemberLimits = {}) {
     this.limits = { ...DEFAULT_MEMBER_LIMITS, ...limits };
     const { requestsPerSecond, requestBurst, proposalsPerMinute } = this.limits;
     this.requests = new RateLimiter({ clock, perSecond: requestsPerSecond, burst: requestBurst });
-    this.proposals = new RateLimiter({
+    this.proposalLimiter = new RateLimiter({
       clock,
       perSecond: proposalsPerMinute / SECONDS_PER_MINUTE,
       burst: proposalsPerMinute,
     });
   }
 
-  /** Runs `work` within the member's rate and concurrency. Throws LimitExceeded. */
+  /** Runs `work` within the member's rate and concurrency limits. Throws LimitExceeded. */
   async run<T>(member: string, work: () => Promise<T>): Promise<T> {
     if (!this.requests.spend(member)) {
       throw createLimitError('too many requests', this.requests.getWaitMs(member));
     }
-    const count = this.running.get(member) ?? 0;
+    const count = this.runningCounts.get(member) ?? 0;
     if (count >= this.limits.concurrentRequests) throw createLimitError('too many at once', 1000);
-    this.running.set(member, count + 1);
+    this.runningCounts.set(member, count + 1);
     try {
       return await work();
     } finally {
-      this.endOne(member);
+      this.releaseRequest(member);
     }
   }
 
-  /** Counts a proposal. Throws LimitExceeded. */
+  /** Counts a submitted intent against the member's rate limit. Throws LimitExceeded. */
   spendProposal(member: string): void {
-    if (this.proposals.spend(member)) return;
-    throw createLimitError('too many intents', this.proposals.getWaitMs(member));
+    if (this.proposalLimiter.spend(member)) return;
+    throw createLimitError('too many intents', this.proposalLimiter.getWaitMs(member));
   }
 
-  private endOne(member: string): void {
-    const count = (this.running.get(member) ?? 1) - 1;
-    if (count === 0) this.running.delete(member);
-    else this.running.set(member, count);
+  private releaseRequest(member: string): void {
+    const count = (this.runningCounts.get(member) ?? 1) - 1;
+    if (count === 0) this.runningCounts.delete(member);
+    else this.runningCounts.set(member, count);
   }
 }
 
 /**
- * The refusal of what goes over a limit.
+ * Creates the error for a request that exceeds a limit.
  *
  * @example
  * throw createLimitError('the intent has too many targets');
--- a/packages/operators/src/api/common/burnHandler.ts
+++ b/packages/operators/src/api/common/burnHandler.ts
@@ -1,9 +1,9 @@
-/** The report on service-level burn. */
+/** Serves the burn report. */
 import { BurnResponseSchema } from '@parsleymux/schema';
 import type { AccessControl } from '../../access/common/accessControl.js';
 import type { BurnReader } from '../../burn/common/burnReader.js';
-import type { IAdminAnswer, IAdminRequest, IAdminRoute } from './adminRoute.js';
-import { AdminHandler, createAnswer } from './adminRoute.js';
+import type { IAdminResponse, IAdminRequest, IAdminRoute } from './adminRoute.js';
+import { AdminHandler, createResponse } from './adminRoute.js';
 
 /** Options of a {@link BurnHandler}. */
 export interface IBurnHandlerOptions {
@@ -11,7 +11,7 @@
   readonly access: AccessControl;
 }
 
-/** Answers `/v1/burn`. */
+/** Handles `/v1/burn`. */
 export class BurnHandler extends AdminHandler {
   constructor(private readonly options: IBurnHandlerOptions) {
     super();
@@ -28,10 +28,10 @@
     ];
   }
 
-  private async getReport(request: IAdminRequest): Promise<IAdminAnswer> {
+  private async getReport(request: IAdminRequest): Promise<IAdminResponse> {
     const { operator, signal } = request;
     const member = request.query.get('member') ?? operator.member;
     await this.options.access.checkMember(operator, member, 'burn.show', signal);
-    return createAnswer(BurnResponseSchema, await this.options.burn.getReport(member, signal));
+    return createResponse(BurnResponseSchema, await this.options.burn.getReport(member, signal));
   }
 }
--- a/packages/operators/src/api/node/adminApi.ts
+++ b/packages/operators/src/api/node/adminApi.ts
@@ -1,4 +1,4 @@
-/** The administration API over HTTP: versioned paths, JSON bodies, one key for each operator. */
+/** The administration API over HTTP: versioned paths, JSON bodies, one key per operator. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, InvariantRegistry, Logger } from '@parsleymux/base';
 import { getResultInfo, MS_PER_SECOND, MuxError, ResultCode, RunState } from '@parsleymux/base';
@@ -13,11 +13,11 @@
 import { WorkerIntentReader } from '../../intents/node/workerIntentReader.js';
 import type { KeyStore } from '../../keys/common/keyStore.js';
 import type { StatusProvider } from '../../status/common/statusProvider.js';
-import type { IAdminAnswer, IAdminRoute } from '../common/adminRoute.js';
+import type { IAdminResponse, IAdminRoute } from '../common/adminRoute.js';
 import { BurnHandler } from '../common/burnHandler.js';
 import { ClaimHandler } from '../common/claimHandler.js';
-import { formatErrorBody, toShownError } from '../common/errorBody.js';
-import { createKeyAnswer } from '../common/keyAnswer.js';
+import { formatErrorBody, toPublicError } from '../common/errorBody.js';
+import { createKeyResponse } from '../common/keyResponse.js';
 import { KeyHandler } from '../common/keyHandler.js';
 import { PlanHandler } from '../common/planHandler.js';
 import { StatusHandler } from '../common/statusHandler.js';
@@ -34,22 +34,22 @@
   readonly config: ConfigService;
   readonly status: StatusProvider;
   readonly claims: ClaimSettler;
-  /** Without one, `/v1/burn` is unknown. */
+  /** Without a reader, the path `/v1/burn` does not exist. */
   readonly burn?: BurnReader;
   readonly clock: Clock;
   readonly invariants: InvariantRegistry;
   readonly logger: Logger;
-  /** Limits of each member on this node. */
+  /** Limits of each member on this node. Defaults: {@link IMemberLimits}. */
   readonly limits?: IMemberLimits;
   /**
-   * Secret that the nodes share. Whoever proves it may make the fleet's first operator key.
-   * Without one, only a client on this VM may.
+   * Secret that the nodes share. Clients that present it may create the fleet's first operator key.
+   * Without a secret, only clients on this VM may.
    */
   readonly bootstrapSecret?: string;
 }
 
 /**
- * Answers operators.
+ * Authenticates operators, and routes and serves their requests.
  *
  * @example
  * const api = new AdminApi(options);
@@ -72,43 +72,43 @@
       ...new KeyHandler(shared).listRoutes(),
       ...new ClaimHandler(shared).listRoutes(),
       ...this.listBurnRoutes(),
-    ].map((route) => ({ ...route, pattern: makePattern(route.path) }));
+    ].map((route) => ({ ...route, pattern: makePathPattern(route.path) }));
   }
 
-  /** Every operation, for the docs. */
+  /** Lists the method and path of every operation, for the documentation. */
   listOperations(): readonly string[] {
     const bootstrap = `POST ${BOOTSTRAP_PATH}`;
     return [bootstrap, ...this.routes.map(({ method, path }) => `${method} ${path}`)];
   }
 
-  /** Answers by result code, for metrics. */
+  /** Returns the number of responses by result code, for metrics. */
   getCounts(): ReadonlyMap<ResultCode, number> {
     return this.counts;
   }
 
-  /** Refusals that are missing from the audit log, for metrics. */
+  /** Returns the number of rejections missing from the audit log, for metrics. */
   getLostAuditCount(): number {
     return this.access.getUnauditedCount() + this.options.audit.getLostCount();
   }
 
-  /** Answers one request. Never rejects. */
+  /** Handles one request. Never rejects. */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const gone = new AbortController();
+    const disconnected = new AbortController();
     response.once('close', () => {
-      gone.abort(new Error('the operator has hung up'));
+      disconnected.abort(new Error('the operator disconnected'));
     });
     try {
-      const answer = await this.execute(request, gone.signal);
-      this.recordCode(ResultCode.Ok);
-      writeAnswer(response, answer);
+      const result = await this.execute(request, disconnected.signal);
+      this.countResult(ResultCode.Ok);
+      writeResponse(response, result);
     } catch (error) {
-      this.writeRefusal(response, error);
+      this.writeErrorResponse(response, error);
     }
   }
 
-  private async execute(request: IncomingMessage, signal: AbortSignal): Promise<IAdminAnswer> {
+  private async execute(request: IncomingMessage, signal: AbortSignal): Promise<IAdminResponse> {
     const url = new URL(request.url ?? '/', 'http://admin.invalid');
-    if (url.pathname === BOOTSTRAP_PATH) return this.createFirst(request, signal);
+    if (url.pathname === BOOTSTRAP_PATH) return this.createBootstrapKey(request, signal);
     const { route, parameters } = this.findRoute(request.method ?? '', url.pathname);
     const access = makeAccessRequest(request, route.action);
     const operator = await this.access.verify(access, signal);
@@ -128,49 +128,52 @@
       const match = route.pattern.exec(path);
       return match === null ? [] : [{ route, parameters: match.slice(1).map(decodeParameter) }];
     });
-    if (matches.length === 0) throw refuse(ResultCode.UnknownRoute, 'there is no such path');
+    if (matches.length === 0) throw createRefusal(ResultCode.UnknownRoute, 'there is no such path');
     const found = matches.find(({ route }) => route.method === method);
     if (found === undefined) {
-      throw refuse(ResultCode.MethodNotAllowed, 'the path does not take this method');
+      throw createRefusal(ResultCode.MethodNotAllowed, 'the path does not take this method');
     }
     return found;
   }
 
-  /** The fleet's first key, for whoever holds the fleet's secret. */
-  private async createFirst(request: IncomingMessage, signal: AbortSignal): Promise<IAdminAnswer> {
+  /** Creates the fleet's first key, for clients that present the fleet's secret. */
+  private async createBootstrapKey(
+    request: IncomingMessage,
+    signal: AbortSignal,
+  ): Promise<IAdminResponse> {
     if (request.method !== 'POST') {
-      throw refuse(ResultCode.MethodNotAllowed, 'the path takes POST only');
+      throw createRefusal(ResultCode.MethodNotAllowed, 'the path takes POST only');
     }
     const { bootstrapSecret, keys } = this.options;
     const access = makeAccessRequest(request, BOOTSTRAP_ACTION);
     await this.access.checkSecret(access, bootstrapSecret, signal);
-    return createKeyAnswer(await keys.createFirst(BOOTSTRAP_ACTION, signal));
+    return createKeyResponse(await keys.createBootstrapKey(BOOTSTRAP_ACTION, signal));
   }
 
-  private writeRefusal(response: ServerResponse, error: unknown): void {
+  private writeErrorResponse(response: ServerResponse, error: unknown): void {
     if (response.destroyed) {
-      // Whatever broke off, nobody reads the answer; an operator's Ctrl-C is no fault of ours.
-      this.recordCode(ResultCode.CallerGone);
+      // Nobody reads the response. A cancelled command is not a fault of the node, so it isn't logged.
+      this.countResult(ResultCode.CallerGone);
       return;
     }
-    const shown = toShownError(error);
-    this.recordCode(shown.code);
-    if (shown.code === ResultCode.Internal) {
+    const publicError = toPublicError(error);
+    this.countResult(publicError.code);
+    if (publicError.code === ResultCode.Internal) {
       this.options.logger.error('administration request failed', { error: String(error) });
     }
     if (response.headersSent) return;
-    if (shown.retryAfterMs !== undefined) {
-      response.setHeader('retry-after', Math.ceil(shown.retryAfterMs / MS_PER_SECOND));
+    if (publicError.retryAfterMs !== undefined) {
+      response.setHeader('retry-after', Math.ceil(publicError.retryAfterMs / MS_PER_SECOND));
     }
-    // The rest of a body that was not read would be taken for the next request.
+    // The unread rest of the body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
-    writeAnswer(response, {
-      status: getResultInfo(shown.code).httpStatus,
-      body: formatErrorBody(shown),
+    writeResponse(response, {
+      status: getResultInfo(publicError.code).httpStatus,
+      body: formatErrorBody(publicError),
     });
   }
 
-  private recordCode(code: ResultCode): void {
+  private countResult(code: ResultCode): void {
     this.counts.set(code, (this.counts.get(code) ?? 0) + 1);
   }
 }
@@ -184,23 +187,23 @@
   readonly parameters: readonly string[];
 }
 
-function makePattern(path: string): RegExp {
+function makePathPattern(path: string): RegExp {
   return new RegExp(`^${path.replaceAll(/\{[a-z]+\}/g, '([^/]+)')}$`);
 }
 
-function writeAnswer(response: ServerResponse, answer: IAdminAnswer): void {
-  response.writeHead(answer.status, {
+function writeResponse(response: ServerResponse, result: IAdminResponse): void {
+  response.writeHead(result.status, {
     'content-type': 'application/json',
     'cache-control': 'no-store',
   });
-  response.end(answer.body);
+  response.end(result.body);
 }
 
 function decodeParameter(text: string): string {
   try {
     return decodeURIComponent(text);
   } catch {
-    throw refuse(ResultCode.MalformedRequest, 'the path is not encoded as URLs are');
+    throw createRefusal(ResultCode.MalformedRequest, 'the path is not encoded as URLs are');
   }
 }
 
@@ -212,6 +215,6 @@
   };
 }
 
-function refuse(code: ResultCode, message: string): MuxError {
+function createRefusal(code: ResultCode, message: string): MuxError {
   return new MuxError({ code, message, runState: RunState.NotRun });
 }
--- a/packages/operators/src/testing/burnFixture.ts
+++ b/packages/operators/src/testing/burnFixture.ts
@@ -1,4 +1,4 @@
-/** Recorders, mergers and a reader over one table in memory, for tests. */
+/** Test fixture: burn recorders, mergers and a reader over one in-memory table. */
 import { create } from '@bufbuild/protobuf';
 import type { Event } from '@parsleymux/base';
 import { Emitter, ManualClock, ResultCode, SeededRandom } from '@parsleymux/base';
@@ -14,7 +14,7 @@
 /** 2023-11-14 22:10 UTC, the start of a slot. */
 const START_MS = 1_699_999_800_000;
 
-class MembersConfig extends ConfigService {
+class TwoMemberConfig extends ConfigService {
   override readonly onDidChange: Event<IFleetConfigChange> = new Emitter<IFleetConfigChange>()
     .onDidFire;
 
@@ -27,7 +27,7 @@
   }
 }
 
-/** The parts, sharing one clock and table. */
+/** Components that share one clock and table. */
 export interface IBurnFixture {
   readonly platform: IMemoryPlatform;
   readonly clock: ManualClock;
@@ -39,7 +39,7 @@
 }
 
 /**
- * Creates recorder, merger and reader over one table in memory.
+ * Creates a reader, and factories of recorders and mergers, over one in-memory table.
  *
  * @example
  * const fixture = createBurnFixture(7);
@@ -48,7 +48,7 @@
   const random = new SeededRandom(seed);
   const platform = createMemoryPlatform(random);
   const clock = new ManualClock({ startMs: START_MS });
-  const config = new MembersConfig();
+  const config = new TwoMemberConfig();
   const shared = { table: platform.table, clock, random, config };
   return {
     platform,
--- a/packages/routing/src/detection/common/sequentialDetector.ts
+++ b/packages/routing/src/detection/common/sequentialDetector.ts
@@ -1,46 +1,52 @@
 /**
- * Detection by sequential tests on real outcomes. For each target, cumulative sums weigh "it fails
- * more than its peers now do, by 5, 30 or 90 points" and "its answers are slower than its peers'"
- * against "it is like its peers". The peers' rate is a median, so a few bad peers don't hide a bad
- * target; when most peers fail alike the cause is common and the sums hardly move.
+ * Failure detection by sequential tests on the outcomes of real requests. For each target, cumulative
+ * sums test the hypotheses that its failure rate exceeds that of its peers by 5, 30 or 90 percentage
+ * points, and that its responses are slower than theirs, against the hypothesis that it behaves like
+ * its peers. The reference is the median of the peers, so a few failing peers don't hide a failing
+ * target. When most peers fail alike the cause is shared, and the sums barely grow.
  */
 import { DetectionPreference } from '@parsleymux/schema';
 import type { IDetectorTraits, IEvidence, ISuspicion } from './failureDetector.js';
 import { Evidence, FailureDetector } from './failureDetector.js';
-import { TargetRecord } from './targetRecord.js';
+import { TargetStatistics } from './targetStatistics.js';
 
-/** Failure probabilities, above the peers', that are tested side by side. */
+/** Failure rates in excess of the peers' rate that are tested in parallel. */
 const EXCESS_RATES: readonly number[] = [0.05, 0.3, 0.9];
+/** Shares of slow responses that the latency test compares: of a healthy and of a slow target. */
 const SLOW_BASELINE = 0.1;
 const SLOW_ALTERNATIVE = 0.6;
 const MIN_PEERS = 2;
 const MAX_PROBABILITY = 0.98;
-/** A target must fail at least this many times as often as its peers do at this moment. */
+/** Minimum ratio of the failure rate of a suspect to the current rate of its peers. */
 const COMMON_CAUSE_FACTOR = 3;
-/** Latencies bring ten times the evidence that failures do, so chance needs a higher bar. */
-const SLOW_EXTRA_NATS = 3;
-/** Peers' rates change slowly against one outcome; reckoning them this often is enough, in ms. */
-const REFERENCE_AGE_MS = 100;
-const OBSERVED_ANSWERS_SHARE = 0.5;
+/**
+ * Added to the threshold for slowness. Latencies yield about ten times as much evidence as failures,
+ * so random variation reaches a given sum more often.
+ */
+const SLOW_EXTRA_THRESHOLD_NATS = 3;
+/** Time for which peers' rates and latency limits are cached, in ms; they change slowly between outcomes. */
+const REFERENCE_MAX_AGE_MS = 100;
+/** A path fault is possible while failure responses make up less than this share of all failures. */
+const PATH_FAULT_MAX_ERROR_SHARE = 0.5;
 
 /**
- * What an operator's preference comes to. By Page's bound, targets like their peers are suspected
- * at most once in about e^threshold outcomes, whatever their peers' rate.
+ * Parameters of the tests. By Page's bound, a target that behaves like its peers is suspected at most
+ * once in about e^threshold outcomes, whatever the failure rate of the peers.
  */
 export interface ISequentialOptions {
-  /** Evidence in nats that is enough to suspect a target. */
+  /** Evidence, in nats, at which a target is suspected. */
   readonly threshold?: number;
-  /** Failure rate below which peers are not thought to be, however few failures were seen. */
+  /** Lower bound of the estimated failure rate of peers, used when few failures were observed. */
   readonly baselineRate?: number;
-  /** First ejection time in ms. */
+  /** Initial ejection time in ms. */
   readonly ejectionMs?: number;
-  /** Time for which a suspect is left out before its peers are looked at once more, in ms. */
+  /** Time in ms for which a suspect is demoted before it is compared with its peers once more. */
   readonly confirmMs?: number;
-  /** Copies by which a suspect is tried in that time. */
+  /** Number of request copies sent to a suspect within that time. */
   readonly confirmCopies?: number;
 }
 
-/** Settings for a member that fears false ejections most. */
+/** Parameters for members that prefer to avoid false ejections. */
 export const CAREFUL_OPTIONS: Required<ISequentialOptions> = {
   threshold: 16,
   baselineRate: 0.002,
@@ -49,7 +55,7 @@
   confirmCopies: 4,
 };
 
-/** Settings for a member that fears slow detection most. */
+/** Parameters for members that prefer fast detection. */
 export const FAST_OPTIONS: Required<ISequentialOptions> = {
   threshold: 13,
   baselineRate: 0.002,
@@ -58,7 +64,7 @@
   confirmCopies: 4,
 };
 
-/** The options that a preference stands for. */
+/** Maps an operator's detection preference to parameters. */
 export function getSequentialOptions(
   preference: DetectionPreference,
 ): Required<ISequentialOptions> {
@@ -71,7 +77,7 @@
 }
 
 /**
- * Tests targets against their peers.
+ * Compares targets with their peers.
  *
  * @example
  * const detector = new SequentialDetector(getSequentialOptions(service.detection));
@@ -81,7 +87,7 @@
   override readonly traits: IDetectorTraits;
   private readonly threshold: number;
   private readonly baselineRate: number;
-  private readonly records = new Map<string, TargetRecord>();
+  private readonly statistics = new Map<string, TargetStatistics>();
   private readonly references = new Map<string, IReference>();
   private readonly slowLimits = new Map<string, { atMs: number; limitMs: number | undefined }>();
   private nowMs = 0;
@@ -92,9 +98,9 @@
     this.baselineRate = options.baselineRate ?? CAREFUL_OPTIONS.baselineRate;
     this.traits = {
       probeIntervalMs: undefined,
-      asksObserver: true,
-      returnsByTrial: true,
-      watchesStalls: true,
+      usesObserver: true,
+      requiresTrial: true,
+      detectsStalls: true,
       ejectionMs: options.ejectionMs ?? CAREFUL_OPTIONS.ejectionMs,
       confirmMs: options.confirmMs ?? CAREFUL_OPTIONS.confirmMs,
       confirmCopies: options.confirmCopies ?? CAREFUL_OPTIONS.confirmCopies,
@@ -103,73 +109,75 @@
 
   override setTargets(targets: readonly string[]): void {
     const configured = new Set(targets);
-    for (const target of this.records.keys()) {
-      if (!configured.has(target)) this.records.delete(target);
+    for (const target of this.statistics.keys()) {
+      if (!configured.has(target)) this.statistics.delete(target);
     }
     for (const target of targets) {
-      if (!this.records.has(target))
-        this.records.set(target, new TargetRecord(EXCESS_RATES.length));
+      if (!this.statistics.has(target))
+        this.statistics.set(target, new TargetStatistics(EXCESS_RATES.length));
     }
   }
 
   override recordEvidence(evidence: IEvidence): ISuspicion | undefined {
-    const record = this.records.get(evidence.target);
-    if (record === undefined) return undefined;
+    const stats = this.statistics.get(evidence.target);
+    if (stats === undefined) return undefined;
     this.nowMs = evidence.atMs;
-    record.isOut = false;
-    this.recordFailureSide(evidence, record);
-    if (evidence.latencyMs !== undefined) this.recordSlowSide(evidence, evidence.latencyMs, record);
-    return this.decide(evidence.target, record);
+    stats.isExcluded = false;
+    this.recordFailureEvidence(evidence, stats);
+    if (evidence.latencyMs !== undefined)
+      this.recordLatencyEvidence(evidence, evidence.latencyMs, stats);
+    return this.checkTarget(evidence.target, stats);
   }
 
-  /** Health endpoints answer for targets that fail at their work, so they are no evidence. */
+  /** Ignored: a target that fails requests may still respond successfully on its health endpoint. */
   override recordProbe(): undefined {
     return undefined;
   }
 
   /**
-   * A target that fails fast is asked more often than its peers, and shows a common cause before
-   * they do; ejected on that, a healthy one is lost at the worst moment. While it is left out its
-   * peers get its requests, and soon show whether they fail alike. The evidence itself must still
-   * be enough after what the copies showed.
+   * A target that fails quickly receives more requests than its peers and so shows a shared cause
+   * before they do. Ejecting it then would remove a healthy target at the worst time. While it is
+   * demoted its peers receive its requests, and their outcomes soon show whether they fail alike.
+   * The evidence must also still suffice after the outcomes of the copies.
    */
   override isConfirmed(suspicion: ISuspicion): boolean {
     const peers = this.listPeers(suspicion.target);
     const rates = peers.map((peer) => (suspicion.isSlow ? peer.slowRate : peer.shortRate));
     const peerRate = computeMedian(rates) ?? 0;
     if (suspicion.failureShare < COMMON_CAUSE_FACTOR * peerRate) return false;
-    const record = this.records.get(suspicion.target);
-    return record !== undefined && this.isEnough(record);
+    const stats = this.statistics.get(suspicion.target);
+    return stats !== undefined && this.hasEnoughEvidence(stats);
   }
 
   override reset(target: string): void {
-    const record = this.records.get(target);
-    if (record === undefined) return;
-    record.resetEvidence();
-    record.isOut = true;
+    const stats = this.statistics.get(target);
+    if (stats === undefined) return;
+    stats.resetEvidence();
+    stats.isExcluded = true;
   }
 
   override setCold(target: string, isCold: boolean): void {
-    const record = this.records.get(target);
-    if (record !== undefined) record.isCold = isCold;
+    const stats = this.statistics.get(target);
+    if (stats !== undefined) stats.isCold = isCold;
   }
 
   override getSlowLimit(route: string, target: string): number | undefined {
     const key = `${route} ${target}`;
     const cached = this.slowLimits.get(key);
-    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_AGE_MS) return cached.limitMs;
+    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_MAX_AGE_MS)
+      return cached.limitMs;
     const limitMs = this.computeSlowLimit(route, target);
     this.slowLimits.set(key, { atMs: this.nowMs, limitMs });
     return limitMs;
   }
 
-  private recordFailureSide(evidence: IEvidence, record: TargetRecord): void {
+  private recordFailureEvidence(evidence: IEvidence, stats: TargetStatistics): void {
     const isFailure = evidence.kind !== Evidence.Success;
-    if (evidence.kind === Evidence.Failure) record.answeredFailures += 1;
-    if (evidence.kind === Evidence.Silence) record.silences += 1;
-    record.recordOutcome(isFailure);
+    if (evidence.kind === Evidence.Failure) stats.reportedFailures += 1;
+    if (evidence.kind === Evidence.Silence) stats.silences += 1;
+    stats.recordOutcome(isFailure);
     const baseline = this.getReference(evidence.target).failureRate;
-    record.failureSums.forEach((sum, index) => {
+    stats.failureSums.forEach((sum, index) => {
       const excess = EXCESS_RATES[index] ?? 1;
       const worse = Math.max(baseline + (1 - baseline) * excess, COMMON_CAUSE_FACTOR * baseline);
       const alternative = Math.min(MAX_PROBABILITY, worse);
@@ -177,66 +185,74 @@
     });
   }
 
-  private recordSlowSide(evidence: IEvidence, latencyMs: number, record: TargetRecord): void {
+  private recordLatencyEvidence(
+    evidence: IEvidence,
+    latencyMs: number,
+    stats: TargetStatistics,
+  ): void {
     const limitMs = this.getSlowLimit(evidence.route, evidence.target);
-    record.recordLatency(evidence.route, latencyMs);
-    if (limitMs === undefined || record.isCold) return;
+    stats.recordLatency(evidence.route, latencyMs);
+    if (limitMs === undefined || stats.isCold) return;
     const isSlow = latencyMs > limitMs;
-    record.recordSlow(isSlow);
-    record.slowSum.record(isSlow, SLOW_BASELINE, SLOW_ALTERNATIVE);
+    stats.recordSlow(isSlow);
+    stats.slowSum.record(isSlow, SLOW_BASELINE, SLOW_ALTERNATIVE);
   }
 
-  private decide(target: string, record: TargetRecord): ISuspicion | undefined {
-    if (!this.isEnough(record)) return undefined;
-    const failureSum = record.getFailureSum();
-    if (failureSum >= this.threshold) return this.decideFailing(target, record, failureSum);
-    return this.decideSlow(target, record);
+  private checkTarget(target: string, stats: TargetStatistics): ISuspicion | undefined {
+    if (!this.hasEnoughEvidence(stats)) return undefined;
+    const failureSum = stats.getFailureSum();
+    if (failureSum >= this.threshold) return this.checkFailureRate(target, stats, failureSum);
+    return this.checkSlowness(target, stats);
   }
 
-  private isEnough(record: TargetRecord): boolean {
-    if (record.getFailureSum() >= this.threshold) return true;
-    return record.slowSum.value >= this.threshold + SLOW_EXTRA_NATS;
+  private hasEnoughEvidence(stats: TargetStatistics): boolean {
+    if (stats.getFailureSum() >= this.threshold) return true;
+    return stats.slowSum.value >= this.threshold + SLOW_EXTRA_THRESHOLD_NATS;
   }
 
-  /** Compares once more with what peers do at this very moment, before a suspicion leaves. */
-  private decideFailing(target: string, record: TargetRecord, sum: number): ISuspicion | undefined {
+  /** Compares the target with the current rates of its peers before it reports a suspicion. */
+  private checkFailureRate(
+    target: string,
+    stats: TargetStatistics,
+    sum: number,
+  ): ISuspicion | undefined {
     const peers = this.listPeers(target);
     const peerRate = computeMedian(peers.map((peer) => peer.shortRate)) ?? 0;
-    const ownRate = Math.max(record.shortRate, record.longRate);
+    const ownRate = Math.max(stats.shortRate, stats.longRate);
     if (peers.length === 0 || ownRate < COMMON_CAUSE_FACTOR * peerRate) {
-      record.resetEvidence();
+      stats.resetEvidence();
       return undefined;
     }
-    const bad = record.answeredFailures + record.silences;
+    const failures = stats.reportedFailures + stats.silences;
     const percent = Math.round(100 * ownRate);
     return {
       target,
       reason: `fails ${percent}% against ${Math.round(100 * peerRate)}% of peers, ${sum.toFixed(1)} nats`,
       failureShare: ownRate,
       isSlow: false,
-      isPathPossible: record.answeredFailures < OBSERVED_ANSWERS_SHARE * bad,
+      isPathFaultPossible: stats.reportedFailures < PATH_FAULT_MAX_ERROR_SHARE * failures,
     };
   }
 
-  private decideSlow(target: string, record: TargetRecord): ISuspicion | undefined {
+  private checkSlowness(target: string, stats: TargetStatistics): ISuspicion | undefined {
     const peers = this.listPeers(target).filter((peer) => !peer.isCold);
     const peerRate = computeMedian(peers.map((peer) => peer.slowRate)) ?? 0;
-    if (record.slowRate < COMMON_CAUSE_FACTOR * peerRate) {
-      record.slowSum.reset();
+    if (stats.slowRate < COMMON_CAUSE_FACTOR * peerRate) {
+      stats.slowSum.reset();
       return undefined;
     }
     return {
       target,
-      reason: `${Math.round(100 * record.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
-      failureShare: record.slowRate,
+      reason: `${Math.round(100 * stats.slowRate)}% of answers slow against ${Math.round(100 * peerRate)}% of peers`,
+      failureShare: stats.slowRate,
       isSlow: true,
-      isPathPossible: true,
+      isPathFaultPossible: true,
     };
   }
 
   private getReference(target: string): IReference {
     const cached = this.references.get(target);
-    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_AGE_MS) return cached;
+    if (cached !== undefined && this.nowMs - cached.atMs < REFERENCE_MAX_AGE_MS) return cached;
     const peers = this.listPeers(target);
     const shortRate = computeMedian(peers.map((peer) => peer.shortRate)) ?? 0;
     const longRate = computeMedian(peers.map((peer) => peer.longRate)) ?? 0;
@@ -255,10 +271,10 @@
     return latencies.length < MIN_PEERS ? undefined : computeMedian(latencies);
   }
 
-  private listPeers(target: string): readonly TargetRecord[] {
-    const peers: TargetRecord[] = [];
-    for (const [address, record] of this.records) {
-      if (address !== target && !record.isOut && record.outcomes > 0) peers.push(record);
+  private listPeers(target: string): readonly TargetStatistics[] {
+    const peers: TargetStatistics[] = [];
+    for (const [address, stats] of this.statistics) {
+      if (address !== target && !stats.isExcluded && stats.outcomes > 0) peers.push(stats);
     }
     return peers;
   }
--- a/packages/routing/src/home/common/slotPool.ts
+++ b/packages/routing/src/home/common/slotPool.ts
@@ -1,4 +1,4 @@
-/** The slots of one service's targets, and the bounded queue of requests that wait for one. */
+/** Slots of one service's targets and the bounded queue of requests that wait for a slot. */
 import type { Clock, MuxError, RandomSource } from '@parsleymux/base';
 import type { Service, Target } from '@parsleymux/schema';
 import { ServiceTimeEstimate } from '../../queue/common/serviceTimeEstimate.js';
@@ -14,22 +14,23 @@
 import { TargetHandle } from '../../target/common/targetHandle.js';
 import { pickTarget } from '../../target/common/targetPicker.js';
 
+/** Queue limit as a multiple of all slots of the service. */
 const DEFAULT_QUEUE_FACTOR = 2;
 const MIN_QUEUE = 1;
 const MIN_RETRY_AFTER_MS = 100;
 const NO_TARGET_RETRY_AFTER_MS = 2000;
 
-/** A slot that is held. */
+/** A reserved slot. */
 export interface ISlot {
   readonly handle: TargetHandle;
-  /** Gives the slot back. Calling it again does nothing. */
+  /** Releases the slot. Further calls have no effect. */
   release(): void;
 }
 
-/** What a request waits for. */
-export interface ISlotWish {
+/** A request for a slot. */
+export interface ISlotRequest {
   readonly request: IRoutedRequest;
-  /** Targets that are out of the question. */
+  /** Addresses of targets that must not be used. */
   readonly excluded: ReadonlySet<string>;
 }
 
@@ -40,15 +41,15 @@
   readonly random: RandomSource;
 }
 
-interface IWaiter {
+interface ISlotWaiter {
   readonly caller: string;
   readonly deadlineMs: number;
-  readonly wish: ISlotWish;
+  readonly slotRequest: ISlotRequest;
   finish(result: ISlot | MuxError): void;
 }
 
 /**
- * Owns slots and queue.
+ * Owns the slots and the queue of one service.
  *
  * @example
  * const slot = await pool.acquire({ request, excluded: new Set() }, signal);
@@ -61,8 +62,8 @@
   private service: Service;
   private readonly clock: Clock;
   private readonly random: RandomSource;
-  private readonly queue = new WaitQueue<IWaiter>();
-  private isPumping = false;
+  private readonly queue = new WaitQueue<ISlotWaiter>();
+  private isServingQueue = false;
 
   constructor(options: ISlotPoolOptions) {
     this.service = options.service;
@@ -72,8 +73,8 @@
   }
 
   /**
-   * Takes over the configured targets and returns those that are new. What a removed target still
-   * runs is left to finish.
+   * Applies the configured targets and returns those that are new. Requests that a removed target
+   * still runs are completed.
    */
   update(service: Service): readonly TargetHandle[] {
     this.service = service;
@@ -91,53 +92,53 @@
     return added;
   }
 
-  /** A free slot at once, or undefined. */
-  take(wish: ISlotWish): ISlot | undefined {
+  /** Reserves a free slot immediately. Returns undefined when none is available. */
+  tryReserve(slotRequest: ISlotRequest): ISlot | undefined {
     const handle = pickTarget({
       handles: this.handles.values(),
-      excluded: wish.excluded,
-      isIdempotent: wish.request.route.idempotent,
+      excluded: slotRequest.excluded,
+      isIdempotent: slotRequest.request.route.idempotent,
       wallTimeMs: this.clock.getWallTime(),
       random: this.random,
     });
     return handle === undefined ? undefined : this.reserveSlot(handle);
   }
 
-  /** Waits for a slot in the queue. Rejects with a refusal that is not run. */
-  wait(wish: ISlotWish, signal: AbortSignal): Promise<ISlot> {
+  /** Waits in the queue for a slot. Rejects with a MuxError of a request that was not run. */
+  wait(slotRequest: ISlotRequest, signal: AbortSignal): Promise<ISlot> {
     if (signal.aborted) return Promise.reject(makeCallerGone());
-    const refusal = this.estimateRefusal(wish);
+    const refusal = this.estimateRefusal(slotRequest);
     if (refusal !== undefined) return Promise.reject(refusal);
-    const slot = this.queue.size === 0 ? this.take(wish) : undefined;
+    const slot = this.queue.size === 0 ? this.tryReserve(slotRequest) : undefined;
     if (slot !== undefined) return Promise.resolve(slot);
-    return this.addWaiter(wish, signal);
+    return this.addWaiter(slotRequest, signal);
   }
 
-  /** A slot of one given target, whatever its standing, if one is free: for trials. */
-  takeOf(handle: TargetHandle): ISlot | undefined {
+  /** Reserves a free slot of one target whatever its health status, for probes and trials. */
+  tryReserveOn(handle: TargetHandle): ISlot | undefined {
     return handle.inUse < handle.target.slots ? this.reserveSlot(handle) : undefined;
   }
 
-  /** The refusal that a request would meet now; undefined when it would be served. */
-  estimateRefusal(wish: ISlotWish): MuxError | undefined {
-    const leftMs = wish.request.deadlineMs - this.clock.getMonotonicTime();
+  /** The refusal that a request would receive now; undefined when it would be served. */
+  estimateRefusal(slotRequest: ISlotRequest): MuxError | undefined {
+    const leftMs = slotRequest.request.deadlineMs - this.clock.getMonotonicTime();
     if (leftMs <= 0) return makeDeadlinePassed();
-    if (!this.hasUsable(wish.excluded)) {
+    if (!this.hasUsableTarget(slotRequest.excluded)) {
       return makeNoTarget(this.random.getJittered(NO_TARGET_RETRY_AFTER_MS));
     }
-    if (this.queue.size === 0 && this.getFree() > 0) return undefined;
-    const waitMs = this.estimateWait(wish.request.caller);
-    if (waitMs + this.getLikelyLongest(wish.request) > leftMs) {
+    if (this.queue.size === 0 && this.countFree() > 0) return undefined;
+    const waitMs = this.estimateWait(slotRequest.request.caller);
+    if (waitMs + this.getLongestExpected(slotRequest.request) > leftMs) {
       return makeQueueTimeout(this.computeRetryAfter());
     }
     const isFull = this.queue.size >= this.getQueueLimit();
-    if (isFull && !this.queue.hasRoomFor(wish.request.caller)) {
+    if (isFull && !this.queue.hasRoomFor(slotRequest.request.caller)) {
       return makeQueueFull(this.computeRetryAfter());
     }
     return undefined;
   }
 
-  /** A request of the route was answered well after `durationMs` on a slot. */
+  /** Records that a successful request of the route held its slot for `durationMs`. */
   recordServiceTime(route: string, durationMs: number): void {
     this.serviceTime.record(durationMs);
     let estimate = this.routeTimes.get(route);
@@ -148,38 +149,38 @@
     estimate.record(durationMs);
   }
 
-  /** When asking again makes sense: once the present queue has drained, spread at random. */
+  /** Retry delay in ms: the time in which the current queue drains, with jitter. */
   computeRetryAfter(): number {
-    const drainMs = ((this.queue.size + 1) * this.serviceTime.getMean()) / this.getAllowed();
+    const drainMs = ((this.queue.size + 1) * this.serviceTime.getMean()) / this.countAllowed();
     return Math.max(MIN_RETRY_AFTER_MS, this.random.getJittered(drainMs, 0.3));
   }
 
-  /** Slots that are free now, less the requests that wait. */
+  /** Number of free slots less the number of waiting requests. */
   getSpare(): number {
-    return this.getFree() - this.queue.size;
+    return this.countFree() - this.queue.size;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   getQueued(): number {
     return this.queue.size;
   }
 
-  /** Gives free slots to those that wait. To be called whenever a slot may have become free. */
+  /** Assigns free slots to waiting requests. Must be called whenever a slot may have become free. */
   serveWaiting(): void {
-    // Finishing a waiter can release or take slots at once, which would serveWaiting again underneath.
-    if (this.isPumping) return;
-    this.isPumping = true;
+    // Finishing a waiter can synchronously release or reserve slots, which calls this method again.
+    if (this.isServingQueue) return;
+    this.isServingQueue = true;
     try {
-      while (this.queue.size > 0 && this.getFree() > 0 && this.serveNext());
+      while (this.queue.size > 0 && this.countFree() > 0 && this.serveNext());
     } finally {
-      this.isPumping = false;
+      this.isServingQueue = false;
     }
   }
 
   private serveNext(): boolean {
     let slot: ISlot | undefined;
     const waiter = this.queue.take((candidate) => {
-      slot = this.take(candidate.wish);
+      slot = this.tryReserve(candidate.slotRequest);
       return slot !== undefined;
     });
     if (waiter === undefined || slot === undefined) return false;
@@ -187,17 +188,17 @@
     return true;
   }
 
-  private addWaiter(wish: ISlotWish, signal: AbortSignal): Promise<ISlot> {
+  private addWaiter(slotRequest: ISlotRequest, signal: AbortSignal): Promise<ISlot> {
     if (this.queue.size >= this.getQueueLimit()) {
       this.queue
-        .takeFromLongest(wish.request.caller)
+        .takeFromLongest(slotRequest.request.caller)
         ?.finish(makeQueueFull(this.computeRetryAfter()));
     }
     return new Promise((resolve, reject) => {
-      const { request } = wish;
-      // Past this instant the answer may well come too late, and the slot be wasted: under overload
-      // a queue that starts work at the last moment fills every slot with work that nobody awaits.
-      const latestStartMs = request.deadlineMs - this.getLikelyLongest(request);
+      const { request } = slotRequest;
+      // A request that starts later is likely to miss its deadline. Under overload, a queue that starts
+      // requests at the last moment fills all slots with work whose results arrive too late.
+      const latestStartMs = request.deadlineMs - this.getLongestExpected(request);
       const timer = this.clock.startTimer(latestStartMs - this.clock.getMonotonicTime(), () => {
         this.queue.remove(waiter);
         waiter.finish(makeQueueTimeout(this.computeRetryAfter()));
@@ -206,10 +207,10 @@
         this.queue.remove(waiter);
         waiter.finish(makeCallerGone());
       };
-      const waiter: IWaiter = {
+      const waiter: ISlotWaiter = {
         caller: request.caller,
         deadlineMs: request.deadlineMs,
-        wish,
+        slotRequest,
         finish: (result) => {
           void timer.dispose();
           signal.removeEventListener('abort', onAbort);
@@ -238,11 +239,11 @@
   }
 
   private estimateWait(caller: string): number {
-    return ((this.queue.countAhead(caller) + 1) * this.serviceTime.getMean()) / this.getAllowed();
+    return ((this.queue.countAhead(caller) + 1) * this.serviceTime.getMean()) / this.countAllowed();
   }
 
-  private getLikelyLongest(request: IRoutedRequest): number {
-    return this.routeTimes.get(request.route.name)?.getLikelyLongest() ?? 0;
+  private getLongestExpected(request: IRoutedRequest): number {
+    return this.routeTimes.get(request.route.name)?.getLongestExpected() ?? 0;
   }
 
   private getQueueLimit(): number {
@@ -251,18 +252,18 @@
     return Math.max(MIN_QUEUE, Math.round(factor * slots));
   }
 
-  private getAllowed(): number {
+  private countAllowed(): number {
     return Math.max(
       1,
       this.countUsable((handle) => handle.getEffectiveLimit()),
     );
   }
 
-  private getFree(): number {
+  private countFree(): number {
     return this.countUsable((handle) => Math.max(0, handle.getEffectiveLimit() - handle.inUse));
   }
 
-  private hasUsable(excluded: ReadonlySet<string>): boolean {
+  private hasUsableTarget(excluded: ReadonlySet<string>): boolean {
     const wallTimeMs = this.clock.getWallTime();
     for (const handle of this.handles.values()) {
       if (handle.isUsable(wallTimeMs) && !excluded.has(handle.address)) return true;
