--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -214,7 +214,7 @@
     this.waiting.length = 0;
     this.incarnation += 1;
     this.outages.push({ fromMs: this.getNowMs(), toMs: this.getNowMs() + downMs });
-    for (const { onConnectionLost: breakOff, isCancelled } of lost) if (!isCancelled) breakOff();
+    for (const { onConnectionLost, isCancelled } of lost) if (!isCancelled) onConnectionLost();
   }
 
   private startNext(): void {
