--- a/packages/lab/src/bench/routing/common/routingRun.ts
+++ b/packages/lab/src/bench/routing/common/routingRun.ts
@@ -110,7 +110,7 @@
       // An entry knows a home's spare slots only from the last response of that home.
       entry.spareShares.set(placed, spare / placed.slots);
       const latencyMs = this.clock.getMonotonicTime() - request.atMs;
-      this.recorder.recordAnswer(request, response, latencyMs);
+      this.recorder.recordResponse(request, response, latencyMs);
       const addedMs = Math.max(0, latencyMs - request.workMs);
       this.added.recordValue(Math.round(addedMs * MICROSECONDS));
     } catch (error) {
--- a/packages/lab/src/experiment/common/experimentRun.ts
+++ b/packages/lab/src/experiment/common/experimentRun.ts
@@ -1,13 +1,13 @@
-/** Plays a scenario once: real homes and entries before modelled targets, on simulated time. */
+/** Simulates a scenario once: real homes and entries in front of modelled targets, on simulated time. */
 import type { RandomSource } from '@parsleymux/base';
 import { ManualClock, SeededRandom, createSilentLogger } from '@parsleymux/base';
 import type { GrantPolicy, ITargetRecord } from '@parsleymux/dispatch';
 import quantile from '@stdlib/stats-base-dists-lognormal-quantile';
-import type { IRunFigures } from './figures.js';
-import { FigureLedger } from './figures.js';
+import type { IRunResult } from './runRecorder.js';
+import { RunRecorder } from './runRecorder.js';
 import { FleetObserver } from './fleetObserver.js';
 import { sendRequest } from './modelledCaller.js';
-import { ModelledCaseStore } from './modelledCaseStore.js';
+import { ModelledQuarantineStore } from './modelledQuarantineStore.js';
 import { ModelledFleet, formatNode } from './modelledFleet.js';
 import { ModelledNetwork } from './modelledNetwork.js';
 import { ModelledNode } from './modelledNode.js';
@@ -16,26 +16,26 @@
 import type { ICrashingRequest, IRequestKind, IScenario, IWorkDistribution } from './scenario.js';
 import { listEvents } from './scenario.js';
 
-/** Targets and homes are looked after this often, in ms. */
-const STEP_MS = 100;
-/** What an entry learns of a target's drain or loss reaches it this late, in ms. */
-const NEWS_DELAY_MS = 800;
+/** Interval at which the states of targets and homes are updated, in ms. */
+const UPDATE_INTERVAL_MS = 100;
+/** Delay until nodes receive a changed list of targets, in ms. */
+const TARGET_LIST_DELAY_MS = 800;
 const MS_PER_S = 1000;
-/** Nodes are up this long before callers come, in ms: longer than what they count retries over. */
-const LEAD_MS = 12_000;
-/** What is under way at the end of the load still ends. */
+/** Nodes run this long before the first caller, in ms: longer than their window of retries. */
+const WARM_UP_MS = 12_000;
+/** Time after the end of the load in which pending requests end, in ms. */
 const TAIL_MS = 10_000;
 
 /**
- * Draws of callers, targets and the network come from generators of their own: a policy that sends
- * one request more changes no other request's luck, so runs of one seed make a pair.
+ * Callers, targets and the network draw from separate generators. An additional request of one policy
+ * therefore changes no draw of another request, and runs of two policies with one seed are paired.
  *
  * @example
- * const figures = await new ExperimentRun(scenario, () => new FreeSlotPolicy(), 7).run();
+ * const result = await new ExperimentRun(scenario, () => new FreeSlotPolicy(), 7).run();
  */
 export class ExperimentRun {
   private readonly clock = new ManualClock();
-  private readonly ledger = new FigureLedger();
+  private readonly recorder = new RunRecorder();
   private readonly observer: FleetObserver;
   private readonly callers: RandomSource;
   private readonly paths: RandomSource;
@@ -43,18 +43,18 @@
   private readonly network: ModelledNetwork;
   private readonly targets: readonly ModelledTarget[];
   private readonly fleet: ModelledFleet;
-  private readonly open: Promise<void>[] = [];
-  /** Targets and their states that nodes were told of last. */
-  private lastTargets = '';
+  private readonly pendingRequests: Promise<void>[] = [];
+  /** Targets and their states, as last sent to the nodes. */
+  private lastTargetsKey = '';
 
   private readonly scenario: IScenario;
 
   constructor(
-    played: IScenario,
+    original: IScenario,
     createPolicy: (isFailing: FailureOracle) => GrantPolicy,
     seed: number,
   ) {
-    const scenario = withLead(played);
+    const scenario = withWarmUp(original);
     this.scenario = scenario;
     const source = new SeededRandom(seed);
     const fork = () => new SeededRandom(source.getInteger(0x7fff_ffff));
@@ -69,12 +69,12 @@
         return new ModelledTarget({ id, index, scenario, service, clock, random: fork() });
       });
     });
-    // Not forked: scenarios without such requests keep the luck that they had.
+    // Not forked from the source, so that crashing requests don't change the draws of the others.
     this.crashing = new SeededRandom(seed + 1);
     const byId = new Map(this.targets.map((target) => [target.options.id, target]));
     this.observer = new FleetObserver(scenario);
     const log = createSilentLogger();
-    const cases = new ModelledCaseStore(clock);
+    const quarantineStore = new ModelledQuarantineStore(clock);
     this.fleet = new ModelledFleet({
       scenario,
       clock,
@@ -94,43 +94,43 @@
           observer: this.observer,
           rankHomes: (service) => fleet.rankHomes(service, index),
           listMembers: () => fleet.listMembers(),
-          cases,
+          quarantineStore,
         });
       },
     });
   }
 
-  async run(): Promise<IRunFigures> {
-    const endMs = LEAD_MS + this.scenario.durationMs;
-    this.updateWorld();
+  async run(): Promise<IRunResult> {
+    const endMs = WARM_UP_MS + this.scenario.durationMs;
+    this.updateEnvironment();
     this.fleet.start();
     for (const crashing of this.scenario.crashingRequests ?? []) this.planCrashing(crashing);
-    await this.clock.advanceTo(LEAD_MS);
+    await this.clock.advanceTo(WARM_UP_MS);
     const arrivals = this.scenario.kinds.map((kind) => {
-      return { kind, atMs: LEAD_MS + this.sampleGap(kind, LEAD_MS) };
+      return { kind, atMs: WARM_UP_MS + this.sampleGap(kind, WARM_UP_MS) };
     });
     let index = 0;
-    for (let stepMs = LEAD_MS; stepMs < endMs; stepMs += STEP_MS) {
-      this.updateWorld();
+    for (let stepMs = WARM_UP_MS; stepMs < endMs; stepMs += UPDATE_INTERVAL_MS) {
+      this.updateEnvironment();
       for (;;) {
         const next = arrivals.reduce((left, right) => (right.atMs < left.atMs ? right : left));
-        if (next.atMs >= stepMs + STEP_MS) break;
+        if (next.atMs >= stepMs + UPDATE_INTERVAL_MS) break;
         await this.clock.advanceTo(next.atMs);
         this.send(next.kind, index++);
         next.atMs += this.sampleGap(next.kind, next.atMs);
       }
-      await this.clock.advanceTo(stepMs + STEP_MS);
+      await this.clock.advanceTo(stepMs + UPDATE_INTERVAL_MS);
     }
     await this.clock.advanceBy(TAIL_MS);
-    await Promise.all(this.open);
+    await Promise.all(this.pendingRequests);
     for (const node of this.fleet.listNodes()) node.dispose();
     return this.summarize();
   }
 
-  /** Sends a crashing request again and again. Its callers expect nothing, so no ending is counted. */
+  /** Sends a crashing request at its rate. Outcomes for its callers aren't recorded. */
   private planCrashing(crashing: ICrashingRequest): void {
     const kind = this.scenario.kinds.find(({ name }) => name === crashing.kind);
-    if (kind === undefined) throw new Error(`there is no kind ${crashing.kind}`);
+    if (kind === undefined) throw new Error(`request kind "${crashing.kind}" does not exist`);
     const gapMs = MS_PER_S / crashing.perS;
     for (let atMs = crashing.fromMs; atMs < crashing.toMs; atMs += gapMs) {
       this.clock.startTimer(atMs, () => {
@@ -139,49 +139,49 @@
           id: `${crashing.name}-${Math.round(atMs)}`,
           crashName: crashing.name,
           workMs: 0,
-          hastyAttempts: 0,
+          immediateAttempts: 0,
           clock: this.clock,
           random: this.crashing,
           listNodes: () => this.fleet.listOpen(),
-          ledger: new FigureLedger(),
+          recorder: new RunRecorder(),
           observer: this.observer,
         });
-        this.open.push(request);
+        this.pendingRequests.push(request);
       });
     }
   }
 
-  private summarize(): IRunFigures {
+  private summarize(): IRunResult {
     const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
     const transports = this.fleet.listTransports();
-    return this.ledger.summarize({
-      connections: sum(transports.map(({ opened }) => opened)),
-      crossedBytes: sum(transports.map(({ crossedBytes }) => crossedBytes)),
+    return this.recorder.summarize({
+      connections: sum(transports.map(({ openedConnections: opened }) => opened)),
+      crossDomainBytes: sum(transports.map(({ crossDomainBytes: crossedBytes }) => crossedBytes)),
       crashedTargets: this.observer.countCrashes(),
       failedRuns: sum(this.targets.map(({ failedMs }) => failedMs.length)),
       violations: this.observer
         .findViolations(this.targets.map((target) => target.toObserved()))
-        .map((violation) => ({ ...violation, atMs: violation.atMs - LEAD_MS })),
+        .map((violation) => ({ ...violation, atMs: violation.atMs - WARM_UP_MS })),
     });
   }
 
   private send(kind: IRequestKind, index: number): void {
     const nowMs = this.clock.getMonotonicTime();
     const [abuse] = listEvents(this.scenario, 'retry-abuse', kind.service, nowMs);
-    const isHasty = this.callers.getFloat() < (abuse?.share ?? 0);
+    const isAbusive = this.callers.getFloat() < (abuse?.share ?? 0);
     const request = sendRequest({
       kind,
       id: `q${index}`,
       ...(kind.popular === undefined ? {} : { content: `${kind.name}-${index % kind.popular}` }),
       workMs: sampleWork(kind.work, this.callers),
-      hastyAttempts: isHasty ? (abuse?.factor ?? 1) : 0,
+      immediateAttempts: isAbusive ? (abuse?.factor ?? 1) : 0,
       clock: this.clock,
       random: this.paths,
       listNodes: () => this.fleet.listOpen(),
-      ledger: this.ledger,
+      recorder: this.recorder,
       observer: this.observer,
     });
-    this.open.push(request);
+    this.pendingRequests.push(request);
   }
 
   private sampleGap(kind: IRequestKind, nowMs: number): number {
@@ -192,8 +192,8 @@
     return this.callers.getExponential(MS_PER_S / (kind.perS * factor));
   }
 
-  /** Tells nodes of targets, and takes lost homes off the network. */
-  private updateWorld(): void {
+  /** Sends changed lists of targets to the nodes, and disconnects homes that the scenario cuts off. */
+  private updateEnvironment(): void {
     const nowMs = this.clock.getMonotonicTime();
     const records = this.targets
       .filter((target) => !target.isDown())
@@ -201,16 +201,16 @@
     const key = records
       .map(({ bornMs, id, isDraining }) => `${id}/${bornMs}/${isDraining}`)
       .join(' ');
-    if (key !== this.lastTargets) {
-      this.lastTargets = key;
-      this.clock.startTimer(nowMs === 0 ? 0 : NEWS_DELAY_MS, () => {
+    if (key !== this.lastTargetsKey) {
+      this.lastTargetsKey = key;
+      this.clock.startTimer(nowMs === 0 ? 0 : TARGET_LIST_DELAY_MS, () => {
         this.fleet.setTargets(records);
       });
     }
     for (const service of this.scenario.services) {
-      const isLost = listEvents(this.scenario, 'home-loss', service.name, nowMs).length > 0;
+      const isHomeLost = listEvents(this.scenario, 'home-loss', service.name, nowMs).length > 0;
       const [home] = this.fleet.rankHomes(service.name);
-      if (home !== undefined) this.network.setLost(home, isLost);
+      if (home !== undefined) this.network.setDisconnected(home, isHomeLost);
     }
   }
 
@@ -224,7 +224,7 @@
       slots: service.slots,
       isDraining: target.isDraining(),
       coldMs: 0,
-      ...(target.life > 1 ? { bornMs: target.life } : {}),
+      ...(target.incarnation > 1 ? { bornMs: target.incarnation } : {}),
     };
   }
 
@@ -233,13 +233,13 @@
   }
 }
 
-/** Times of a scenario count from the first caller on. */
-function withLead(scenario: IScenario): IScenario {
-  const events = scenario.events.map((event) => ({ ...event, atMs: event.atMs + LEAD_MS }));
+/** Shifts the scenario's times, which count from the first caller, by the warm-up. */
+function withWarmUp(scenario: IScenario): IScenario {
+  const events = scenario.events.map((event) => ({ ...event, atMs: event.atMs + WARM_UP_MS }));
   const crashingRequests = (scenario.crashingRequests ?? []).map((crashing) => ({
     ...crashing,
-    fromMs: crashing.fromMs + LEAD_MS,
-    toMs: crashing.toMs + LEAD_MS,
+    fromMs: crashing.fromMs + WARM_UP_MS,
+    toMs: crashing.toMs + WARM_UP_MS,
   }));
   return { ...scenario, events, crashingRequests };
 }
--- a/packages/lab/src/experiment/common/modelledFleet.ts
+++ b/packages/lab/src/experiment/common/modelledFleet.ts
@@ -1,4 +1,4 @@
-/** The nodes of an experiment over time: who is up, who knows it, and who is home of what. */
+/** The nodes of an experiment over time: restarts, membership, and the homes of services. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { ITargetRecord } from '@parsleymux/dispatch';
 import { RendezvousPlacement } from '@parsleymux/fleet';
@@ -7,17 +7,17 @@
 import type { ModelledTransport } from './modelledTransport.js';
 import type { IScenario, IScenarioEvent } from './scenario.js';
 
-/** Homes that are ranked for a service. */
-const RANKED = 3;
-/** News of a member reaches the nodes this late at most, each after a time of its own, in ms. */
-const MOST_NEWS_LAG_MS = 1000;
-/** A node that was told to stop gets new callers for this long: a balancer's two misses, in ms. */
-const NOTICE_MS = 2000;
-/** From the signal to stop to the end of the process, in ms: requests end, then callers are gone. */
-const STOP_MS = 3500;
-/** From the start of a process until it is registered and ready, in ms. */
+/** Number of homes that are ranked for a service. */
+const RANKED_HOMES = 3;
+/** Upper bound of the delay, drawn for each node, until a node receives a membership change, in ms. */
+const MAX_MEMBERSHIP_DELAY_MS = 1000;
+/** A stopping node receives new callers for this long: two failed health checks of a balancer, in ms. */
+const BALANCER_DELAY_MS = 2000;
+/** Time from the stop signal to the end of the process, in which pending requests end, in ms. */
+const SHUTDOWN_MS = 3500;
+/** Time from the start of a process until it is registered and ready, in ms. */
 const START_MS = 700;
-const DEFAULT_GAP_MS = 1000;
+const DEFAULT_BATCH_INTERVAL_MS = 1000;
 
 /** Options of a {@link ModelledFleet}. */
 export interface IModelledFleetOptions {
@@ -29,47 +29,47 @@
   readonly createNode: (index: number, incarnation: number, fleet: ModelledFleet) => ModelledNode;
 }
 
-interface IPlace {
+interface INodeState {
   node: ModelledNode;
   incarnation: number;
   isOpen: boolean;
   readonly lagMs: number;
 }
 
-interface IMembers {
+interface IMembershipSnapshot {
   readonly atMs: number;
   readonly placement: RendezvousPlacement;
 }
 
 /**
- * Restarts nodes as the scenario says. Nodes hear of members late, each in its own time, so for a
- * moment two of them take different nodes for the home of one service.
+ * Restarts nodes according to the scenario. Each node receives membership changes with a delay of its
+ * own, so two nodes may rank different nodes as the home of one service for a short time.
  *
  * @example
  * const fleet = new ModelledFleet(options);
  * fleet.start();
  */
 export class ModelledFleet {
-  private readonly places: IPlace[] = [];
-  private readonly history: IMembers[] = [];
+  private readonly nodeStates: INodeState[] = [];
+  private readonly history: IMembershipSnapshot[] = [];
   private readonly registered = new Set<string>();
-  /** Of all processes that ever ran, for what they cost. */
+  /** Transports of all processes, ended ones included, for the costs of the run. */
   private readonly transports: ModelledTransport[] = [];
   private records: readonly ITargetRecord[] = [];
 
   constructor(private readonly options: IModelledFleetOptions) {
     const { createNode, random, scenario } = options;
     for (let index = 0; index < scenario.nodes; index += 1) {
-      const lagMs = random.getFloat() * MOST_NEWS_LAG_MS;
+      const lagMs = random.getFloat() * MAX_MEMBERSHIP_DELAY_MS;
       this.registered.add(formatNode(index));
       const node = createNode(index, 1, this);
       this.transports.push(node.transport);
-      this.places.push({ node, incarnation: 1, isOpen: true, lagMs });
+      this.nodeStates.push({ node, incarnation: 1, isOpen: true, lagMs });
     }
-    this.recordMembers(-MOST_NEWS_LAG_MS);
+    this.recordMembers(-MAX_MEMBERSHIP_DELAY_MS);
   }
 
-  /** Starts what the scenario does to nodes. */
+  /** Schedules the scenario's restarts and power losses. */
   start(): void {
     for (const event of this.options.scenario.events) {
       if (event.kind === 'restart') this.planRestarts(event);
@@ -77,21 +77,21 @@
     }
   }
 
-  /** Nodes that callers reach. */
+  /** Nodes that callers can reach. */
   listOpen(): readonly ModelledNode[] {
-    return this.places.flatMap(({ isOpen, node }, index) => {
-      const isReached = isOpen && !this.options.network.isLost(formatNode(index));
-      return isReached ? [node] : [];
+    return this.nodeStates.flatMap(({ isOpen, node }, index) => {
+      const isReachable = isOpen && !this.options.network.isDisconnected(formatNode(index));
+      return isReachable ? [node] : [];
     });
   }
 
-  /** Transports of all processes that ever ran. */
+  /** Transports of all processes, ended ones included. */
   listTransports(): readonly ModelledTransport[] {
     return this.transports;
   }
 
   listNodes(): readonly ModelledNode[] {
-    return this.places.map(({ node }) => node);
+    return this.nodeStates.map(({ node }) => node);
   }
 
   listMembers(): readonly string[] {
@@ -100,72 +100,75 @@
 
   setTargets(records: readonly ITargetRecord[]): void {
     this.records = records;
-    for (const { node } of this.places) node.setTargets(records);
+    for (const { node } of this.nodeStates) node.setTargets(records);
   }
 
-  /** Homes of a service as node `index` sees them; without one, as they are. */
+  /**
+   * Ranks the homes of a service by the membership that node `index` has received, or by the current
+   * one if `index` is undefined.
+   */
   rankHomes(service: string, index?: number): readonly string[] {
-    const lagMs = index === undefined ? 0 : (this.places[index]?.lagMs ?? 0);
+    const lagMs = index === undefined ? 0 : (this.nodeStates[index]?.lagMs ?? 0);
     const knownMs = this.options.clock.getMonotonicTime() - lagMs;
     const members = this.history.findLast(({ atMs }) => atMs <= knownMs) ?? this.history[0];
-    const ranked = members?.placement.rank({ id: service, failureDomains: [] }, RANKED) ?? [];
+    const ranked = members?.placement.rank({ id: service, failureDomains: [] }, RANKED_HOMES) ?? [];
     return ranked.map(({ address }) => address);
   }
 
   private planRestarts(event: IScenarioEvent): void {
-    const { atMs, batch = 1, forMs, gapMs = DEFAULT_GAP_MS, share = 0 } = event;
+    const { atMs, batch = 1, forMs, gapMs = DEFAULT_BATCH_INTERVAL_MS, share = 0 } = event;
     const { clock, random } = this.options;
-    const order = this.places
+    const order = this.nodeStates
       .map((_, index) => ({ index, key: random.getFloat() }))
       .sort((left, right) => left.key - right.key)
-      .slice(0, Math.round(share * this.places.length));
+      .slice(0, Math.round(share * this.nodeStates.length));
     for (const [position, { index }] of order.entries()) {
       const delayMs = Math.floor(position / batch) * gapMs;
       clock.startTimer(atMs + delayMs, () => {
-        this.stopAndStart(index, forMs);
+        this.runRestart(index, forMs);
       });
     }
   }
 
   private planPowerLoss({ atMs, forMs }: IScenarioEvent): void {
     this.options.clock.startTimer(atMs, () => {
-      for (const index of this.places.keys()) {
+      for (const index of this.nodeStates.keys()) {
         this.end(index);
         this.startAfter(index, forMs);
       }
     });
   }
 
-  private stopAndStart(index: number, forMs: number): void {
+  private runRestart(index: number, forMs: number): void {
     const { clock } = this.options;
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined || !this.registered.has(formatNode(index))) return;
-    place.node.announceLeaving([...this.registered]);
+    place.node.announceShutdown([...this.registered]);
     this.removeMember(index);
-    clock.startTimer(NOTICE_MS, () => {
+    clock.startTimer(BALANCER_DELAY_MS, () => {
       place.isOpen = false;
     });
-    clock.startTimer(STOP_MS, () => {
+    clock.startTimer(SHUTDOWN_MS, () => {
       this.end(index);
-      this.startAfter(index, Math.max(0, forMs - STOP_MS));
+      this.startAfter(index, Math.max(0, forMs - SHUTDOWN_MS));
     });
   }
 
   private end(index: number): void {
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined) return;
     place.isOpen = false;
     place.node.dispose();
-    this.options.network.setLost(formatNode(index), true);
+    this.options.network.setDisconnected(formatNode(index), true);
   }
 
   private startAfter(index: number, delayMs: number): void {
     const { clock, createNode, network } = this.options;
-    const place = this.places[index];
+    const place = this.nodeStates[index];
     if (place === undefined) return;
     clock.startTimer(delayMs, () => {
       place.incarnation += 1;
-      network.setLost(formatNode(index), false);
+      network.setDisconnected(formatNode(index), false);
       place.node = createNode(index, place.incarnation, this);
       this.transports.push(place.node.transport);
       place.node.setTargets(this.records);
@@ -189,7 +192,7 @@
   }
 }
 
-/** Address of a node of an experiment. */
+/** Formats the address of a node of an experiment. */
 export function formatNode(index: number): string {
   return `node-${index}`;
 }
--- a/packages/lab/src/experiment/common/modelledNetwork.ts
+++ b/packages/lab/src/experiment/common/modelledNetwork.ts
@@ -1,4 +1,4 @@
-/** Datagrams between the nodes of an experiment: delayed, and some of them lost. */
+/** Datagrams between the nodes of an experiment, with delay and random loss. */
 import type { Clock, RandomSource } from '@parsleymux/base';
 import type { DatagramBody } from '@parsleymux/dispatch';
 import { DatagramChannel } from '@parsleymux/dispatch';
@@ -14,12 +14,14 @@
 type Handler = (sender: string, body: DatagramBody) => void;
 
 /**
+ * Delivers datagrams between connected nodes.
+ *
  * @example
  * const channel = network.open('node-1');
  */
 export class ModelledNetwork {
   private readonly handlers = new Map<string, Handler>();
-  private readonly lost = new Set<string>();
+  private readonly disconnected = new Set<string>();
 
   constructor(private readonly options: IModelledNetworkOptions) {}
 
@@ -27,14 +29,14 @@
     return new ModelledChannel(address, this);
   }
 
-  /** Takes a node off the network, or back on. */
-  setLost(address: string, isLost: boolean): void {
-    if (isLost) this.lost.add(address);
-    else this.lost.delete(address);
+  /** Disconnects a node from the network or reconnects it. */
+  setDisconnected(address: string, isDisconnected: boolean): void {
+    if (isDisconnected) this.disconnected.add(address);
+    else this.disconnected.delete(address);
   }
 
-  isLost(address: string): boolean {
-    return this.lost.has(address);
+  isDisconnected(address: string): boolean {
+    return this.disconnected.has(address);
   }
 
   setHandler(address: string, handler: Handler): void {
@@ -43,9 +45,9 @@
 
   forward(sender: string, address: string, body: DatagramBody): void {
     const { clock, delayMs, lossShare, random } = this.options;
-    if (random.getFloat() < lossShare || this.isLost(sender)) return;
+    if (random.getFloat() < lossShare || this.isDisconnected(sender)) return;
     clock.startTimer(delayMs, () => {
-      if (!this.isLost(address)) this.handlers.get(address)?.(sender, body);
+      if (!this.isDisconnected(address)) this.handlers.get(address)?.(sender, body);
     });
   }
 }
@@ -67,6 +69,6 @@
   }
 
   override dispose(): void {
-    this.network.setLost(this.address, true);
+    this.network.setDisconnected(this.address, true);
   }
 }
--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -1,4 +1,4 @@
-/** One target on simulated time: slots, a short queue, and epochs in which it fails. */
+/** A target on simulated time with slots, a bounded queue and epochs in which it fails. */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { IObservedTarget } from './fleetObserver.js';
 import type { ICrashingRequest, IScenario, IScenarioEvent, ISimulatedService } from './scenario.js';
@@ -7,8 +7,8 @@
 const OK = 200;
 const FAILED = 500;
 const SHED = 503;
-/** What disturbs a target from outside. */
-const DISTURBANCES: readonly IScenarioEvent['kind'][] = [
+/** Events that disturb a target from outside. */
+const DISTURBING_EVENTS: readonly IScenarioEvent['kind'][] = [
   'slow',
   'fail',
   'shed',
@@ -18,30 +18,30 @@
   'limit',
 ];
 
-/** What a target makes of one request. */
-export interface IModelledAnswer {
+/** A target's response to one request. */
+export interface IModelledResponse {
   readonly status: number;
   readonly notRun: boolean;
-  /** Whether the target says that it leaves. */
+  /** Whether the target reports that it is draining. */
   readonly draining: boolean;
-  /** For how long a target that sheds asks to be left alone, in ms. */
+  /** Wait that a shedding target requests from the node, in ms. */
   readonly waitMs?: number | undefined;
-  /** Requests a second that it takes, if it names a limit. */
+  /** Advertised limit in requests per second; undefined if the target advertises none. */
   readonly rateLimit?: number | undefined;
 }
 
-/** A request as it reaches a target. */
+/** A request that reaches a target. */
 export interface IModelledArrival {
   readonly workMs: number;
-  /** From 0 to 1; decides whether the target fails it. */
+  /** Random number from 0 to 1 that decides whether the target fails or sheds the request. */
   readonly luck: number;
-  /** What the request does to the target that runs it; undefined for nearly all requests. */
+  /** Set if the request crashes the target that runs it. */
   readonly crash: ICrashingRequest | undefined;
-  /** It has crashed the target. */
+  /** Called when the request has crashed the target. */
   readonly onCrash: () => void;
-  readonly answer: (answer: IModelledAnswer) => void;
-  /** The target's process has ended, and its connections with it. */
-  readonly breakOff: () => void;
+  readonly respond: (response: IModelledResponse) => void;
+  /** Called when the target's process has ended and its connections are closed. */
+  readonly onConnectionLost: () => void;
 }
 
 interface IJob extends Omit<IModelledArrival, 'luck'> {
@@ -60,21 +60,21 @@
 }
 
 /**
- * Draws its own luck, so that two policies that send it different requests still meet the same
- * epochs.
+ * Draws its epochs from a generator of its own, so that runs under different policies have the same
+ * failures.
  *
  * @example
- * const job = target.accept(workMs, (answer) => resolve(answer));
+ * const job = target.accept({ workMs, luck, crash: undefined, onCrash, respond, onConnectionLost });
  */
 export class ModelledTarget {
   arrivals = 0;
-  /** When it failed a request, in ms of the run. */
+  /** Times at which it failed a request, in ms of the run. */
   readonly failedMs: number[] = [];
-  /** Counts the starts of its process. */
-  life = 1;
+  /** Number of starts of its process. */
+  incarnation = 1;
   private readonly running = new Set<IJob>();
   private readonly waiting: IJob[] = [];
-  /** When its process ended under a request, and when it was there again. */
+  /** Times at which its process ended and at which it was up again, in ms of the run. */
   private readonly outages: { readonly fromMs: number; readonly toMs: number }[] = [];
   private readonly offsetMs: number;
   private readonly epochs: boolean[] = [];
@@ -82,11 +82,11 @@
   constructor(readonly options: IModelledTargetOptions) {
     const { random, service } = options;
     this.offsetMs = random.getFloat() * service.gray.everyMs;
-    for (const event of options.scenario.events) this.planLoss(event);
+    for (const event of options.scenario.events) this.planPowerLoss(event);
   }
 
-  /** Each loss takes targets of its own choice: those that stand in one rack differ from day to day. */
-  private planLoss(event: IScenarioEvent): void {
+  /** Each event draws its affected targets separately, since targets move between racks. */
+  private planPowerLoss(event: IScenarioEvent): void {
     const { clock, random, service } = this.options;
     if (event.kind !== 'target-loss' || (event.service ?? service.name) !== service.name) return;
     if (random.getFloat() >= (event.share ?? 0)) return;
@@ -95,44 +95,44 @@
     });
   }
 
-  /** Whether nothing listens at its address now. */
+  /** Whether its process is down, so that connections are refused. */
   isDown(): boolean {
-    return this.isConcerned('crash') || this.getNowMs() < (this.outages.at(-1)?.toMs ?? 0);
+    return this.isAffected('crash') || this.getNowMs() < (this.outages.at(-1)?.toMs ?? 0);
   }
 
   isDraining(): boolean {
-    return this.isConcerned('drain');
+    return this.isAffected('drain');
   }
 
-  /** Whether it is failing by itself now. */
+  /** Whether it is failing now for a reason of its own, not because of its load. */
   isFailing(): boolean {
-    return this.isConcerned('fail') || this.isEpochFailing(this.getEpoch(this.getNowMs()));
+    return this.isAffected('fail') || this.isEpochFailing(this.getEpoch(this.getNowMs()));
   }
 
-  /** Takes a request. Disposing drops it. */
+  /** Accepts a request. Disposing the result cancels the request. */
   accept(arrival: IModelledArrival): IDisposable {
     const { clock, service } = this.options;
-    const { answer, luck } = arrival;
+    const { respond, luck } = arrival;
     this.arrivals += 1;
     if (luck > 1 - this.getShedShare()) {
       return clock.startTimer(service.gray.failMs, () => {
-        answer(this.makeShed());
+        respond(this.makeShedResponse());
       });
     }
     const isFailing = this.isFailing();
     if (luck < (isFailing ? service.gray.failShare : service.errorShare)) {
       this.failedMs.push(clock.getMonotonicTime());
-      // It does no work, so it takes no slot either.
+      // A failed request does no work, so it uses no slot.
       const { failMs } = service.gray;
       return clock.startTimer(failMs, () => {
-        answer(this.makeAnswer(FAILED));
+        respond(this.makeResponse(FAILED));
       });
     }
     const workMs = arrival.workMs * this.getSlowness();
     const job: IJob = { ...arrival, workMs, isCancelled: false };
     if (this.running.size < service.slots) this.run(job);
     else if (this.waiting.length < service.queue) this.waiting.push(job);
-    else answer(this.makeShed());
+    else respond(this.makeShedResponse());
     return {
       dispose: () => {
         job.isCancelled = true;
@@ -140,20 +140,20 @@
     };
   }
 
-  /** Requests a second that it takes now; undefined while it names no limit. */
+  /** The limit that it advertises now, in requests per second; undefined while it has none. */
   getRateLimit(): number | undefined {
-    const rates = this.listTouching('limit').flatMap(({ ratePerS }) => ratePerS ?? []);
+    const rates = this.listAffectingEvents('limit').flatMap(({ ratePerS }) => ratePerS ?? []);
     return rates.length === 0 ? undefined : Math.min(...rates);
   }
 
-  /** What an observer who knows the truth sees of it. */
+  /** The target's actual state, for the checks of {@link FleetObserver}. */
   toObserved(): IObservedTarget {
     return {
       id: this.options.id,
       service: this.options.service.name,
       failedMs: this.failedMs,
       isFailingWithin: (fromMs, toMs) => this.isFailingWithin(fromMs, toMs),
-      isCalm: (fromMs, toMs) => this.isCalm(fromMs, toMs),
+      isUndisturbed: (fromMs, toMs) => this.isUndisturbed(fromMs, toMs),
     };
   }
 
@@ -180,41 +180,41 @@
     return false;
   }
 
-  private isCalm(fromMs: number, toMs: number): boolean {
+  private isUndisturbed(fromMs: number, toMs: number): boolean {
     const wasDown = this.outages.some((outage) => outage.fromMs < toMs && outage.toMs > fromMs);
     if (wasDown) return false;
     return !this.options.scenario.events.some((event) => {
       const isThen = event.atMs < toMs && event.atMs + event.forMs > fromMs;
-      return isThen && DISTURBANCES.includes(event.kind) && this.isTouchedBy(event);
+      return isThen && DISTURBING_EVENTS.includes(event.kind) && this.isAffectedBy(event);
     });
   }
 
   private run(job: IJob): void {
     const { clock } = this.options;
-    const { life } = this;
+    const { incarnation } = this;
     this.running.add(job);
     const endsAfterMs = job.crash?.runMs ?? job.workMs;
     clock.startTimer(endsAfterMs, () => {
-      if (this.life !== life) return;
+      if (this.incarnation !== incarnation) return;
       if (job.crash !== undefined) {
         job.onCrash();
         this.end(job.crash.downMs);
         return;
       }
       this.running.delete(job);
-      if (!job.isCancelled) job.answer(this.makeAnswer(OK));
+      if (!job.isCancelled) job.respond(this.makeResponse(OK));
       this.startNext();
     });
   }
 
-  /** The process ends: all that it runs and all that waits is lost with its connections. */
+  /** Ends the process: running and waiting requests are lost with their connections. */
   private end(downMs: number): void {
     const lost = [...this.running, ...this.waiting];
     this.running.clear();
     this.waiting.length = 0;
-    this.life += 1;
+    this.incarnation += 1;
     this.outages.push({ fromMs: this.getNowMs(), toMs: this.getNowMs() + downMs });
-    for (const { breakOff, isCancelled } of lost) if (!isCancelled) breakOff();
+    for (const { onConnectionLost, isCancelled } of lost) if (!isCancelled) onConnectionLost();
   }
 
   private startNext(): void {
@@ -224,44 +224,51 @@
     else this.run(next);
   }
 
-  private makeShed(): IModelledAnswer {
-    const [event] = this.listTouching('shed');
-    return { ...this.makeAnswer(SHED), notRun: true, waitMs: event?.waitMs };
+  private makeShedResponse(): IModelledResponse {
+    const [event] = this.listAffectingEvents('shed');
+    return { ...this.makeResponse(SHED), notRun: true, waitMs: event?.waitMs };
   }
 
-  private makeAnswer(status: number): IModelledAnswer {
-    const draining = this.isTellingDrain();
+  private makeResponse(status: number): IModelledResponse {
+    const draining = this.isReportingDrain();
     return { status, notRun: false, draining, rateLimit: this.getRateLimit() };
   }
 
-  private isTellingDrain(): boolean {
-    return this.isDraining() || this.isConcerned('drain-told');
+  private isReportingDrain(): boolean {
+    return this.isDraining() || this.isAffected('drain-told');
   }
 
-  /** Share of its requests that it sheds, whether it has free slots or not. */
+  /** Share of requests that it sheds even while slots are free. */
   private getShedShare(): number {
-    return this.listTouching('shed').reduce((most, { factor = 1 }) => Math.max(most, factor), 0);
+    return this.listAffectingEvents('shed').reduce(
+      (most, { factor = 1 }) => Math.max(most, factor),
+      0,
+    );
   }
 
   private getSlowness(): number {
-    return this.listTouching('slow').reduce((product, { factor = 1 }) => product * factor, 1);
+    return this.listAffectingEvents('slow').reduce(
+      (product, { factor = 1 }) => product * factor,
+      1,
+    );
   }
 
-  private isConcerned(kind: 'crash' | 'drain' | 'drain-told' | 'fail'): boolean {
-    return this.listTouching(kind).length > 0;
+  private isAffected(kind: 'crash' | 'drain' | 'drain-told' | 'fail'): boolean {
+    return this.listAffectingEvents(kind).length > 0;
   }
 
-  /** Events that concern this target now. */
-  private listTouching(kind: IScenarioEvent['kind']): readonly IScenarioEvent[] {
+  /** Events of a kind that affect this target now. */
+  private listAffectingEvents(kind: IScenarioEvent['kind']): readonly IScenarioEvent[] {
     const { clock, scenario, service } = this.options;
     const events = listEvents(scenario, kind, service.name, clock.getMonotonicTime());
-    return events.filter((event) => this.isTouchedBy(event));
+    return events.filter((event) => this.isAffectedBy(event));
   }
 
-  private isTouchedBy({ kind, service: only, share = 0 }: IScenarioEvent): boolean {
+  private isAffectedBy({ kind, service: eventService, share = 0 }: IScenarioEvent): boolean {
     const { index, service } = this.options;
-    if (only !== undefined && only !== service.name) return false;
-    // Slow ones from the first, others from the last: a slow target and a lost one are different.
+    if (eventService !== undefined && eventService !== service.name) return false;
+    // Slow targets are counted from the first and others from the last, so that a slow target and a
+    // crashed one differ.
     const position = kind === 'slow' ? index : service.targets - 1 - index;
     return position < share * service.targets;
   }
--- a/packages/lab/src/experiment/common/modelledTransport.ts
+++ b/packages/lab/src/experiment/common/modelledTransport.ts
@@ -1,29 +1,28 @@
-/** The connections of one node to modelled targets. */
+/** Transport of one node to modelled targets, on simulated time. */
 import type { Clock, IDisposable, RandomSource } from '@parsleymux/base';
 import type { Header, ISendOptions, ITargetResponse, ITargetRequest } from '@parsleymux/routing';
 import { TargetTransport, TransportError, TransportFailure } from '@parsleymux/routing';
 import type { FleetObserver } from './fleetObserver.js';
 import type { ICrashingRequest } from './scenario.js';
-import type { IModelledAnswer, ModelledTarget } from './modelledTarget.js';
+import type { IModelledResponse, ModelledTarget } from './modelledTarget.js';
 
 /** Header that carries the request's identifier. */
 export const ID_HEADER = 'x-id';
-/** Header that carries how long work on the request takes at a target of usual speed, in ms. */
+/** Header that carries the work of the request, in ms at a target that isn't slowed. */
 export const WORK_HEADER = 'x-work-ms';
-/** Header that names what the request does to the target that runs it, see {@link ICrashingRequest}. */
+/** Header that carries the name of the {@link ICrashingRequest}, if the request is one. */
 export const CRASH_HEADER = 'x-crash';
-/** Header that carries the size of the answer, in bytes. */
+/** Header that carries the size of the response, in bytes. */
 export const SIZE_HEADER = 'x-answer-bytes';
-
-/** Header that carries when the caller sent the request, in ms of the run. */
+/** Header that carries the time at which the caller sent the request, in ms of the run. */
 export const SENT_HEADER = 'x-sent-ms';
 
 const OK = 200;
 const MS_PER_S = 1000;
 const CONNECT_MS = 1;
-const WAY_MS = 0.5;
-/** A kept connection is used again within this time, in ms: targets close idle ones a little later. */
-const IDLE_MS = 8500;
+const ONE_WAY_DELAY_MS = 0.5;
+/** Idle connections are reused within this time, in ms; targets close them a little later. */
+const IDLE_TIMEOUT_MS = 8500;
 
 /** Options of a {@link ModelledTransport}. */
 export interface IModelledTransportOptions {
@@ -31,18 +30,18 @@
   readonly random: RandomSource;
   readonly targets: ReadonlyMap<string, ModelledTarget>;
   readonly observer: FleetObserver;
-  /** Names this process of the node, for what targets have told it. */
+  /** Identifies this process of the node in the notices that targets send it. */
   readonly node: string;
   readonly crashingRequests: readonly ICrashingRequest[];
-  /** Whether a target stands in another failure domain than the node. */
-  readonly isFar: (target: ModelledTarget) => boolean;
+  /** Whether a target is in another failure domain than the node. */
+  readonly isInOtherDomain: (target: ModelledTarget) => boolean;
 }
 
-/** Counts connections as a node does, and drops them as its pools do. */
+/** Sends to modelled targets and models the node's pools of idle connections. */
 export class ModelledTransport extends TargetTransport {
-  opened = 0;
-  /** Bytes of answers from targets of other failure domains. */
-  crossedBytes = 0;
+  openedConnections = 0;
+  /** Size of all responses from targets of other failure domains, in bytes. */
+  crossDomainBytes = 0;
   private readonly idle = new Map<string, number[]>();
   private readonly startedMs: number;
 
@@ -54,13 +53,13 @@
   override async send(request: ITargetRequest, options: ISendOptions): Promise<ITargetResponse> {
     const { clock, targets } = this.options;
     const target = targets.get(request.target);
-    if (target === undefined) throw new Error(`there is no target ${request.target}`);
+    if (target === undefined) throw new Error(`target "${request.target}" does not exist`);
     if (target.isDown()) {
       this.idle.delete(request.target);
       throw makeError(TransportFailure.Connect, false);
     }
     if (options.freshConnection === true || !this.takeIdle(request.target)) {
-      this.opened += 1;
+      this.openedConnections += 1;
       await clock.sleep(CONNECT_MS);
     }
     const startMs = clock.getMonotonicTime();
@@ -72,7 +71,7 @@
     this.storeIdle(request.target);
     const latencyMs = clock.getMonotonicTime() - startMs;
     const body = new Uint8Array(status === OK ? Number(getHeader(request, SIZE_HEADER)) : 0);
-    if (this.options.isFar(target)) this.crossedBytes += body.byteLength;
+    if (this.options.isInOtherDomain(target)) this.crossDomainBytes += body.byteLength;
     const headers: Header[] =
       waitMs === undefined ? [] : [['retry-after', String(waitMs / MS_PER_S)]];
     return { status, notRun, latencyMs, body, headers, draining, rateLimit };
@@ -84,7 +83,7 @@
 
   override hasIdleConnection(_member: string, target: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
-    return (this.idle.get(target) ?? []).some((atMs) => nowMs - atMs < IDLE_MS);
+    return (this.idle.get(target) ?? []).some((atMs) => nowMs - atMs < IDLE_TIMEOUT_MS);
   }
 
   override getConnectionCount(_member: string, target: string): number {
@@ -95,7 +94,7 @@
     target: ModelledTarget,
     request: ITargetRequest,
     signal: AbortSignal,
-  ): Promise<IModelledAnswer> {
+  ): Promise<IModelledResponse> {
     const { clock, crashingRequests, observer, random } = this.options;
     const { startedMs } = this;
     const { node } = this.options;
@@ -120,15 +119,15 @@
         fail(TransportFailure.Timeout);
       });
       signal.addEventListener('abort', onAbort, { once: true });
-      clock.startTimer(WAY_MS, () => {
+      clock.startTimer(ONE_WAY_DELAY_MS, () => {
         if (signal.aborted) return;
         const nowMs = clock.getMonotonicTime();
         observer.recordArrival(service.name, requestId, targetId, nowMs);
-        const life = `${targetId}/${target.life}`;
+        const incarnation = `${targetId}/${target.incarnation}`;
         observer.recordNodeArrival({
           node,
           service: service.name,
-          target: life,
+          target: incarnation,
           sentMs,
           atMs: nowMs,
           ratePerS: target.getRateLimit(),
@@ -138,21 +137,21 @@
           workMs,
           luck: random.getFloat(),
           crash,
-          answer: (answer) => {
-            clock.startTimer(WAY_MS, () => {
+          respond: (response) => {
+            clock.startTimer(ONE_WAY_DELAY_MS, () => {
               void timeout.dispose();
               signal.removeEventListener('abort', onAbort);
-              const told = { node, target: life, atMs: clock.getMonotonicTime() };
-              if (answer.draining) observer.recordToldDraining(told);
-              if (answer.waitMs !== undefined) observer.recordToldWait(told, answer.waitMs);
-              if (answer.rateLimit !== undefined) observer.recordNamedLimit(told);
-              resolve(answer);
+              const pair = { node, target: incarnation, atMs: clock.getMonotonicTime() };
+              if (response.draining) observer.recordDrainingNotice(pair);
+              if (response.waitMs !== undefined) observer.recordWaitNotice(pair, response.waitMs);
+              if (response.rateLimit !== undefined) observer.recordAdvertisedLimit(pair);
+              resolve(response);
             });
           },
           onCrash: () => {
             observer.recordCrash(crashName, clock.getMonotonicTime());
           },
-          breakOff: () => {
+          onConnectionLost: () => {
             fail(TransportFailure.Broken);
           },
         });
@@ -162,10 +161,10 @@
 
   private takeIdle(target: string): boolean {
     const nowMs = this.options.clock.getMonotonicTime();
-    const fresh = (this.idle.get(target) ?? []).filter((atMs) => nowMs - atMs < IDLE_MS);
-    const isThere = fresh.pop() !== undefined;
+    const fresh = (this.idle.get(target) ?? []).filter((atMs) => nowMs - atMs < IDLE_TIMEOUT_MS);
+    const hasIdle = fresh.pop() !== undefined;
     this.idle.set(target, fresh);
-    return isThere;
+    return hasIdle;
   }
 
   private storeIdle(target: string): void {
--- a/packages/lab/src/load/common/verdict.ts
+++ b/packages/lab/src/load/common/outcomeComparison.ts
@@ -1,43 +1,43 @@
 /**
- * Compares what callers were told with what the targets executed. This is the outside view of
- * three promises: at most once, truthful refusals, whole answers.
+ * Compares the outcomes that callers received with the executions of targets. This verifies three
+ * guarantees end to end: at-most-once execution, truthful refusals and complete responses.
  */
 import { RunState } from '@parsleymux/base';
 import type { IExecution } from '@parsleymux/standins';
 import type { IAttemptRecord, IRequestRecord } from './requestRecord.js';
 import { AttemptOutcome, getFinalAttempt } from './requestRecord.js';
 
-/** One broken promise, with enough to find the request in the logs. */
+/** A violated guarantee, with the identifier that finds the request in the logs. */
 export interface IFinding {
   readonly promise: string;
   readonly requestId: string;
   readonly detail: string;
 }
 
-/** The outcome of a comparison. */
-export interface IVerdict {
+/** Result of a comparison. */
+export interface IOutcomeComparison {
   readonly requests: number;
   readonly executions: number;
-  /** Non-idempotent requests that were answered whole. */
+  /** Non-idempotent requests with a complete response. */
   readonly bookingsDone: number;
   readonly bookings: number;
-  /** Refusals as "not run" that were compared. */
+  /** Requests whose refusals as "not run" were compared. */
   readonly notRunChecked: number;
   readonly findings: readonly IFinding[];
 }
 
 /**
- * Compares all records with all executions. Call it when the load has ended and the targets
- * have come to rest.
+ * Compares all records with all executions. Call it after the load has ended and the targets run no
+ * more requests.
  *
  * @example
- * const verdict = compareOutcomes(records, executions);
- * if (verdict.findings.length > 0) process.exitCode = 1;
+ * const comparison = compareOutcomes(records, executions);
+ * if (comparison.findings.length > 0) process.exitCode = 1;
  */
 export function compareOutcomes(
   records: readonly IRequestRecord[],
   executions: readonly IExecution[],
-): IVerdict {
+): IOutcomeComparison {
   const byRequest = new Map<string, IExecution[]>();
   for (const execution of executions) {
     const known = byRequest.get(execution.requestId);
@@ -45,7 +45,7 @@
     else known.push(execution);
   }
   const findings = records.flatMap((record) => {
-    return findBroken(record, byRequest.get(record.request.requestId) ?? []);
+    return findViolations(record, byRequest.get(record.request.requestId) ?? []);
   });
   const bookings = records.filter(({ request }) => !request.workload.idempotent);
   return {
@@ -53,8 +53,8 @@
     executions: executions.length,
     bookings: bookings.length,
     bookingsDone: bookings.filter(isAnswered).length,
-    notRunChecked: records.filter((record) => countNotRunPrefix(record) > 0).length,
-    findings: [...findings, ...findDoubleKeys(executions, bookings)],
+    notRunChecked: records.filter((record) => countLeadingNotRun(record) > 0).length,
+    findings: [...findings, ...findRepeatedExecutions(executions, bookings)],
   };
 }
 
@@ -62,7 +62,7 @@
   return getFinalAttempt(record.attempts)?.outcome === AttemptOutcome.Answered;
 }
 
-function findBroken(record: IRequestRecord, executions: readonly IExecution[]): IFinding[] {
+function findViolations(record: IRequestRecord, executions: readonly IExecution[]): IFinding[] {
   const { requestId } = record.request;
   const findings: IFinding[] = [];
   for (const { outcome, node, code } of record.attempts) {
@@ -85,13 +85,13 @@
   return findings;
 }
 
-/** Attempts that reached a node. */
+/** Attempts that were sent to a node. */
 function getSentAttempts(record: IRequestRecord): readonly IAttemptRecord[] {
   return record.attempts.filter(({ outcome }) => outcome !== AttemptOutcome.NotSent);
 }
 
-/** Sent attempts from the first on that were all refused as not run. */
-function countNotRunPrefix(record: IRequestRecord): number {
+/** Number of sent attempts, from the first on, that were refused as not run. */
+function countLeadingNotRun(record: IRequestRecord): number {
   const sent = getSentAttempts(record);
   const first = sent.findIndex(({ outcome, runState }) => {
     return outcome !== AttemptOutcome.Refused || runState !== RunState.NotRun;
@@ -100,16 +100,16 @@
 }
 
 /**
- * Only attempts before the first of another outcome are judged: once an attempt may have run,
- * an execution that is seen later can be that one's, and a further "not run" speaks of its own
- * attempt alone. An execution counts against the refusals if it began before the next attempt
- * was sent, or at any time when no other attempt followed.
+ * Finds an execution that contradicts refusals as "not run". Only attempts before the first one with
+ * another outcome are checked: once an attempt may have run, a later execution can belong to it, and
+ * a further "not run" applies to its own attempt alone. An execution contradicts the refusals if it
+ * started before the next attempt was sent, or at any time if no other attempt followed.
  */
 function findFalseNotRun(
   record: IRequestRecord,
   executions: readonly IExecution[],
 ): string | undefined {
-  const prefix = countNotRunPrefix(record);
+  const prefix = countLeadingNotRun(record);
   const sent = getSentAttempts(record);
   const last = sent[prefix - 1];
   if (last === undefined) return undefined;
@@ -119,7 +119,7 @@
   return `refused as not run with code ${last.code} by ${last.node}, executed by ${early.target}`;
 }
 
-function findDoubleKeys(
+function findRepeatedExecutions(
   executions: readonly IExecution[],
   bookings: readonly IRequestRecord[],
 ): IFinding[] {
--- a/packages/lab/src/load/node/loadGenerator.ts
+++ b/packages/lab/src/load/node/loadGenerator.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop load: requests arrive when they arrive, however slow the fleet is. A closed loop
- * would slow down with the fleet and hide the very delays that are to be measured.
+ * Open-loop load generator: arrivals don't depend on the fleet's latency. A closed loop would slow
+ * down with the fleet and hide the delays that are to be measured.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IDisposable } from '@parsleymux/base';
@@ -14,13 +14,13 @@
 
 const MAX_RETRY_WAIT_MS = 1500;
 const RETRY_WAIT_MS = 100;
-/** Twins come while the first attempt is queued, claimed, dispatched or answered. */
-const LONGEST_TWIN_WAIT_MS = 60;
-const HIGHEST_LATENCY_MS = 120_000;
+/** Duplicates arrive while the first attempt is queued, claimed, dispatched or answered, in ms. */
+const MAX_DUPLICATE_DELAY_MS = 60;
+const MAX_LATENCY_MS = 120_000;
 
 /** Chooses the node for an attempt, as the platform's balancer does. */
 export abstract class Balancer {
-  /** Caller address of a node that is taken for ready, or undefined when there is none. */
+  /** Caller address of a node that is considered ready, or undefined if there is none. */
   abstract pick(): string | undefined;
 }
 
@@ -31,18 +31,18 @@
   readonly seed: number;
 }
 
-/** Latencies of the requests that ended one way. */
+/** Latencies of the requests with one outcome. */
 export interface IOutcomeSummary {
-  /** Outcome of the last attempt, with the result code when one came. */
+  /** Outcome of the deciding attempt, with the result code if there is one. */
   readonly outcome: string;
   readonly count: number;
-  /** From the first attempt to the end, retries and waits included, in ms. */
+  /** Time from the first attempt to the end, retries and waits included, in ms. */
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
 /**
- * Callers of several workloads.
+ * Generates the load of several workloads and records every request.
  *
  * @example
  * const load = new LoadGenerator({ workloads, balancer, seed: 1 });
@@ -66,7 +66,7 @@
     this.runId = `${options.seed.toString(36)}-${Date.now().toString(36)}`;
   }
 
-  /** Lets requests arrive until {@link stop}. */
+  /** Starts the arrivals, which continue until {@link stop}. */
   start(): void {
     this.isRunning = true;
     this.options.workloads.forEach((workload, index) => {
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Ends the arrivals and waits until every request has ended. */
+  /** Stops the arrivals and waits until every request has ended. */
   async stop(): Promise<void> {
     this.isRunning = false;
     for (const timer of this.timers) clearTimeout(timer);
@@ -110,7 +110,7 @@
       .sort((left, right) => right.count - left.count);
   }
 
-  /** Each arrival is due after the former one's due time, so that a late timer loses none. */
+  /** Schedules each arrival relative to the due time of the previous one, so a late timer loses none. */
   private startStream(workload: IWorkload, random: SeededRandom, lastDueMs: number): void {
     const dueMs = lastDueMs + random.getExponential(1000 / workload.perSecond);
     const timer = setTimeout(
@@ -137,7 +137,7 @@
       body: Buffer.from(text.padEnd(workload.bodyBytes, '.')),
       twinAfterMs:
         random.getFloat() < workload.twinShare
-          ? random.getInteger(LONGEST_TWIN_WAIT_MS)
+          ? random.getInteger(MAX_DUPLICATE_DELAY_MS)
           : undefined,
     };
   }
@@ -150,7 +150,7 @@
   private async runRequest(request: ICallerRequest): Promise<void> {
     const startMs = performance.now();
     const attempts: IAttemptRecord[] = [];
-    await Promise.all([this.runAttempts(request, attempts), this.runTwin(request, attempts)]);
+    await Promise.all([this.runAttempts(request, attempts), this.runDuplicate(request, attempts)]);
     attempts.sort((left, right) => left.sentAtMs - right.sentAtMs);
     this.records.push({ request, attempts });
     this.recordOutcome(getFinalAttempt(attempts), performance.now() - startMs);
@@ -162,12 +162,12 @@
       const node = this.options.balancer.pick();
       const last = node === undefined ? undefined : await this.caller.send(node, request);
       if (last !== undefined) attempts.push(last);
-      if (!isWorthRetry(last) || count === maxAttempts) return;
-      await sleep(getWaitMs(count));
+      if (!isRetryable(last) || count === maxAttempts) return;
+      await sleep(getRetryDelayMs(count));
     }
   }
 
-  private async runTwin(request: ICallerRequest, attempts: IAttemptRecord[]): Promise<void> {
+  private async runDuplicate(request: ICallerRequest, attempts: IAttemptRecord[]): Promise<void> {
     if (request.twinAfterMs === undefined) return;
     await sleep(request.twinAfterMs);
     const node = this.options.balancer.pick();
@@ -178,15 +178,15 @@
     const name = formatOutcome(last);
     const histogram = this.histograms.get(name) ?? makeHistogram();
     this.histograms.set(name, histogram);
-    histogram.recordValue(Math.min(Math.round(latencyMs), HIGHEST_LATENCY_MS));
+    histogram.recordValue(Math.min(Math.round(latencyMs), MAX_LATENCY_MS));
   }
 }
 
-function isWorthRetry(last: IAttemptRecord | undefined): boolean {
+function isRetryable(last: IAttemptRecord | undefined): boolean {
   return last?.outcome !== AttemptOutcome.Answered;
 }
 
-function getWaitMs(attempts: number): number {
+function getRetryDelayMs(attempts: number): number {
   return Math.min(MAX_RETRY_WAIT_MS, RETRY_WAIT_MS * 2 ** attempts);
 }
 
@@ -197,5 +197,5 @@
 }
 
 function makeHistogram(): Histogram {
-  return build({ highestTrackableValue: HIGHEST_LATENCY_MS, numberOfSignificantValueDigits: 3 });
+  return build({ highestTrackableValue: MAX_LATENCY_MS, numberOfSignificantValueDigits: 3 });
 }
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -1,4 +1,4 @@
-/** Collects figures while a trace is replayed. */
+/** Collects measurements while a trace is replayed. */
 import { MuxError } from '@parsleymux/base';
 import type { IResponse, IHealthStatusChange } from '@parsleymux/routing';
 import { HealthStatus } from '@parsleymux/routing';
@@ -8,20 +8,23 @@
 import type { IDetectionResult } from './replayResult.js';
 
 const FIRST_SERVER_ERROR = 500;
-/** What was under way when a fault ended can still lead to an ejection, for so long. */
-const FAULT_TAIL_MS = 2000;
-const AGAINST: ReadonlySet<HealthStatus> = new Set([HealthStatus.Suspect, HealthStatus.Ejected]);
-const PROLONGING: ReadonlySet<string> = new Set(['failed its trial']);
+/** Requests pending at the end of a fault can cause an ejection for this long after it, in ms. */
+const FAULT_GRACE_MS = 2000;
+const REMOVING_STATUSES: ReadonlySet<HealthStatus> = new Set([
+  HealthStatus.Suspect,
+  HealthStatus.Ejected,
+]);
+const PROLONGING_REASONS: ReadonlySet<string> = new Set(['failed its trial']);
 /**
- * Without a dispatch for this long a target counts as given no work, in ms: longer than any
- * deadline, since a target whose slots are all held by stuck requests gets nothing new either.
+ * A target without a dispatch for this long counts as out of use, in ms. Longer than any deadline,
+ * since a target whose slots are all held by stuck requests receives no new ones either.
  */
 const NO_TRAFFIC_MS = 9000;
 const MS_PER_HOUR = 3_600_000;
-/** Histograms hold integers. */
-const MICROSECONDS = 1000;
+/** Histograms record integers, so latencies are recorded in microseconds. */
+const MICROSECONDS_PER_MS = 1000;
 
-/** Figures in the making. */
+/** Records responses, dispatches and changes of health status, and summarizes them. */
 export class ReplayRecorder {
   requests = 0;
   errors = 0;
@@ -29,7 +32,7 @@
   faultErrors = 0;
   othersRequests = 0;
   othersErrors = 0;
-  goodWorkMs = 0;
+  successfulWorkMs = 0;
   readonly refusals: Record<string, number> = {};
   private readonly othersLatencies = hdr.build({ highestTrackableValue: 120_000_000 });
   private readonly latencies = hdr.build({ highestTrackableValue: 120_000_000 });
@@ -38,19 +41,19 @@
 
   constructor(private readonly trace: ITrace) {}
 
-  recordAnswer(request: ITraceRequest, answer: IResponse, latencyMs: number): void {
-    const isError = answer.status >= FIRST_SERVER_ERROR;
+  recordResponse(request: ITraceRequest, response: IResponse, latencyMs: number): void {
+    const isError = response.status >= FIRST_SERVER_ERROR;
     this.count(request, isError);
-    if (isError) this.countRefusal(String(answer.code));
-    else this.latencies.recordValue(Math.round(latencyMs * MICROSECONDS));
+    if (isError) this.countRefusal(String(response.code));
+    else this.latencies.recordValue(Math.round(latencyMs * MICROSECONDS_PER_MS));
     if (isError || !this.isDuringFault(request.atMs)) return;
-    this.goodWorkMs += request.workMs;
+    this.successfulWorkMs += request.workMs;
     if (request.caller === FLOODER) return;
-    this.othersLatencies.recordValue(Math.round(latencyMs * MICROSECONDS));
+    this.othersLatencies.recordValue(Math.round(latencyMs * MICROSECONDS_PER_MS));
   }
 
   recordError(request: ITraceRequest, error: unknown): void {
-    // A caller that hangs up gets no answer, and is no error of ours.
+    // A caller that disconnects gets no response, which isn't an error of the fleet.
     if (request.hangUpMs !== undefined) return;
     this.count(request, true);
     this.countRefusal(error instanceof MuxError ? String(error.code) : String(error));
@@ -66,14 +69,14 @@
     this.changes.push(change);
   }
 
-  /** The `percentile` of the latencies of successes, in ms. */
+  /** The `percentile` of the latencies of successful requests, in ms. */
   getLatency(percentile: number): number {
-    return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS;
+    return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
-  /** The same for callers other than the one that floods, during the surge. */
+  /** The same for callers other than the flooding one, during the fault or surge. */
   getOthersLatency(percentile: number): number {
-    return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS;
+    return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
   summarizeDetection(): IDetectionResult {
@@ -83,28 +86,30 @@
       falseEjections: this.countFalseEjections(),
       demotions: this.countDemotions(),
       targetHours: (header.service.targets.length * header.durationMs) / MS_PER_HOUR,
-      slotsOverFloor: this.computeLowestSlots() - header.service.floorSlots,
+      slotsOverFloor: this.computeMinSlots() - header.service.floorSlots,
     };
   }
 
   private listDetections(): readonly (number | undefined)[] {
-    const firsts = new Map<string, ITraceFault>();
+    const firstFaults = new Map<string, ITraceFault>();
     for (const fault of this.trace.faults) {
-      if (fault.verdict === 'eject' && !firsts.has(fault.target)) firsts.set(fault.target, fault);
+      if (fault.verdict === 'eject' && !firstFaults.has(fault.target))
+        firstFaults.set(fault.target, fault);
     }
-    return [...firsts.values()].map((fault) => this.measureDetection(fault));
+    return [...firstFaults.values()].map((fault) => this.measureDetection(fault));
   }
 
   /**
-   * Time from the fault's beginning until the target gets no more work by decision: the later of
-   * the first decision against it and the last dispatch before a long silence. The last dispatch
-   * alone flatters a home that does nothing: slots full of stuck requests let nothing new through.
+   * Time from the start of the fault until the target is out of use by decision, in ms: the later
+   * of the first decision against it and the last dispatch before a long gap. The last dispatch
+   * alone would credit a home that does nothing, since stuck requests that hold all slots also stop
+   * new dispatches.
    */
   private measureDetection(fault: ITraceFault): number | undefined {
-    const endMs = this.findLastEnd(fault.target);
+    const endMs = this.findLastFaultEnd(fault.target);
     const decision = this.changes.find((change) => {
-      const isOwn = change.target === fault.target && AGAINST.has(change.standing);
-      return isOwn && change.atMs >= fault.atMs && change.atMs < endMs;
+      const isAgainst = change.target === fault.target && REMOVING_STATUSES.has(change.standing);
+      return isAgainst && change.atMs >= fault.atMs && change.atMs < endMs;
     });
     if (decision === undefined) return undefined;
     const times = this.dispatches.get(fault.target) ?? [];
@@ -116,13 +121,13 @@
     return endMs - lastMs >= NO_TRAFFIC_MS ? lastMs - fault.atMs : undefined;
   }
 
-  private findLastEnd(target: string): number {
+  private findLastFaultEnd(target: string): number {
     const faults = this.trace.faults.filter((fault) => fault.target === target);
     return Math.max(...faults.map((fault) => fault.untilMs));
   }
 
   private countFalseEjections(): number {
-    return this.changes.filter((change) => isRemoval(change) && this.isFalse(change)).length;
+    return this.changes.filter((change) => isRemoval(change) && this.isUnjustified(change)).length;
   }
 
   private countDemotions(): number {
@@ -130,35 +135,35 @@
     const demoted = new Set<string>();
     for (const change of this.changes) {
       const isDemotion = change.standing === HealthStatus.Suspect;
-      if (isDemotion && !demoted.has(change.target) && this.isFalse(change)) count += 1;
+      if (isDemotion && !demoted.has(change.target) && this.isUnjustified(change)) count += 1;
       if (isDemotion) demoted.add(change.target);
       else demoted.delete(change.target);
     }
     return count;
   }
 
-  private isFalse(change: IHealthStatusChange): boolean {
-    const excuse = this.trace.faults.find((fault) => {
-      const isNear = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_TAIL_MS;
-      return fault.target === change.target && fault.verdict !== 'keep' && isNear;
+  private isUnjustified(change: IHealthStatusChange): boolean {
+    const justification = this.trace.faults.find((fault) => {
+      const isDuring = change.atMs >= fault.atMs && change.atMs < fault.untilMs + FAULT_GRACE_MS;
+      return fault.target === change.target && fault.verdict !== 'keep' && isDuring;
     });
-    // A failed trial prolongs an ejection that was counted when it began.
-    return excuse === undefined && !PROLONGING.has(change.reason);
+    // A failed trial prolongs an ejection that has already been counted.
+    return justification === undefined && !PROLONGING_REASONS.has(change.reason);
   }
 
-  /** Slots that the home itself leaves in use; what the trace takes away is not its doing. */
-  private computeLowestSlots(): number {
+  /** Lowest number of slots that the home left in use; faults of the trace don't count. */
+  private computeMinSlots(): number {
     const { slotsPerTarget, targets } = this.trace.header.service;
     const out = new Set<string>();
-    let lowest = targets.length;
+    let minTargets = targets.length;
     for (const change of this.changes) {
       const isOut =
         change.standing === HealthStatus.Ejected || change.standing === HealthStatus.Trial;
       if (isOut) out.add(change.target);
       else out.delete(change.target);
-      lowest = Math.min(lowest, targets.length - out.size);
+      minTargets = Math.min(minTargets, targets.length - out.size);
     }
-    return lowest * slotsPerTarget;
+    return minTargets * slotsPerTarget;
   }
 
   private count(request: ITraceRequest, isError: boolean): void {
@@ -182,7 +187,7 @@
   }
 }
 
-/** Out of use: ejected, or known to be beyond this home's reach. */
+/** Whether the change takes the target out of use: ejected, or unreachable from this home. */
 function isRemoval(change: IHealthStatusChange): boolean {
   if (change.standing === HealthStatus.Ejected) return true;
   return change.standing === HealthStatus.Suspect && change.reason.startsWith('cut off');
--- a/packages/lab/src/trace/common/traceGenerator.ts
+++ b/packages/lab/src/trace/common/traceGenerator.ts
@@ -1,10 +1,10 @@
-/** Makes traces from scenarios, members' profiles and a seed. */
+/** Generates traces from scenarios, members' profiles and a seed. */
 import type { RandomSource } from '@parsleymux/base';
 import { hashToInteger, SeededRandom } from '@parsleymux/base';
 import { sampleServiceTime } from '@parsleymux/standins';
 import type { IMemberProfile } from './members.js';
-import { computeFloor, computeMeanWork, countSlots, PROFILES } from './members.js';
-import type { IScenario, TargetChoice } from './scenarios.js';
+import { computeFloor, computeMeanWork, countSlots, MEMBER_PROFILES } from './members.js';
+import type { ITraceScenario, TargetChoice } from './scenarios.js';
 import { MAX_SHIFT_MS, SCENARIOS } from './scenarios.js';
 import type {
   ITrace,
@@ -19,34 +19,34 @@
 const WORK_SIGMA = 0.5;
 const BURST_MS = 200;
 const BURST_LOSS_SHARE = 0.6;
-const HANG_UP_MS = 30;
-/** The one caller that floods. */
+const DISCONNECT_AFTER_MS = 30;
+/** Name of the caller that sends the load above the normal one. */
 export const FLOODER = 'flooder';
 
-/** Names of all traces: member and scenario. */
+/** Names of all built-in traces: member and scenario. */
 export function listTraceNames(): readonly string[] {
-  return PROFILES.flatMap((profile) => {
+  return MEMBER_PROFILES.flatMap((profile) => {
     return SCENARIOS.map((scenario) => `${profile.member}-${scenario.name}`);
   });
 }
 
 /**
- * Generates a trace of the library by name. Throws when there is none of that name.
+ * Generates a built-in trace by name. Throws if no trace has that name.
  *
  * @example
  * const trace = buildTrace('dobrescu-fail-20', 1);
  */
 export function buildTrace(name: string, seed: number): ITrace {
-  for (const profile of PROFILES) {
+  for (const profile of MEMBER_PROFILES) {
     for (const scenario of SCENARIOS) {
       if (`${profile.member}-${scenario.name}` === name) return buildFrom(profile, scenario, seed);
     }
   }
-  throw new Error(`there is no trace "${name}"`);
+  throw new Error(`trace "${name}" does not exist`);
 }
 
-/** Generates a trace from parameters. */
-export function buildFrom(profile: IMemberProfile, template: IScenario, seed: number): ITrace {
+/** Generates a trace of a member and a scenario. */
+export function buildFrom(profile: IMemberProfile, template: ITraceScenario, seed: number): ITrace {
   const name = `${profile.member}-${template.name}`;
   const random = new SeededRandom(hashToInteger(name, seed));
   const scenario = resolveShift(template, MAX_SHIFT_MS * random.getFloat());
@@ -58,8 +58,8 @@
   };
 }
 
-/** The scenario with everything that goes wrong beginning later by `shiftMs`. */
-function resolveShift(scenario: IScenario, shiftMs: number): IScenario {
+/** Returns the scenario with its faults and surge shifted later by `shiftMs`. */
+function resolveShift(scenario: ITraceScenario, shiftMs: number): ITraceScenario {
   const shift = <T extends ITraceWindow>(part: T): T => ({
     ...part,
     fromMs: toMicroseconds(part.fromMs + shiftMs),
@@ -81,7 +81,7 @@
 
 function buildHeader(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   seed: number,
   targets: readonly ITraceTarget[],
 ): ITraceHeader {
@@ -105,8 +105,8 @@
   };
 }
 
-/** From the first beginning to the last end of what the scenario is about. */
-function findWindow(scenario: IScenario): ITraceWindow | undefined {
+/** Period from the first start to the last end of the scenario's surge or faults. */
+function findWindow(scenario: ITraceScenario): ITraceWindow | undefined {
   const parts = scenario.surge === undefined ? scenario.faults : [scenario.surge];
   if (parts.length === 0) return undefined;
   return {
@@ -115,10 +115,10 @@
   };
 }
 
-/** Poisson arrivals at the rate that keeps the wished share of the slots busy. */
+/** Poisson arrivals at the rate that keeps the given share of the slots busy. */
 function buildRequests(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   random: RandomSource,
 ): readonly ITraceRequest[] {
   const requests: ITraceRequest[] = [];
@@ -138,7 +138,7 @@
 
 function buildRequest(
   profile: IMemberProfile,
-  scenario: IScenario,
+  scenario: ITraceScenario,
   random: RandomSource,
   arrival: Pick<ITraceRequest, 'atMs' | 'caller'>,
 ): ITraceRequest {
@@ -148,7 +148,7 @@
     readMs: profile.readDeadlineMs,
     bookMs: profile.bookDeadlineMs,
   };
-  const isHangUp = random.getFloat() < (scenario.hangUpShare ?? 0);
+  const isEarlyDisconnect = random.getFloat() < (scenario.hangUpShare ?? 0);
   return {
     kind: 'request',
     atMs: toMicroseconds(arrival.atMs),
@@ -156,12 +156,12 @@
     route: isBook ? 'book' : 'read',
     workMs: toMicroseconds(sampleServiceTime(random, meanMs, WORK_SIGMA)),
     deadlineMs: isBook ? deadlines.bookMs : deadlines.readMs,
-    ...(isHangUp ? { hangUpMs: HANG_UP_MS } : {}),
+    ...(isEarlyDisconnect ? { hangUpMs: DISCONNECT_AFTER_MS } : {}),
   };
 }
 
 function buildFaults(
-  scenario: IScenario,
+  scenario: ITraceScenario,
   targets: readonly ITraceTarget[],
 ): readonly ITraceFault[] {
   return scenario.faults.flatMap((fault) => {
@@ -185,9 +185,9 @@
   return targets.filter((target) => target.failureDomain === targets[0]?.failureDomain);
 }
 
-/** Steady loss on every link, and now and then a burst of it on one. */
+/** Steady loss on every link, with occasional bursts of loss on single links. */
 function buildLinkFaults(
-  scenario: IScenario,
+  scenario: ITraceScenario,
   targets: readonly ITraceTarget[],
   random: RandomSource,
 ): readonly ITraceFault[] {
@@ -214,7 +214,7 @@
   return faults;
 }
 
-/** Rounded to the microsecond, so that traces stay short. */
+/** Rounds to microseconds, which keeps trace files small. */
 function toMicroseconds(valueMs: number): number {
   return Math.round(1000 * valueMs) / 1000;
 }
