--- a/packages/dispatch/src/grants/common/homeSelector.ts
+++ b/packages/dispatch/src/grants/common/homeSelector.ts
@@ -181,7 +181,7 @@
         home,
         target: decision.targetId,
         isKnown: target !== undefined,
-        isSameIncarnation,
+        isSameLife: isSameIncarnation,
       });
       return { kind: 'unusable-target', id: decision.targetId };
     }
