--- a/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.test.ts
@@ -50,13 +50,13 @@
     const channel = network.open(address);
     const random = new SeededRandom(1);
     const listMembers = () => ['a', 'b', 'c'];
-    const gossip = new QuarantineSharing({ channel, quarantine, clock, random, listMembers });
+    const sharing = new QuarantineSharing({ channel, quarantine, clock, random, listMembers });
     channel.setHandler((_sender, body) => {
-      if (body.case === 'quarantine') gossip.handleQuarantine(body.value);
+      if (body.case === 'quarantine') sharing.handleQuarantine(body.value);
     });
     new QuarantinePersister({
       quarantine,
-      sharing: gossip,
+      sharing,
       store,
       clock,
       log,
--- a/packages/dispatch/src/quarantine/common/quarantinePersister.ts
+++ b/packages/dispatch/src/quarantine/common/quarantinePersister.ts
@@ -32,8 +32,9 @@
 }
 
 /**
- * If all nodes lose power at the same time, the decisions in their memory are gone, and the same request
- * would crash as many targets again. Decisions are rare, so each one is written. Calls to the store are
+ * Writes quarantine decisions to the store. Without it, the decisions would be lost if all nodes lose power
+ * at the same time, and the same request would crash as many targets again. Decisions are rare, so each one
+ * is written. Calls to the store are
  * billed, so only the node that follows the store for a failure domain reads them, once.
  *
  * @example
@@ -130,12 +131,12 @@
 
   /** Reads all records if that is due. Returns false if the call failed. */
   private async read(signal: AbortSignal): Promise<boolean> {
-    const { isReader, log, sharing: gossip, store } = this.options;
+    const { isReader, log, sharing, store } = this.options;
     if (!this.isReadDue() || !isReader()) return true;
     return this.tryCall('held requests not read', signal, async () => {
       const records = await store.readAll(signal);
       this.hasRead = true;
-      gossip.handleStoredRecords(records);
+      sharing.handleStoredRecords(records);
       log.info('held requests read', { count: records.length });
     });
   }
--- a/packages/dispatch/src/quarantine/common/quarantineSharing.ts
+++ b/packages/dispatch/src/quarantine/common/quarantineSharing.ts
@@ -8,10 +8,10 @@
 import { decodeRecord, encodeRecord } from './quarantineMessages.js';
 import type { RequestQuarantine } from './requestQuarantine.js';
 
-/** How often a node that tracks quarantined requests sends them to some peers, in ms. */
-const GOSSIP_INTERVAL_MS = 1000;
+/** Interval at which a node that tracks quarantined requests sends them to some peers, in ms. */
+const ROUND_INTERVAL_MS = 1000;
 /** Number of peers per round: each node receives two messages a second on average, at any fleet size. */
-const GOSSIP_FANOUT = 2;
+const PEERS_PER_ROUND = 2;
 /** Most records in one datagram, at up to about 250 bytes each. */
 const MAX_RECORDS = 4;
 
@@ -26,12 +26,13 @@
 }
 
 /**
- * A request that crashes targets may be repeated at any node and scheduled by any home. So the node that
- * observes a change immediately sends it to all others. Because datagrams get lost and nodes start later,
- * each node that tracks quarantined requests also keeps sending them to randomly chosen peers.
+ * Sends crash histories to the other nodes. A request that crashes targets may be repeated at any node and
+ * scheduled by any home, so the node that observes a change immediately sends it to all others. Because
+ * datagrams get lost and nodes start later, each node that tracks quarantined requests also sends them
+ * repeatedly to randomly chosen peers.
  *
  * @example
- * gossip.handleQuarantine(message);
+ * sharing.handleQuarantine(message);
  */
 export class QuarantineSharing implements IDisposable {
   private readonly changeListener: IDisposable;
@@ -70,7 +71,7 @@
   /** Schedules the next round. The timer stops when there is nothing to send, so an idle node isn't woken. */
   private startTimer(): void {
     if (this.timer !== undefined || this.isDisposed) return;
-    this.timer = this.options.clock.startTimer(GOSSIP_INTERVAL_MS, () => {
+    this.timer = this.options.clock.startTimer(ROUND_INTERVAL_MS, () => {
       this.timer = undefined;
       this.announceToRandomPeers();
     });
@@ -90,7 +91,7 @@
   private chooseRandomPeers(): readonly string[] {
     const others = this.listOthers();
     if (others.length === 0) return [];
-    return Array.from({ length: GOSSIP_FANOUT }, () => {
+    return Array.from({ length: PEERS_PER_ROUND }, () => {
       return others[this.options.random.getInteger(others.length)];
     }).flatMap((address) => address ?? []);
   }
