--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -225,7 +225,7 @@
   }
 
   async dispose(): Promise<void> {
-    this.background.abort(new Error('the node is stopping'));
+    this.background.abort(new Error('the node stops'));
     await this.loops;
     await this.store.dispose();
   }
--- a/packages/dispatch/src/directory/node/stateServer.ts
+++ b/packages/dispatch/src/directory/node/stateServer.ts
@@ -92,7 +92,7 @@
     signal: AbortSignal.timeout(FETCH_TIMEOUT_MS),
   });
   const bytes = await body.bytes();
-  if (statusCode !== OK) throw new VError('peer responded with status %d', statusCode);
+  if (statusCode !== OK) throw new VError('peer answered %d', statusCode);
   const message = fromBinary(FollowedChangesSchema, bytes);
   const { content } = decodeChanges(message);
   table.setAll(content, clock.getMonotonicTime() - message.ageMs);
