--- a/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
@@ -148,7 +148,7 @@
 
 test('without failures, requests that may be retried keep suspected targets in use', () => {
   // Guards against recovered targets that remain unused because other slots are free. If all nodes then
-  // lose power at once, most healthy targets have had no request.
+  // lose power together, most healthy targets have had no request.
   const used = makeTargetState('t1', 'healthy');
   const suspected = makeTargetState('t2', 'failing');
   const targets = [used, suspected];
@@ -193,12 +193,12 @@
   assert.equal(choose({ requestsPerTarget: 4 }), 't1', 'too few requests for probes');
 });
 
-test('of equal targets, the one with a kept connection is granted', () => {
+test('of equal targets, the one with an idle connection is granted', () => {
   const state = makeState([makeTargetState('t1', 'healthy'), makeTargetState('t2', 'healthy')]);
   assert.equal(getGranted(decide(state, { connected: ['t2'] })), 't2');
 });
 
-test('large responses stay in their failure domain, small ones may cross to a kept connection', () => {
+test('large responses stay in their failure domain, small ones may cross to an idle connection', () => {
   const targets = [makeTargetState('t1', 'healthy'), makeTargetState('t2', 'healthy', 0, 'south')];
   for (const [bytes, expected] of [
     [50_000, 't1'],
@@ -232,7 +232,7 @@
   const responseSizes = new ResponseSizes();
   responseSizes.record('orders', 8000);
   assert.equal(getGranted(decide(makeState(targets, { responseSizes }))), 't1');
-  const withoutCredit = new ExpectedCreditPolicy({ nearTrials: 0 });
+  const withoutCredit = new ExpectedCreditPolicy({ localProbeShare: 0 });
   const waiting = { request: makeRequest(), waitedMs: 0, ahead: 0 };
   assert.equal(
     getGranted(withoutCredit.decide(waiting, makeState(targets, { responseSizes }))),
