--- a/packages/dispatch/src/app/node/tenantComponents.ts
+++ b/packages/dispatch/src/app/node/tenantComponents.ts
@@ -23,7 +23,7 @@
  * Creates the components of a node that check keys and enforce quotas.
  *
  * @example
- * const tenants = new TenantParts({ clock, random, directory, getBounds });
+ * const tenants = new TenantComponents({ clock, random, directory, getBounds });
  * const homes = new HomeService({ admission: tenants.createAdmission(self), ... });
  */
 export class TenantComponents {
--- a/packages/dispatch/src/entry/common/entryResponse.ts
+++ b/packages/dispatch/src/entry/common/entryResponse.ts
@@ -40,7 +40,7 @@
  * Makes a response that the node generates itself, with a numbered result code.
  *
  * @example
- * makeOwnAnswer({ code: ResultCode.TargetTimeout, runState: RunState.MayHaveRun, attempts });
+ * makeLocalResponse({ code: ResultCode.TargetTimeout, runState: RunState.MayHaveRun, attempts });
  */
 export function makeLocalResponse(options: ILocalResponseOptions): IEntryResponse {
   const { attempts = [], code, retryAfterMs, runState } = options;
--- a/packages/dispatch/src/entry/common/pathHealth.ts
+++ b/packages/dispatch/src/entry/common/pathHealth.ts
@@ -16,10 +16,10 @@
 /**
  * A network partition between one node and a target is not visible to the home, so the node itself lists
  * such targets as excluded in its grant requests. The exclusion ends when the target restarts, since the new
- * incarnation may run elsewhere.
+ * incarnation may run on another host.
  *
  * @example
- * const excluded = paths.listBroken();
+ * const excluded = paths.listUnreachable();
  */
 export class PathHealth {
   private readonly unreachable = new Map<string, IUnreachablePath>();
--- a/packages/dispatch/src/home/common/outcomeWindow.ts
+++ b/packages/dispatch/src/home/common/outcomeWindow.ts
@@ -37,7 +37,7 @@
  * prevents wrong health estimates from making a service unavailable.
  *
  * @example
- * const { due } = served.getUse(targets, now);
+ * const { due } = outcomeWindow.getUsage(targets, now);
  */
 export class OutcomeWindow {
   private readonly succeeded = new SlidingCount(WINDOW_MS);
--- a/packages/dispatch/src/home/common/serviceLog.ts
+++ b/packages/dispatch/src/home/common/serviceLog.ts
@@ -1,4 +1,4 @@
-/** Log lines of a home: rejections, and changes of a target's health status or notices. */
+/** Log lines of a home: rejections, and changes of a target's health status and notices. */
 import type { Clock, Logger, ResultCode } from '@parsleymux/base';
 import { getResultInfo } from '@parsleymux/base';
 import type { IGrantRequest } from '../../grants/common/grant.js';
@@ -26,6 +26,7 @@
 export interface IRefusalFacts {
   readonly code: ResultCode;
   readonly retryAfterMs: number;
+  /** Number of queued requests. */
   readonly queue: number;
   /** Used share of the retry allowance, from 0 to 1. */
   readonly retriesUsed: number;
@@ -47,7 +48,7 @@
  * Writes lines with the request's identifier, so that they can be found from a caller's complaint.
  *
  * @example
- * serviceLog.watchBelief(ticket, target, 'failed', () => target.health.recordFailure(now));
+ * serviceLog.trackHealthChange(ticket, target, 'failed', () => health.recordFailure(now));
  */
 export class ServiceLog {
   constructor(private readonly options: IServiceLogOptions) {}
--- a/packages/dispatch/src/quotas/common/requestRate.ts
+++ b/packages/dispatch/src/quotas/common/requestRate.ts
@@ -12,7 +12,7 @@
  *
  * @example
  * rate.add(now);
- * rate.getPerS(now);
+ * rate.getRatePerS(now);
  */
 export class RequestRate {
   private perS = 0;
--- a/packages/dispatch/src/tenants/node/keyDigest.ts
+++ b/packages/dispatch/src/tenants/node/keyDigest.ts
@@ -8,7 +8,7 @@
  * Returns the digest of a key, in base64url.
  *
  * @example
- * const tenant = index.find(computeKeyDigest(key));
+ * const tenant = index.findByKey(computeKeyDigest(key));
  */
 export function computeKeyDigest(key: string): string {
   const hash = createHash('sha256').update(key).digest();
