--- a/packages/dispatch/src/app/node/directoryMetrics.ts
+++ b/packages/dispatch/src/app/node/directoryMetrics.ts
@@ -26,7 +26,7 @@
   });
   new Gauge({
     name: 'parsleymux_limited_targets',
-    help: 'Targets with an announced rate limit, of the services whose home is this node.',
+    help: 'Targets with an advertised rate limit, of the services whose home is this node.',
     registers: [registry],
     collect() {
       const targets = homes.listSchedulers().flatMap(([, scheduler]) => scheduler.listTargets());
--- a/packages/dispatch/src/entry/common/attemptOutcome.ts
+++ b/packages/dispatch/src/entry/common/attemptOutcome.ts
@@ -16,7 +16,7 @@
   readonly mayHaveRun: boolean;
   /** The target's response, if it may be returned to the caller. */
   readonly response: ITargetResponse | undefined;
-  /** The rate limit that the target announced in its own response, in requests per second. */
+  /** The rate limit that the target advertised in its own response, in requests per second. */
   readonly rateLimit?: number | undefined;
 }
 
@@ -30,7 +30,7 @@
  * Determines the outcome of a response.
  *
  * @example
- * const { outcome } = decideAnswerOutcome(response, isAuthentic);
+ * const { outcome } = decideResponseOutcome(response, isAuthentic);
  */
 export function decideResponseOutcome(
   response: ITargetResponse,
--- a/packages/dispatch/src/entry/common/attemptSender.ts
+++ b/packages/dispatch/src/entry/common/attemptSender.ts
@@ -55,7 +55,7 @@
     { needsFreshConnection: freshConnection, signal }: ISendAttemptOptions,
   ): Promise<IAttemptResult> {
     const { clock, isAuthentic, keys, listTargetHeaders, notices, transport } = this.options;
-    // While the grant waited in a queue, the target may have announced that it is draining or overloaded.
+    // While the grant waited in a queue, the target may have reported that it is draining or overloaded.
     if (notices.isExcluded(target)) return NOT_SENT;
     if (keys.checkAgain(request.sender, request.route).kind === 'refused') return NOT_SENT;
     const remainingMs = request.deadlineMs - clock.getMonotonicTime();
--- a/packages/dispatch/src/entry/common/entryRequest.ts
+++ b/packages/dispatch/src/entry/common/entryRequest.ts
@@ -32,7 +32,7 @@
   readonly suspicion: number;
   readonly outcome: string;
   readonly latencyMs: number;
-  /** The rate limit that the target announced in its response, in requests per second. */
+  /** The rate limit that the target advertised in its response, in requests per second. */
   readonly rateLimit?: number | undefined;
 }
 
--- a/packages/dispatch/src/entry/common/requestRunner.test.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.test.ts
@@ -284,7 +284,7 @@
   );
 });
 
-test('the record of an attempt contains the announced rate limit, also after shedding', async () => {
+test('the record of an attempt contains the advertised rate limit, also after shedding', async () => {
   const shed = makeResponse(503, { notRun: true, rateLimit: 0.5 });
   const { response } = await run([shed, makeResponse(200, { rateLimit: 2 })], true);
   assert.deepEqual(
--- a/packages/dispatch/src/entry/common/requestRunner.ts
+++ b/packages/dispatch/src/entry/common/requestRunner.ts
@@ -114,7 +114,7 @@
     const { isIdempotent, maxAttempts, objectiveMs } = request.route;
     if (!isIdempotent || state.sent + 2 > maxAttempts) return firstResult;
     const hedgeDelayMs = objectiveMs * HEDGE_DELAY_SHARE;
-    const earlyResult = await waitAtMost(this.options.clock, firstResult, hedgeDelayMs);
+    const earlyResult = await waitWithTimeout(this.options.clock, firstResult, hedgeDelayMs);
     if (earlyResult !== undefined || signal.aborted) return firstResult;
     const selection = await this.chooseHedgeTarget(request, grant, state, firstResult, signal);
     if (selection?.kind !== 'granted') return firstResult;
@@ -318,7 +318,11 @@
 }
 
 /** Resolves to the result, or to undefined if it takes longer than `limitMs`. */
-function waitAtMost<T>(clock: Clock, result: Promise<T>, limitMs: number): Promise<T | undefined> {
+function waitWithTimeout<T>(
+  clock: Clock,
+  result: Promise<T>,
+  limitMs: number,
+): Promise<T | undefined> {
   return new Promise((resolve, reject) => {
     const timer = clock.startTimer(limitMs, () => {
       resolve(undefined);
--- a/packages/dispatch/src/entry/common/targetNotices.test.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.test.ts
@@ -25,7 +25,7 @@
   return makeResponse({ status: 503, notRun: true, headers: [['retry-after', retryAfter]] });
 }
 
-test('a target that announces draining is excluded for the rest of its incarnation', async () => {
+test('a target that reports that it is draining is excluded for the rest of its incarnation', async () => {
   const clock = new ManualClock();
   const notices = new TargetNotices(clock);
   notices.record(TARGET, makeResponse({ draining: true }));
--- a/packages/dispatch/src/entry/common/targetNotices.ts
+++ b/packages/dispatch/src/entry/common/targetNotices.ts
@@ -1,4 +1,4 @@
-/** Drain notices, Retry-After times and rate limits that targets announced in their responses. */
+/** Drain notices, Retry-After times and rate limits that targets sent in their responses. */
 import type { Clock } from '@parsleymux/base';
 import type { ITargetResponse } from '@parsleymux/routing';
 import { findHeader } from '@parsleymux/routing';
@@ -15,17 +15,17 @@
 
 interface INotice {
   isDraining: boolean;
-  /** Limit for all nodes together, in requests per second, and when it was last announced. */
+  /** Limit for all nodes together, in requests per second, and when it was last advertised. */
   limit: { readonly ratePerS: number; readonly atMs: number } | undefined;
   /** When the target may receive requests again, in ms of the monotonic clock. */
   waitUntilMs: number;
 }
 
 /**
- * A draining target announces it in its responses, seconds before the target list does while the store is
- * unavailable. An overloaded target may send a Retry-After, or a rate limit for all nodes together. Without
- * these notices, a node would keep sending requests that are cut off or shed again. A notice is valid for
- * one incarnation of the target.
+ * Remembers the notices of targets. While the store is unavailable, a draining target reports this in its
+ * responses seconds before the target list shows it. An overloaded target may send a Retry-After, or a rate
+ * limit for all nodes together. Without these notices, a node would keep sending requests that are cut off
+ * or shed again. A notice is valid for one incarnation of the target.
  *
  * @example
  * notices.record(target, response);
@@ -55,7 +55,7 @@
     return this.notices.get(formatIncarnation(target))?.isDraining === true;
   }
 
-  /** Rate limits that the given targets have announced, the latest first. */
+  /** Rate limits that the given targets have advertised, the latest first. */
   listLimits(targets: readonly ITargetRecord[]): readonly IAdvertisedLimit[] {
     if (this.notices.size === 0) return [];
     const nowMs = this.clock.getMonotonicTime();
--- a/packages/dispatch/src/grants/common/grant.ts
+++ b/packages/dispatch/src/grants/common/grant.ts
@@ -19,7 +19,7 @@
   Abandoned: 'abandoned',
   /** Another target responded at the address. */
   Misdirected: 'misdirected',
-  /** A kept connection broke on reuse, before any byte of a response. */
+  /** An idle connection broke on reuse, before any byte of a response. */
   Stale: 'stale',
 } as const;
 
@@ -120,7 +120,7 @@
       readonly target: ITargetRecord;
       /** Probability that the target is failing, as estimated at the decision. */
       readonly suspicion: number;
-      /** Whether a kept connection must not be used, because those of the service have broken recently. */
+      /** Whether a new connection must be used, because idle ones of the service broke on reuse recently. */
       readonly needsFreshConnection: boolean;
     }
   | {
--- a/packages/dispatch/src/grants/common/targetSelector.ts
+++ b/packages/dispatch/src/grants/common/targetSelector.ts
@@ -8,7 +8,7 @@
   /** Node that made the decision, for logs. */
   readonly home: string;
   readonly suspicion: number;
-  /** Whether a kept connection must not be used, because those of the service have broken recently. */
+  /** Whether a new connection must be used, because idle ones of the service broke on reuse recently. */
   readonly needsFreshConnection: boolean;
   /** Reports the outcome to the home; must be called exactly once. */
   report(outcome: GrantOutcome, latencyMs: number, response?: IReportedResponse): void;
--- a/packages/dispatch/src/home/common/outcomeRecorder.ts
+++ b/packages/dispatch/src/home/common/outcomeRecorder.ts
@@ -13,8 +13,8 @@
 /** Grant pause after a target rejected a request as overloaded, in ms: less than most requests take. */
 const BUSY_MS = 100;
 /**
- * After a kept connection broke, requests of the service use new connections for this long, in ms. A
- * new one costs a round trip, while a request that can't be retried fails with the one it reuses.
+ * After an idle connection broke on reuse, requests of the service use new connections for this long, in
+ * ms. A new one costs a round trip, while a request that can't be retried fails with the one it reuses.
  */
 const AVOID_REUSE_MS = 5000;
 
@@ -47,7 +47,7 @@
 
   constructor(private readonly options: IOutcomeRecorderOptions) {}
 
-  /** Whether kept connections of the service have broken recently. */
+  /** Whether idle connections of the service have recently broken on reuse. */
   isReuseAvoided(nowMs: number): boolean {
     return nowMs - this.lastStaleMs < AVOID_REUSE_MS;
   }
--- a/packages/dispatch/src/home/common/placementCost.ts
+++ b/packages/dispatch/src/home/common/placementCost.ts
@@ -22,7 +22,7 @@
   /** A target that is still slow after its start. */
   readonly coldTarget: number;
   /**
-   * A handshake, if the entry keeps no connection to the target. A higher weight hardly reduces the
+   * A handshake, if the entry has no idle connection to the target. A higher weight hardly reduces the
    * number of new connections further, and places requests further away.
    */
   readonly newConnection: number;
--- a/packages/dispatch/src/home/common/serviceScheduler.test.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.test.ts
@@ -276,7 +276,7 @@
   assert.notEqual(getTargetId(next.requestGrant().decision), getTargetId(failing.decision));
 });
 
-test('a target that restarts under its identifier starts without the state of its previous incarnation', async () => {
+test('a target that restarts under its identifier has no state of its previous incarnation', async () => {
   // A target crashes with requests in progress and restarts under its identifier before their reports
   // arrive. Guards against applying them to the new incarnation, which would get too few or too many grants.
   const fixture = new SchedulerFixture();
@@ -305,8 +305,8 @@
   assert.ok(!target.health.isFailing(100), 'estimates of the previous incarnation are not applied');
 });
 
-test('after a kept connection broke, requests that cannot be retried use new connections for a while', async () => {
-  // Requests that may be retried continue to use kept connections: a broken one costs them some ms, while
+test('after an idle connection broke, requests that cannot be retried use new ones for a while', async () => {
+  // Requests that may be retried continue to use idle connections: a broken one costs them some ms, while
   // new ones would be a quarter of all new connections when targets flap.
   const fixture = new SchedulerFixture();
   fixture.scheduler.setTargets([makeTarget('t1'), makeTarget('t2'), makeTarget('t3')]);
--- a/packages/dispatch/src/home/common/serviceScheduler.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.ts
@@ -259,12 +259,12 @@
     };
   }
 
-  private getMeanWorkMs({ objectiveMs, route }: IGrantRequest): number {
+  private getMeanProcessingMs({ objectiveMs, route }: IGrantRequest): number {
     return this.processingTimes.getMeanMs(route, objectiveMs);
   }
 
   private isTooLate(ticket: Ticket, nowMs: number): boolean {
-    return ticket.endMs - nowMs < this.getMeanWorkMs(ticket.request) / 2;
+    return ticket.endMs - nowMs < this.getMeanProcessingMs(ticket.request) / 2;
   }
 
   /** Settles the quota token of a request; without an outcome the request has not run. */
@@ -339,8 +339,8 @@
   }
 
   /**
-   * While kept connections break, only requests that could not be retried use new connections; the
-   * others are retried. Opening connections is the largest cost of a busy fleet.
+   * While idle connections break on reuse, only requests that could not be retried use new connections;
+   * the others are retried. Opening connections is the largest cost of a busy fleet.
    */
   private isReuseRisky({ mayRetry }: IGrantRequest, nowMs: number): boolean {
     if (!this.outcomeRecorder.isReuseAvoided(nowMs)) return false;
