--- a/packages/dispatch/src/app/node/directNodeSettings.ts
+++ b/packages/dispatch/src/app/node/directNodeSettings.ts
@@ -1,4 +1,4 @@
-/** The settings with which a directly dispatching node is started. */
+/** The settings with which a node that dispatches directly is started. */
 import type { ITenantBounds } from '../../tenants/common/tenant.js';
 
 /** Settings of a node that dispatches directly. */
--- a/packages/dispatch/src/app/node/heldRequests.ts
+++ b/packages/dispatch/src/app/node/heldRequests.ts
@@ -4,7 +4,7 @@
 import type { RequestQuarantine } from '../../quarantine/common/requestQuarantine.js';
 
 /**
- * Registers the gauge of the requests that this node holds back.
+ * Registers the gauge of the quarantined requests that this node tracks.
  *
  * @example
  * countHeldRequests(quarantine, registry);
--- a/packages/dispatch/src/catalog/common/catalog.ts
+++ b/packages/dispatch/src/catalog/common/catalog.ts
@@ -18,7 +18,7 @@
   readonly isIdempotent: boolean;
   /** Longest time that a request may take, in ms. */
   readonly timeoutMs: number;
-  /** Target latency, in ms: a later response is worth less. */
+  /** Latency objective, in ms: a later response is worth less. */
   readonly objectiveMs: number;
   /** Priority class; 0 is the highest. */
   readonly priority: number;
--- a/packages/dispatch/src/directory/common/followedTable.ts
+++ b/packages/dispatch/src/directory/common/followedTable.ts
@@ -37,9 +37,9 @@
 }
 
 /**
- * Only moves to newer store epochs and, within one, to newer versions, so that late responses and updates
- * have no effect. After the authority was restored from an older copy, its entries replace the known ones
- * unless that would be a regression; see {@link RestoredEntries}.
+ * Holds the copy. It only moves to newer store epochs and, within one, to newer versions, so that late
+ * responses and updates have no effect. After the authority was restored from an older copy, its entries
+ * replace the known ones unless that would be a regression; see {@link RestoredEntries}.
  *
  * @example
  * table.setAll(await authority.targets.readAll(signal), clock.getMonotonicTime());
--- a/packages/dispatch/src/directory/common/restoredEntries.ts
+++ b/packages/dispatch/src/directory/common/restoredEntries.ts
@@ -9,8 +9,9 @@
 const MAX_REMOVED = 4096;
 
 /**
- * Changes made after the copy was taken are written again, but not immediately. Until then, a target that
- * was removed must not be used again, and one that registered meanwhile must stay usable.
+ * Tracks these entries until the authority is up to date. Changes that the older copy lacks are written
+ * again, but not immediately. Until then, a target that was removed must not be used again, and one that
+ * registered after the copy was taken must stay usable.
  *
  * @example
  * if (restored.tryRetain(key)) continue; // the entry is retained for now
--- a/packages/dispatch/src/directory/common/storeFollower.ts
+++ b/packages/dispatch/src/directory/common/storeFollower.ts
@@ -172,9 +172,9 @@
    * a second in place of 4.
    */
   private getIdleMs(): number {
-    const { getMaxAgeMs: getMostAgeMs, table } = this.options;
+    const { getMaxAgeMs, table } = this.options;
     if (table.version === undefined) return FIRST_READ_CHECK_MS;
-    return Math.max(IDLE_CHECK_MS, getMostAgeMs() - table.getAgeMs() + 1);
+    return Math.max(IDLE_CHECK_MS, getMaxAgeMs() - table.getAgeMs() + 1);
   }
 
   private getRetryMs(): number {
--- a/packages/dispatch/src/grants/common/grantRequestSender.ts
+++ b/packages/dispatch/src/grants/common/grantRequestSender.ts
@@ -9,7 +9,7 @@
  */
 const RETRANSMIT_MS = 25;
 /** Number of transmissions without a response after which the home is considered unresponsive. */
-const MAX_UNANSWERED_SENDS = 2;
+const MAX_SENDS_WITHOUT_RESPONSE = 2;
 /** Retransmission interval of a request queued at the home, in ms: its decision may have been lost. */
 const QUEUED_RETRANSMIT_MS = 150;
 
@@ -23,7 +23,7 @@
 }
 
 /**
- * Handles a single request; not reusable.
+ * Transmits a single request until it is decided; not reusable.
  *
  * @example
  * const decision = await new GrantRequestSender({ clock, signal, send }).run();
@@ -32,7 +32,7 @@
   private readonly startMs: number;
   private timer: IDisposable | undefined;
   /** Number of transmissions since the last response. */
-  private unansweredSends = 0;
+  private sendsWithoutResponse = 0;
   private isQueued = false;
   private resolve: (decision: Decision | undefined) => void = () => undefined;
 
@@ -61,16 +61,16 @@
       return;
     }
     this.isQueued = true;
-    this.unansweredSends = 0;
+    this.sendsWithoutResponse = 0;
     this.startTimer(QUEUED_RETRANSMIT_MS);
   }
 
   private send(): void {
-    if (this.unansweredSends >= MAX_UNANSWERED_SENDS) {
+    if (this.sendsWithoutResponse >= MAX_SENDS_WITHOUT_RESPONSE) {
       this.finish(undefined);
       return;
     }
-    this.unansweredSends += 1;
+    this.sendsWithoutResponse += 1;
     this.options.send(this.options.clock.getMonotonicTime() - this.startMs);
     this.startTimer(this.isQueued ? QUEUED_RETRANSMIT_MS : RETRANSMIT_MS);
   }
--- a/packages/dispatch/src/grants/common/grantServer.ts
+++ b/packages/dispatch/src/grants/common/grantServer.ts
@@ -10,7 +10,7 @@
 import type { GrantDecision } from './grant.js';
 import { decodeAsk, decodeOutcome, decodeRate, encodeDecision } from './grantMessages.js';
 
-/** Retention of tickets for retransmitted requests, in ms after the deadline: longer than entries retransmit. */
+/** Retention of tickets after the deadline, in ms: longer than entries retransmit their requests. */
 const TICKET_RETENTION_MS = 10_000;
 /** Expired tickets are removed after this number of new ones. */
 const PURGE_EVERY = 256;
--- a/packages/dispatch/src/home/common/peerRetryCounts.ts
+++ b/packages/dispatch/src/home/common/peerRetryCounts.ts
@@ -13,7 +13,7 @@
   readonly retries: readonly number[];
 }
 
-/** Options of an {@link PeerRetryCounts}. */
+/** Options of {@link PeerRetryCounts}. */
 export interface IPeerRetryCountsOptions {
   readonly windowMs: number;
   /** Length of one part of the window, in ms. */
@@ -25,7 +25,7 @@
  * the counts of a crashed home remain known through the home that took over from it.
  *
  * @example
- * peerCounts.take(counts);
+ * peerCounts.record(counts);
  * const { retries } = peerCounts.count(now);
  */
 export class PeerRetryCounts {
@@ -34,7 +34,7 @@
   constructor(private readonly options: IPeerRetryCountsOptions) {}
 
   /** Stores the counts of a home unless newer ones of the same home are known. */
-  take(counts: IRetryCounts): void {
+  record(counts: IRetryCounts): void {
     const known = this.homes.get(counts.home);
     if (known === undefined || known.sequence < counts.sequence) {
       this.homes.set(counts.home, counts);
--- a/packages/dispatch/src/home/common/retryWindow.ts
+++ b/packages/dispatch/src/home/common/retryWindow.ts
@@ -89,7 +89,7 @@
 
   /** Records counts from another home; `isComplete` if that home knows all retries of the window. */
   recordPeerCounts(counts: readonly IRetryCounts[], isComplete: boolean, nowMs: number): void {
-    for (const one of counts) this.peerCounts.take(one);
+    for (const one of counts) this.peerCounts.record(one);
     if (isComplete) this.completeCountsMs = nowMs;
   }
 
@@ -136,7 +136,7 @@
     return RATIO_SHARE * ratio * requests + this.getBurstShare(nowMs) * burst;
   }
 
-  /** Zero for a node that is not among the homes: a hundred such nodes may decide locally at the same time. */
+  /** Zero for a node that is not among the homes: a hundred such nodes may decide locally concurrently. */
   private getBurstShare(nowMs: number): number {
     if (this.receivingSinceMs === undefined) return 0;
     return this.isComplete(nowMs) ? BURST_SHARE : INCOMPLETE_BURST_SHARE;
--- a/packages/dispatch/src/home/common/serviceTargets.ts
+++ b/packages/dispatch/src/home/common/serviceTargets.ts
@@ -25,6 +25,8 @@
 }
 
 /**
+ * Holds the state of each registered target of one service.
+ *
  * @example
  * targets.set(records);
  * if (!targets.hasUsable(request)) refuse();
@@ -66,7 +68,7 @@
     this.find(targetId, bornMs)?.health.applyEvidence(evidence);
   }
 
-  /** Applies that a target reported to another home that it is draining. */
+  /** Records that a target has reported to another home that it is draining. */
   applyDraining(targetId: string, bornMs: number | undefined): void {
     const target = this.find(targetId, bornMs);
     if (target !== undefined) target.hasReportedDraining = true;
@@ -98,7 +100,7 @@
     return target?.record.bornMs === bornMs ? target : undefined;
   }
 
-  /** Targets registered before the home started are not new: testing each of them would cost requests. */
+  /** Targets registered before the home started are not new: probing each of them would cost requests. */
   private createTarget(record: ITargetRecord, nowMs: number): TargetState {
     const isNew = nowMs > this.startMs + INITIAL_TARGETS_MS;
     return new TargetState(record, this.options.model, nowMs, isNew);
--- a/packages/dispatch/src/home/common/targetNoticeRecorder.ts
+++ b/packages/dispatch/src/home/common/targetNoticeRecorder.ts
@@ -1,4 +1,4 @@
-/** Records the notices that targets of one service send in responses: that they drain, or a rate limit. */
+/** Records the notices that targets of one service send in responses: drain notices and rate limits. */
 import type { Clock } from '@parsleymux/base';
 import type {
   GrantOutcome,
@@ -20,8 +20,8 @@
 }
 
 /**
- * Notices come from responses, from grant requests and from other homes, so that each notice reaches
- * all entries without each of them having to send a request to the target.
+ * Combines the notices from responses, grant requests and other homes, so that each notice affects the
+ * grants of all entries without each of them having to send a request to the target.
  *
  * @example
  * notices.record(ticket, target, outcome, response);
@@ -34,9 +34,9 @@
     ticket: Ticket,
     target: TargetState,
     outcome: GrantOutcome,
-    { isDraining: isLeaving, rateLimit }: IReportedResponse,
+    { isDraining, rateLimit }: IReportedResponse,
   ): void {
-    if (isLeaving) this.recordDraining(ticket, target);
+    if (isDraining) this.recordDraining(ticket, target);
     if (hasCompleteResponse(outcome)) this.recordLimit(ticket, target, rateLimit);
   }
 
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Applies that a target reported to another home that it is draining. */
+  /** Records that a target has reported to another home that it is draining. */
   applyDraining(targetId: string, bornMs: number | undefined): void {
     this.options.targets.applyDraining(targetId, bornMs);
   }
--- a/packages/dispatch/src/home/common/targetRateLimit.test.ts
+++ b/packages/dispatch/src/home/common/targetRateLimit.test.ts
@@ -104,8 +104,8 @@
   assert.ok(probes >= 3 && probes <= 4, `${probes}`);
 });
 
-test('a limit ends with a response without it to a request granted after the limit was advertised', async () => {
-  // Guards against a late response to an older request ending a limit that was advertised meanwhile.
+test('only a response to a request granted after a limit was advertised can end the limit', async () => {
+  // Guards against a late response to an older request ending a limit that was advertised since its grant.
   const home = new Home();
   const [older, advertising] = [home.requestGrant(), home.requestGrant()];
   await home.clock.advanceBy(100);
--- a/packages/dispatch/src/home/common/targetState.ts
+++ b/packages/dispatch/src/home/common/targetState.ts
@@ -47,7 +47,7 @@
     return hasSlot && this.rateLimit.isOpen(nowMs);
   }
 
-  /** Slots that can be in use at once if a request takes `processingMs`: a rate limit leaves some idle. */
+  /** Slots that can be in use together if a request takes `processingMs`: a rate limit leaves some idle. */
   countUsableSlots(processingMs: number): number {
     const { grantsPerS } = this.rateLimit;
     return Math.min(this.record.slots, (grantsPerS * processingMs) / MS_PER_SECOND);
--- a/packages/dispatch/src/quotas/common/quotaShares.ts
+++ b/packages/dispatch/src/quotas/common/quotaShares.ts
@@ -169,8 +169,8 @@
    * once every home has announced them, including homes that receive none of its requests.
    */
   private addReportedTenants(tenants: Map<string, ITenantRate>, nowMs: number): void {
-    for (const { tenants: named } of this.listOthers(nowMs)) {
-      for (const [name, { isNearLimit }] of named) {
+    for (const { tenants: reportedTenants } of this.listOthers(nowMs)) {
+      for (const [name, { isNearLimit }] of reportedTenants) {
         if (isNearLimit && !tenants.has(name)) tenants.set(name, { perS: 0, isNearLimit: false });
       }
     }
--- a/packages/dispatch/src/quotas/common/tenantAdmission.ts
+++ b/packages/dispatch/src/quotas/common/tenantAdmission.ts
@@ -44,7 +44,7 @@
 /**
  * A request takes one quota token, however often it is sent; the token is returned only if the request has
  * certainly not run. The home also checks the key again: an entry that was suspended and whose wall clock
- * was set back meanwhile can't determine the age of its own keys.
+ * was set back during the suspension can't determine the age of its own keys.
  *
  * @example
  * const decision = admission.check(request, node);
@@ -72,7 +72,7 @@
     this.options.quotas.release(tenant, role);
   }
 
-  /** Accepts an unknown key if the entry's list may be newer, since the key may have been added meanwhile. */
+  /** Accepts an unknown key if the entry's list may be newer, as the key may be missing only here. */
   private checkUnknown({ catalogVersion }: IGrantRequest): TenantDecision {
     const { directory, keys } = this.options;
     const isNewer = (directory.getCatalog()?.version ?? -Infinity) >= catalogVersion;
--- a/packages/dispatch/src/quotas/common/tenantQuotas.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.ts
@@ -94,7 +94,7 @@
     this.counts.get(formatKey(tenant, role))?.used.remove(this.options.clock.getMonotonicTime());
   }
 
-  /** Clears the counts when this node becomes a home again: they lack what other homes granted meanwhile. */
+  /** Clears the counts when this node becomes a home again: they lack later grants of other homes. */
   private recordHomeRequest(tenant: string): void {
     const { shares } = this.options;
     shares.record(tenant);
--- a/packages/dispatch/src/tenants/common/keyChecker.test.ts
+++ b/packages/dispatch/src/tenants/common/keyChecker.test.ts
@@ -151,7 +151,7 @@
 });
 
 test('a queued request is refused if its key was revoked or moved to another tenant', () => {
-  // Guards against a request that waits for a slot and is sent although its key was revoked meanwhile.
+  // Guards against a request that waits for a slot and is sent although its key has been revoked.
   const { checker, setTenants } = createFixture();
   setTenants(1, [NORTH]);
   const decision = checker.check(KEY, ROUTE);
--- a/packages/dispatch/src/test/keyLeaseFleet.ts
+++ b/packages/dispatch/src/test/keyLeaseFleet.ts
@@ -118,8 +118,8 @@
   override send(address: string, body: DatagramBody): void {
     const { clock, nodes, random } = this.fleet;
     if (random.getFloat() < LOST_SHARE) return;
-    const isCut = [this.address, address].some((one) => nodes.get(one)?.isPartitioned === true);
-    if (isCut) return;
+    const isDropped = [this.address, address].some((one) => nodes.get(one)?.isPartitioned === true);
+    if (isDropped) return;
     const isLate = random.getFloat() < DELAYED_SHARE;
     const queuedMs = nodes.get(address)?.isBehindQueue === true ? QUEUE_MS : 0;
     const delayMs = 1 + queuedMs + random.getFloat() * (isLate ? MAX_DELAY_MS : 4);
@@ -232,7 +232,7 @@
  * Runs the nodes, and checks which keys they accept.
  *
  * @example
- * const figures = await new LeaseFleet({ clock, seed: 1, nodes: 110, proofMode: 'followers' }).run();
+ * const results = await new LeaseFleet({ clock, seed: 1, nodes: 110, proofMode: 'followers' }).run();
  */
 export class LeaseFleet {
   readonly clock: ManualClock;
