--- a/packages/dispatch/src/app/node/directNode.ts
+++ b/packages/dispatch/src/app/node/directNode.ts
@@ -252,7 +252,7 @@
     return new QuarantinePersister({
       clock,
       log,
-      sharing: sharing,
+      sharing,
       quarantine: this.quarantine,
       store: quarantineStore,
       isReader: () => service.isFollower,
--- a/packages/dispatch/src/directory/common/catalogSource.ts
+++ b/packages/dispatch/src/directory/common/catalogSource.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * The authority stores a configuration as one entry. If nodes replicated it like that, a change of one
- * tenant would send all tenants to every node.
+ * Splits each configuration that it reads into its tenants and the rest. The authority stores both as one
+ * entry; if nodes replicated it like that, a change of one tenant would send all tenants to every node.
  *
  * @example
  * const source = new CatalogSource({ source: authority.catalog, directory, clock });
--- a/packages/dispatch/src/home/common/creditForecast.ts
+++ b/packages/dispatch/src/home/common/creditForecast.ts
@@ -3,7 +3,7 @@
 import type { ProcessingTimes } from './processingTimes.js';
 
 /**
- * Based on recent processing times of the same route.
+ * Derives the credit from recent processing times of the same route.
  *
  * @example
  * const forecast = new CreditForecast(waiting, processingTimes, 0.7);
--- a/packages/dispatch/src/home/common/retryWindow.test.ts
+++ b/packages/dispatch/src/home/common/retryWindow.test.ts
@@ -10,9 +10,9 @@
   return new RetryWindow({ windowMs: WINDOW_MS, ratio: 0.2, burst: 100 });
 }
 
-function openWindow(watchedSinceMs = LONG_AGO_MS): RetryWindow {
+function openWindow(receivingSinceMs = LONG_AGO_MS): RetryWindow {
   const window = openUnrankedWindow();
-  window.setReceivingSince(watchedSinceMs);
+  window.setReceivingSince(receivingSinceMs);
   return window;
 }
 
--- a/packages/dispatch/src/home/common/serviceScheduler.test.ts
+++ b/packages/dispatch/src/home/common/serviceScheduler.test.ts
@@ -92,7 +92,7 @@
   assert.notEqual(getTargetId(fixture.requestGrant().decision), hangingId);
 });
 
-test('a target is suspected when two nodes cannot connect to it, but not for one', () => {
+test('a target is suspected when two nodes cannot connect to it, but not when only one cannot', () => {
   // Guards against ejecting a healthy target for all nodes because one node lost its path to it.
   const fixture = new SchedulerFixture();
   fixture.scheduler.setTargets([makeTarget('t1'), makeTarget('t2', { failureDomain: 'south' })]);
--- a/packages/dispatch/src/home/common/targetHealthEstimate.ts
+++ b/packages/dispatch/src/home/common/targetHealthEstimate.ts
@@ -31,8 +31,8 @@
   /** Whether any outcome has been recorded. */
   private hasOutcome = false;
   private episodeStartMs: number | undefined;
-  /** Whether the last outcome was a failure of a target considered healthy. The next one classifies it. */
-  private isUnexplained = false;
+  /** Whether the last outcome was a failure of a target considered healthy, to be classified by the next one. */
+  private isUnclassified = false;
   /** Time of the last success, in ms of the monotonic clock. */
   lastSuccessMs: number | undefined;
   /** Time of the last failure, in ms of the monotonic clock. */
@@ -50,8 +50,8 @@
   getSuspicion(nowMs: number): number {
     const { onsetPerMs, recoveryPerMs, stationaryProbability: stationary } = this.model;
     const elapsedMs = Math.max(0, nowMs - this.updatedMs);
-    const kept = Math.exp(-(onsetPerMs + recoveryPerMs) * elapsedMs);
-    return stationary + (this.suspicion - stationary) * kept;
+    const decay = Math.exp(-(onsetPerMs + recoveryPerMs) * elapsedMs);
+    return stationary + (this.suspicion - stationary) * decay;
   }
 
   isFailing(nowMs: number): boolean {
@@ -112,8 +112,8 @@
    */
   private recordForModel(nowMs: number, isFailure: boolean): void {
     const sinceMs = nowMs - this.updatedMs;
-    if (this.isUnexplained) {
-      this.isUnexplained = false;
+    if (this.isUnclassified) {
+      this.isUnclassified = false;
       if (isFailure || sinceMs > POSSIBLE_RECOVERY_MS) this.recordOnset();
       else this.model.recordHealthy(true, 0);
       if (isFailure) return;
@@ -121,7 +121,7 @@
       if (sinceMs < POSSIBLE_RECOVERY_MS) this.model.recordFailing(isFailure);
       return;
     }
-    if (isFailure) this.isUnexplained = true;
+    if (isFailure) this.isUnclassified = true;
     else this.model.recordHealthy(false, Math.min(sinceMs, MAX_OUTCOME_GAP_MS));
   }
 
--- a/packages/dispatch/src/home/common/targetRateLimit.ts
+++ b/packages/dispatch/src/home/common/targetRateLimit.ts
@@ -66,7 +66,7 @@
   }
 
   recordGrant(nowMs: number): void {
-    this.take(1, nowMs);
+    this.spendTokens(1, nowMs);
   }
 
   /** Records that another home has granted the target `granted` requests since it learned of it. */
@@ -74,10 +74,10 @@
     const before = this.grantedByPeer.get(home) ?? granted;
     this.grantedByPeer.set(home, granted);
     // A restarted home starts its count at zero.
-    this.take(Math.max(0, granted - before), nowMs);
+    this.spendTokens(Math.max(0, granted - before), nowMs);
   }
 
-  private take(requests: number, nowMs: number): void {
+  private spendTokens(requests: number, nowMs: number): void {
     const { ratePerS } = this;
     if (ratePerS === undefined) return;
     this.advance(nowMs);
--- a/packages/dispatch/src/quotas/common/quotaSharing.ts
+++ b/packages/dispatch/src/quotas/common/quotaSharing.ts
@@ -24,7 +24,7 @@
   readonly hasQuotas: () => boolean;
   /** The mean rate limit of a tenant, in requests per second; undefined without a limit. */
   readonly getLimit: (tenant: string) => number | undefined;
-  /** Homes of a service, best first. */
+  /** Homes of a service in order of preference. */
   readonly rankHomes: (service: string) => readonly string[];
 }
 
@@ -36,7 +36,7 @@
  */
 export class QuotaSharing implements IDisposable {
   private timer: IDisposable | undefined;
-  private opened: IDisposable | undefined;
+  private schedulerListener: IDisposable | undefined;
 
   constructor(private readonly options: IQuotaSharingOptions) {}
 
@@ -44,8 +44,8 @@
   start(): void {
     if (this.options.homes.listSchedulers().length > 0) this.startTimer();
     else
-      this.opened = this.options.homes.onDidCreateScheduler(() => {
-        void this.opened?.dispose();
+      this.schedulerListener = this.options.homes.onDidCreateScheduler(() => {
+        void this.schedulerListener?.dispose();
         this.startTimer();
       });
   }
@@ -60,7 +60,7 @@
   }
 
   dispose(): void {
-    void this.opened?.dispose();
+    void this.schedulerListener?.dispose();
     void this.timer?.dispose();
   }
 
--- a/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
+++ b/packages/dispatch/src/quotas/common/tenantQuotas.test.ts
@@ -8,14 +8,14 @@
 import { TenantQuotas } from './tenantQuotas.js';
 
 const STEP_MS = 10;
-const ANNOUNCE_EVERY_MS = 500;
+const ANNOUNCEMENT_INTERVAL_MS = 500;
 const WINDOW_MS = TENANT_BOUNDS.quotaWindowMs;
 const NODES = 110;
 
 /** The most requests of a tenant that may run in one window, over all nodes. */
 function computeMaxPerWindow({ burst, ratePerS = 0 }: ITenantRule): number {
-  const whole = (ratePerS * WINDOW_MS) / 1000 + burst;
-  return whole * (1 + TENANT_BOUNDS.quotaExcess) + TENANT_BOUNDS.quotaSlack;
+  const nominal = (ratePerS * WINDOW_MS) / 1000 + burst;
+  return nominal * (1 + TENANT_BOUNDS.quotaExcess) + TENANT_BOUNDS.quotaSlack;
 }
 
 class Home {
@@ -73,7 +73,7 @@
     const endMs = this.clock.getMonotonicTime() + ms;
     while (this.clock.getMonotonicTime() < endMs) {
       const nowMs = this.clock.getMonotonicTime();
-      if (nowMs % ANNOUNCE_EVERY_MS === 0) this.announce();
+      if (nowMs % ANNOUNCEMENT_INTERVAL_MS === 0) this.announce();
       for (const [tenant, perHome] of demand.entries()) {
         for (const [home, perS] of perHome.entries()) this.send(tenant, home, perS);
       }
