--- a/packages/dispatch/src/home/common/targetHealthEstimate.ts
+++ b/packages/dispatch/src/home/common/targetHealthEstimate.ts
@@ -31,7 +31,7 @@
   /** Whether any outcome has been recorded. */
   private hasOutcome = false;
   private episodeStartMs: number | undefined;
-  /** Whether the last outcome was a failure of a target considered healthy, to be classified by the next one. */
+  /** Whether the last outcome, a failure of a target considered healthy, is classified by the next one. */
   private isUnclassified = false;
   /** Time of the last success, in ms of the monotonic clock. */
   lastSuccessMs: number | undefined;
