--- a/packages/dispatch/src/home/common/creditSettings.ts
+++ b/packages/dispatch/src/home/common/creditSettings.ts
@@ -23,7 +23,7 @@
    * Share of the distance cost that is credited to a suspected target in the same failure domain while
    * the queue is empty: saves transfer between domains at the cost of a few failures. Default 0.5.
    */
-  readonly localProbeShare: number;
+  readonly nearTrials: number;
   /**
    * Cost of a retry in addition to its time: it uses the retry allowance that all requests of the
    * service share, and often a new connection. Default 0.2.
@@ -39,13 +39,13 @@
    * may become fewer while it waits, and a late rejection would have delayed the caller for nothing.
    * Default 1.5.
    */
-  readonly maxWaitShare: number;
+  readonly longestWait: number;
   /**
    * Credit that a request that can't be retried may lose by probing a suspected target, multiplied by the
    * share of healthy targets that is missing in use. Lower values let services fall below their
    * floor; higher ones lose requests needlessly. Default 3.
    */
-  readonly maxProbeLoss: number;
+  readonly trialLoss: number;
   /** Whether the benefit of a probe to the queued requests is credited to it. Default true. */
   readonly valuesProbes: boolean;
   /** Whether the floor on the targets in use is enforced. Default true. */
@@ -60,11 +60,11 @@
   weights: DEFAULT_PLACEMENT_WEIGHTS,
   lateCredit: 0.7,
   waitMargin: 0.15,
-  localProbeShare: 0.5,
+  nearTrials: 0.5,
   retryCost: 0.2,
   refusalCredit: 0.15,
-  maxWaitShare: 1.5,
-  maxProbeLoss: 3,
+  longestWait: 1.5,
+  trialLoss: 3,
   valuesProbes: true,
   keepsFloor: true,
   servesInTimeFirst: true,
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.test.ts
@@ -232,7 +232,7 @@
   const responseSizes = new ResponseSizes();
   responseSizes.record('orders', 8000);
   assert.equal(getGranted(decide(makeState(targets, { responseSizes }))), 't1');
-  const withoutCredit = new ExpectedCreditPolicy({ localProbeShare: 0 });
+  const withoutCredit = new ExpectedCreditPolicy({ nearTrials: 0 });
   const waiting = { request: makeRequest(), waitedMs: 0, ahead: 0 };
   assert.equal(
     getGranted(withoutCredit.decide(waiting, makeState(targets, { responseSizes }))),
--- a/packages/dispatch/src/home/common/expectedCreditPolicy.ts
+++ b/packages/dispatch/src/home/common/expectedCreditPolicy.ts
@@ -70,7 +70,7 @@
 
   override decide(waiting: IWaitingRequest, state: IServiceState): PolicyDecision {
     const { request } = waiting;
-    const { boundsHedges, maxWaitShare: longestWait, refusalCredit } = this.settings;
+    const { boundsHedges, longestWait, refusalCredit } = this.settings;
     const isBoundHedge = boundsHedges && request.isHedge;
     // The original request already has a slot; the hedge would delay a queued request without one.
     if (isBoundHedge && state.queued > 0) return REFUSAL;
@@ -154,7 +154,7 @@
     if (requestsPerTarget < MIN_REQUESTS_PER_TARGET) return undefined;
     const credits = free.map((target) => this.computeCredit(target, context));
     const maxCredit = Math.max(context.waitCredit, ...credits);
-    const maxLoss = (MIN_HEALTHY_SHARE_IN_USE - healthyShare) * this.settings.maxProbeLoss;
+    const maxLoss = (MIN_HEALTHY_SHARE_IN_USE - healthyShare) * this.settings.trialLoss;
     return this.findBest(freeDue, context, maxCredit - maxLoss);
   }
 
@@ -200,7 +200,7 @@
    * outcomes would lose to a remote target known to be healthy, and would never be used again.
    */
   private computeLocalityCredit(target: TargetState, { state, waiting }: IDecisionContext): number {
-    const { localProbeShare: nearTrials, weights } = this.settings;
+    const { nearTrials, weights } = this.settings;
     const { request } = waiting;
     const isLocal = target.record.failureDomain === request.failureDomain;
     if (!isLocal || state.queued > 0) return 0;
