--- a/packages/dispatch/src/home/common/creditSettings.ts
+++ b/packages/dispatch/src/home/common/creditSettings.ts
@@ -41,7 +41,7 @@
    */
   readonly longestWait: number;
   /**
-   * Credit that a request without a retry may lose by probing a suspected target, multiplied by the
+   * Credit that a request that can't be retried may lose by probing a suspected target, multiplied by the
    * share of healthy targets that is missing in use. Lower values let services fall below their
    * floor; higher ones lose requests needlessly. Default 3.
    */
