--- a/packages/lab/src/prove/common/faultSchedule.ts
+++ b/packages/lab/src/prove/common/faultSchedule.ts
@@ -9,10 +9,10 @@
   PlatformOutage: 'platform-outage',
   PlatformSlow: 'platform-slow',
   PlatformOneWay: 'platform-one-way',
-  PlatformLostAnswers: 'platform-lost-answers',
+  PlatformLostResponses: 'platform-lost-answers',
   PlatformStale: 'platform-stale',
-  PlatformCut: 'platform-cut',
-  TargetCut: 'target-cut',
+  PlatformPartition: 'platform-cut',
+  TargetPartition: 'target-cut',
   TargetSilent: 'target-silent',
   TargetSlow: 'target-slow',
   TargetFailing: 'target-failing',
@@ -20,7 +20,7 @@
   TargetDrain: 'target-drain',
   TargetDown: 'target-down',
   OperatorRace: 'operator-race',
-  OperatorRivalHost: 'operator-rival-host',
+  OperatorHostConflict: 'operator-rival-host',
   OperatorDrain: 'operator-drain',
 } as const;
 
--- a/packages/lab/src/prove/node/brokenWorld.ts
+++ b/packages/lab/src/prove/node/brokenWorld.ts
@@ -10,8 +10,8 @@
   Conditions: 'platform-conditions',
   /** Targets run requests and report them as not run: double executions or false refusals must be found. */
   FalseNotRun: 'target-false-not-run',
-  /** Targets respond to some requests with the previous response: foreign answers must be found. */
-  ForeignAnswers: 'target-foreign-answers',
+  /** Targets respond to some requests with the previous response: foreign responses must be found. */
+  ForeignResponses: 'target-foreign-answers',
 } as const;
 
 export type OutsideBreak = (typeof OutsideBreak)[keyof typeof OutsideBreak];
@@ -35,7 +35,7 @@
     case OutsideBreak.FalseNotRun:
       await setAllTargets(world, { falseNotRunShare: SHARE });
       return;
-    case OutsideBreak.ForeignAnswers:
+    case OutsideBreak.ForeignResponses:
       await setAllTargets(world, { foreignShare: SHARE });
       return;
   }
--- a/packages/lab/src/prove/node/operatorFaults.ts
+++ b/packages/lab/src/prove/node/operatorFaults.ts
@@ -66,8 +66,8 @@
   }
 }
 
-class OperatorRivalHost extends FaultInjector {
-  override readonly kind = FaultKind.OperatorRivalHost;
+class OperatorHostConflict extends FaultInjector {
+  override readonly kind = FaultKind.OperatorHostConflict;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const member = pickMember(step.pick);
@@ -114,6 +114,6 @@
 
 export const OPERATOR_FAULTS: readonly FaultInjector[] = [
   new OperatorRace(),
-  new OperatorRivalHost(),
+  new OperatorHostConflict(),
   new OperatorDrain(),
 ];
--- a/packages/lab/src/prove/node/platformFaults.ts
+++ b/packages/lab/src/prove/node/platformFaults.ts
@@ -30,7 +30,7 @@
 }
 
 class PlatformLostResponses extends FaultInjector {
-  override readonly kind = FaultKind.PlatformLostAnswers;
+  override readonly kind = FaultKind.PlatformLostResponses;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const loseNextAnswers = Math.ceil(step.size * MAX_LOST_RESPONSES);
@@ -40,7 +40,7 @@
 }
 
 class PlatformPartition extends FaultInjector {
-  override readonly kind = FaultKind.PlatformCut;
+  override readonly kind = FaultKind.PlatformPartition;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const link = pickElement(world.getPlatformLinks(), step.pick);
--- a/packages/lab/src/prove/node/targetFaults.ts
+++ b/packages/lab/src/prove/node/targetFaults.ts
@@ -31,7 +31,7 @@
 }
 
 class TargetPartition extends FaultInjector {
-  override readonly kind = FaultKind.TargetCut;
+  override readonly kind = FaultKind.TargetPartition;
 
   override async start(step: IFaultStep, world: ProveWorld): Promise<Injection> {
     const link = pickElement(world.getTargetLinks(), step.pick);
--- a/packages/lab/src/soak/common/soakFaultKind.ts
+++ b/packages/lab/src/soak/common/soakFaultKind.ts
@@ -22,9 +22,9 @@
   /** A caller repeats a request that crashes the targets that run it. */
   CrashingRequest: 'crashing-request',
   /** A target announces in its responses that it is draining, while its entry is unchanged. */
-  TargetTellsDrain: 'target-tells-drain',
+  TargetAnnouncesDrain: 'target-tells-drain',
   /** A target advertises in its responses a limit of requests per second. */
-  TargetNamesLimit: 'target-names-limit',
+  TargetAdvertisesLimit: 'target-names-limit',
   /** The store is restored from an older copy; writers repeat what they wrote since. */
   StoreRestore: 'store-restore',
 } as const;
@@ -38,12 +38,12 @@
  * kinds to choose from. This one lacks the two newest kinds.
  */
 export const THIRD_FAULT_KINDS: readonly SoakFaultKind[] = SOAK_FAULT_KINDS.filter((kind) => {
-  return kind !== SoakFaultKind.TargetNamesLimit && kind !== SoakFaultKind.StoreRestore;
+  return kind !== SoakFaultKind.TargetAdvertisesLimit && kind !== SoakFaultKind.StoreRestore;
 });
 
 /** The selection before {@link THIRD_FAULT_KINDS}. */
 export const SECOND_FAULT_KINDS: readonly SoakFaultKind[] = THIRD_FAULT_KINDS.filter((kind) => {
-  return kind !== SoakFaultKind.CrashingRequest && kind !== SoakFaultKind.TargetTellsDrain;
+  return kind !== SoakFaultKind.CrashingRequest && kind !== SoakFaultKind.TargetAnnouncesDrain;
 });
 
 /** The oldest selection, which the regression seeds use. */
