--- a/packages/lab/src/atMostOnce/node/main.ts
+++ b/packages/lab/src/atMostOnce/node/main.ts
@@ -35,7 +35,7 @@
   printCounts('answered bookings, sent again', report.replays);
   printCounts('unanswered bookings, sent again', report.unansweredRetries);
   printCounts('settled by command, then sent again', report.settled);
-  console.log(`  ${report.findings.length} broken promises`);
+  console.log(`  ${report.findings.length} violated guarantees`);
   for (const finding of report.findings) console.log(`    ${JSON.stringify(finding)}`);
 }
 
--- a/packages/lab/src/processes/node/labWorld.ts
+++ b/packages/lab/src/processes/node/labWorld.ts
@@ -162,7 +162,7 @@
   getOperator(member: string, nodeIndex = 0): OperatorCommand {
     const nodes = this.getNodes();
     const node = nodes[nodeIndex % nodes.length];
-    if (node === undefined) throw new Error('no node runs');
+    if (node === undefined) throw new Error('no node is running');
     return new OperatorCommand({
       fleet: this.fleet,
       admin: node.addresses.admin,
--- a/packages/lab/src/prove/node/drainedTargets.ts
+++ b/packages/lab/src/prove/node/drainedTargets.ts
@@ -4,9 +4,9 @@
 import type { Findings } from '../common/findings.js';
 
 /**
- * Time after the confirmation in which new work is allowed, in ms. A node that reaches neither store nor
- * peers continues with its last configuration until its isolation limit, 5 s in the lab; the plan may take
- * another second.
+ * Time after the confirmation in which new work is allowed, in ms: a drain is guaranteed to take effect
+ * within a few seconds. A node that reaches neither store nor peers continues with its last configuration
+ * until its isolation limit, 5 s in the lab; the plan may take another second.
  */
 const GRACE_MS = 6000;
 
--- a/packages/lab/src/soak/breaks/node/heldNever.ts
+++ b/packages/lab/src/soak/breaks/node/heldNever.ts
@@ -1,4 +1,4 @@
-/** Requests that crash targets are not held back. */
+/** Requests that crash targets are not quarantined. */
 import { wrapMethod } from '../../../prove/breaks/node/wrapMethod.js';
 
 const MODULE = 'dispatch/dist/quarantine/common/requestQuarantine.js';
--- a/packages/lab/src/soak/common/noticeChecks.ts
+++ b/packages/lab/src/soak/common/noticeChecks.ts
@@ -11,7 +11,7 @@
 import { describeArrival } from './requestText.js';
 
 const MS_PER_S = 1000;
-/** Number of crashes after which a request must be held back. */
+/** Number of crashes after which a request must be quarantined. */
 const KNOWN_CRASHES = 3;
 /** Time until all nodes know of these crashes, in ms. */
 const KNOWN_DELAY_MS = 3000;
@@ -109,7 +109,7 @@
     }).length;
     const allowed = (LIMIT_EXCESS * limit.ratePerS * LIMIT_WINDOW_MS) / MS_PER_S + LIMIT_ALLOWANCE;
     findings.check(name, count <= allowed, () => {
-      return `${key} takes ${limit.ratePerS.toFixed(1)} a second and got ${count}`;
+      return `${key} allows ${limit.ratePerS.toFixed(1)} requests per second and received ${count}`;
     });
   }
   findings.check(name, true, () => '');
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -13,7 +13,10 @@
 import type { SoakWorld } from './soakWorld.js';
 
 const MS_PER_S = 1000;
-/** Faults of nodes and targets are skipped unless more than this many are usable. */
+/**
+ * A fault of a node or target is skipped unless at least this many usable nodes, or targets of the same
+ * service, remain besides it.
+ */
 const MIN_NODES = 2;
 const MIN_TARGETS = 2;
 /** Longest delay of a link, in ms. */
@@ -88,11 +91,11 @@
       return Promise.resolve(startStorm(world));
     case SoakFaultKind.CrashingRequest:
       return Promise.resolve(startCrashingRequest(step, world));
-    case SoakFaultKind.TargetTellsDrain:
+    case SoakFaultKind.TargetAnnouncesDrain:
       return withTarget(step, world, (target) => startAnnouncedDrain(target, world));
     case SoakFaultKind.StoreRestore:
       return Promise.resolve(startStoreRestore(world));
-    case SoakFaultKind.TargetNamesLimit:
+    case SoakFaultKind.TargetAdvertisesLimit:
       return withTarget(step, world, (target) => startAdvertisedLimit(target, step));
   }
 }
@@ -318,7 +321,7 @@
   });
 }
 
-/** Repeats the request until the step ends. Nodes must go on holding it back. */
+/** Repeats the request until the step ends. Nodes must keep it quarantined. */
 function startCrashingRequest(step: Step, world: SoakWorld): Injection {
   const path = `${CRASH_PREFIX}${step.pick}`;
   const timer = setInterval(() => {
--- a/packages/lab/src/soak/node/soakWorld.ts
+++ b/packages/lab/src/soak/node/soakWorld.ts
@@ -59,7 +59,7 @@
   readonly targets: SoakTarget[] = [];
   private readonly fleet = new ProcessFleet({ graceMs: GRACE_MS, handleSignals: false });
   private readonly formerTargets: SoakTarget[] = [];
-  /** Targets whose entries say that they are draining and that still run. */
+  /** Running targets whose entries are marked as draining. */
   private readonly draining = new Set<SoakTarget>();
   /** Identifiers of targets whose entries were removed. */
   private readonly removedIds = new Set<string>();
