--- a/packages/base/src/result/common/resultTable.ts
+++ b/packages/base/src/result/common/resultTable.ts
@@ -28,7 +28,7 @@
   BodyTooLarge: [413, NotRun, 'The body exceeds the node limit.', 'Send less.'],
   UnknownHost: [404, NotRun, 'No member serves this host name.', 'Check the host name.'],
   UnknownRoute: [404, NotRun, 'The host has no route for this path.', 'Check the path.'],
-  MethodNotAllowed: [405, NotRun, 'No route on this path takes the method.', 'Check the method.'],
+  MethodNotAllowed: [405, NotRun, 'No route on this path accepts the method.', 'Check the method.'],
   DeadlinePassed: [504, NotRun, 'The deadline passed before dispatch.', 'Retry.'],
   MalformedDeadline: [400, NotRun, 'The timeout header is not a number of ms.', 'Fix the client.'],
   CallerGone: [499, MayHaveRun, 'The caller disconnected; counted, never sent.', 'Nothing.'],
--- a/packages/lab/src/docs/common/fieldTable.ts
+++ b/packages/lab/src/docs/common/fieldTable.ts
@@ -66,7 +66,7 @@
   if (rule.default !== '') return `\`${rule.default}\``;
   if (field.fieldKind === 'list') return 'empty';
   if (field.fieldKind === 'message') {
-    return hasDefaultsWhenAbsent(field.message) ? 'each field its own' : 'absent';
+    return hasDefaultsWhenAbsent(field.message) ? 'defaults of its fields' : 'absent';
   }
   if (field.scalar === ScalarType.STRING) return 'empty';
   if (field.scalar === ScalarType.BOOL) return '`false`';
