--- a/packages/lab/src/bench/detection-real/node/bench.ts
+++ b/packages/lab/src/bench/detection-real/node/bench.ts
@@ -71,7 +71,7 @@
   const fleet = new ProcessFleet();
   try {
     const group = await startTargetGroup(fleet, SERVICE, seed);
-    const home = new RealHome({ policy, service: SERVICE, places: group.targets, seed });
+    const home = new RealHome({ policy, service: SERVICE, targets: group.targets, seed });
     const random = new SeededRandom(seed);
     await home.sendFor(WARM_UP_MS, INTERVAL_MS, random);
     const faulty = group.targets[0];
--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -28,7 +28,7 @@
 export interface IRealHomeOptions {
   readonly policy: PolicyName;
   readonly service: IServiceLayout;
-  readonly places: readonly ILabTarget[];
+  readonly targets: readonly ILabTarget[];
   readonly seed: number;
 }
 
@@ -126,16 +126,16 @@
     };
   }
 
-  private async send(isBook: boolean): Promise<void> {
+  private async send(isBooking: boolean): Promise<void> {
     const startMs = performance.now();
     this.requests += 1;
     try {
       const response = await this.home.handle(
         {
           member: this.options.service.member,
-          route: isBook ? this.routes.book : this.routes.read,
-          method: isBook ? 'POST' : 'GET',
-          path: isBook ? '/book' : '/read',
+          route: isBooking ? this.routes.book : this.routes.read,
+          method: isBooking ? 'POST' : 'GET',
+          path: isBooking ? '/book' : '/read',
           headers: [],
           body: new Uint8Array(),
           deadlineMs: startMs + READ_DEADLINE_MS,
@@ -170,7 +170,7 @@
 }
 
 function buildHeader(options: IRealHomeOptions): ITraceHeader {
-  const { service, places } = options;
+  const { service, targets } = options;
   return {
     kind: 'header',
     name: 'real',
@@ -179,7 +179,7 @@
     durationMs: 0,
     service: {
       name: service.name,
-      targets: places.map(({ address, failureDomain }) => ({ address, failureDomain })),
+      targets: targets.map(({ address, failureDomain }) => ({ address, failureDomain })),
       slotsPerTarget: service.slots,
       floorSlots: service.slots,
       detection: 'fast',
--- a/packages/lab/src/bench/hop/node/bench.ts
+++ b/packages/lab/src/bench/hop/node/bench.ts
@@ -5,7 +5,7 @@
 import type { Cell, IBenchOptions, IBenchReport, IBenchTable } from '../../common/bench.js';
 import { Bench, formatNumber, parseNumbers } from '../../common/bench.js';
 import type { HopWorld } from './hopWorld.js';
-import { BOOK_HOST, READ_HOST, startHopWorld } from './hopWorld.js';
+import { BOOKING_HOST, READ_HOST, startHopWorld } from './hopWorld.js';
 import type { IStreamResults, IStreamOptions } from './requestStream.js';
 import { runStream } from './requestStream.js';
 
@@ -92,7 +92,7 @@
   durationMs: number,
   seed: number,
 ): IStreamOptions {
-  const host = path.isBooking ? BOOK_HOST : READ_HOST;
+  const host = path.isBooking ? BOOKING_HOST : READ_HOST;
   const { addresses, isBooking } = path;
   return { addresses, host, isBooking, perSecond, durationMs, seed };
 }
--- a/packages/lab/src/bench/hop/node/hopWorld.ts
+++ b/packages/lab/src/bench/hop/node/hopWorld.ts
@@ -26,7 +26,7 @@
 /** Host name of the idempotent route. */
 export const READ_HOST = 'read.example';
 /** Host name of the non-idempotent route. */
-export const BOOK_HOST = 'book.example';
+export const BOOKING_HOST = 'book.example';
 
 const NODE_COUNT = 2;
 const FIRST_NODE_HOST = 31;
@@ -139,8 +139,8 @@
   await platform.dispose();
 }
 
-function makeIntent(places: readonly ILabTarget[]): Intent {
-  const targets = places.map(({ address }) => {
+function makeIntent(labTargets: readonly ILabTarget[]): Intent {
+  const targets = labTargets.map(({ address }) => {
     return { address, failureDomain: DOMAIN, slots: SLOTS, maxConnections: 400 };
   });
   const shared = { pathPrefix: '/', service: SERVICE, deadlineMs: 10_000 };
@@ -149,7 +149,7 @@
     services: [{ name: SERVICE, targets, floorSlots: 1 }],
     routes: [
       { ...shared, name: 'read', host: READ_HOST, idempotent: true },
-      { ...shared, name: 'book', host: BOOK_HOST, keyHeader: 'idempotency-key' },
+      { ...shared, name: 'book', host: BOOKING_HOST, keyHeader: 'idempotency-key' },
     ],
   });
 }
--- a/packages/lab/src/demo/node/scriptedDemo.ts
+++ b/packages/lab/src/demo/node/scriptedDemo.ts
@@ -100,11 +100,11 @@
     comparison.bookingsDone >= MIN_COMPLETED_SHARE * comparison.bookings && comparison.bookings > 0,
     `${comparison.bookingsDone} of ${comparison.bookings}`,
   );
-  for (const promise of ['whole answers', 'at most once', 'truthful refusals']) {
-    const violated = comparison.findings.filter((finding) => finding.promise === promise);
+  for (const guarantee of ['whole answers', 'at most once', 'truthful refusals']) {
+    const violated = comparison.findings.filter((finding) => finding.promise === guarantee);
     const first =
       violated[0] === undefined ? '' : `, first ${violated[0].requestId}: ${violated[0].detail}`;
-    checks.check(promise, violated.length === 0, `${violated.length} violations${first}`);
+    checks.check(guarantee, violated.length === 0, `${violated.length} violations${first}`);
   }
   const violations = await readViolations(world.getNodes());
   const total = violations.reduce((sum, { count }) => sum + count, 0);
--- a/packages/schema/src/rules/common/nearestName.ts
+++ b/packages/schema/src/rules/common/nearestName.ts
@@ -12,11 +12,11 @@
  */
 export function findNearest(text: string, names: readonly string[]): string | undefined {
   if (names.length === 0) return undefined;
-  const folded = new Map(names.map((name) => [formatNormalized(name), name]));
-  const nearest = closest(formatNormalized(text), [...folded.keys()]);
+  const normalized = new Map(names.map((name) => [formatNormalized(name), name]));
+  const nearest = closest(formatNormalized(text), [...normalized.keys()]);
   const changes = distance(formatNormalized(text), nearest);
   if (changes > Math.max(text.length, nearest.length) * MAX_CHANGED_SHARE) return undefined;
-  return folded.get(nearest);
+  return normalized.get(nearest);
 }
 
 /** Ignores case, dashes and underscores, the most frequent differences in misspelled names. */
--- a/packages/schema/src/rules/common/settingsError.ts
+++ b/packages/schema/src/rules/common/settingsError.ts
@@ -24,10 +24,10 @@
  * formatProblem(problem); // node.jsonc:3:5: timing.configPollMs: must be at least 50 ms, is 10
  */
 export function formatProblem(problem: IFieldProblem): string {
-  const place = `${problem.file}:${problem.line}:${problem.column}`;
+  const position = `${problem.file}:${problem.line}:${problem.column}`;
   const field = problem.field === '' ? '' : `${problem.field}: `;
   const hint = problem.hint === '' ? '' : ` (${problem.hint})`;
-  return `${place}: ${field}${problem.message}${hint}`;
+  return `${position}: ${field}${problem.message}${hint}`;
 }
 
 /**
--- a/packages/standins/src/platform/common/platformFaults.ts
+++ b/packages/standins/src/platform/common/platformFaults.ts
@@ -62,8 +62,9 @@
   /** Requests rejected with 503. */
   readonly refused: number;
   readonly answersLost: number;
-  /** Bytes of request bodies; `bytesSent`: of response bodies. */
+  /** Bytes of request bodies. */
   readonly bytesReceived: number;
+  /** Bytes of response bodies. */
   readonly bytesSent: number;
   /** Requests by path; all objects count as one path. */
   readonly byPath: Readonly<Record<string, number>>;
