--- a/packages/lab/src/soak/common/boundChecks.ts
+++ b/packages/lab/src/soak/common/boundChecks.ts
@@ -37,7 +37,7 @@
     const dueMs = accepted.acceptedMs + SOAK_BOUNDS.config_apply_s * MS_PER_S;
     if (isReplaced || probe.sentMs < dueMs) continue;
     const scopes = [probe.node, STORE_SCOPE];
-    if (!disturbances.isCalm(scopes, accepted.acceptedMs, probe.sentMs)) continue;
+    if (!disturbances.isUndisturbed(scopes, accepted.acceptedMs, probe.sentMs)) continue;
     findings.check('configurations are in force in time', probe.isFound, () => {
       return `${probe.node} lacks version ${probe.version} ${Math.round(probe.sentMs - accepted.acceptedMs)} ms after it was accepted`;
     });
@@ -52,7 +52,7 @@
     for (const arrival of ledger.listArrivals()) {
       if (arrival.target !== target || arrival.atMs <= dueMs || arrival.atMs > endMs) continue;
       const node = requests.get(arrival.id)?.node ?? '';
-      if (!disturbances.isCalm([node, STORE_SCOPE], acceptedMs, arrival.atMs)) continue;
+      if (!disturbances.isUndisturbed([node, STORE_SCOPE], acceptedMs, arrival.atMs)) continue;
       findings.check('leaving targets get nothing new', !arrival.hasRun, () => {
         return `${describeArrival(arrival)} ${Math.round(arrival.atMs - acceptedMs)} ms after the store accepted it`;
       });
@@ -75,7 +75,8 @@
     request.node,
     ...arrivals.flatMap(({ target }) => [target, formatLinkScope(target)]),
   ];
-  if (!isAfterRequest || !evidence.disturbances.isCalm(scopes, request.sentMs, reply.endMs)) return;
+  if (!isAfterRequest || !evidence.disturbances.isUndisturbed(scopes, request.sentMs, reply.endMs))
+    return;
   const isLost = reply.status === undefined && (arrivals.length > 0 || !reply.isUnread);
   findings.check('stops lose no request', !isLost, () => describeRequestRecord(record));
 }
@@ -87,7 +88,7 @@
 ): void {
   const { reply, request } = record;
   if (reply === undefined || reply.hasDisconnected) return;
-  if (!evidence.disturbances.isCalm([request.node], request.sentMs, reply.endMs)) return;
+  if (!evidence.disturbances.isUndisturbed([request.node], request.sentMs, reply.endMs)) return;
   const tookMs = reply.endMs - request.sentMs;
   const limitMs = ROUTE_TIMEOUT_S * MS_PER_S + TIMEOUT_SLACK_MS;
   findings.check('answers come by the route’s timeout', tookMs <= limitMs, () => {
@@ -102,13 +103,13 @@
 ): void {
   const { arrivals, reply, request } = record;
   if (reply?.hasDisconnected !== true) return;
-  if (!evidence.disturbances.isCalm([request.node], request.sentMs, reply.endMs)) return;
+  if (!evidence.disturbances.isUndisturbed([request.node], request.sentMs, reply.endMs)) return;
   const limitMs = reply.endMs + DISCONNECT_SLACK_MS;
   const isLate = arrivals.some(({ atMs }) => atMs > limitMs);
   const describe = () => describeRequestRecord(record);
   findings.check('requests of callers that left go no further', !isLate, describe);
   const links = arrivals.map(({ target }) => formatLinkScope(target));
-  if (!evidence.disturbances.isCalm(links, request.sentMs, limitMs)) return;
+  if (!evidence.disturbances.isUndisturbed(links, request.sentMs, limitMs)) return;
   const isStillRunning = arrivals.some(({ workEndMs }) => (workEndMs ?? Infinity) > limitMs);
   findings.check('targets drop the work of callers that left', !isStillRunning, describe);
 }
--- a/packages/lab/src/soak/common/disturbanceLog.ts
+++ b/packages/lab/src/soak/common/disturbanceLog.ts
@@ -1,7 +1,7 @@
 /** Records which parts of the system faults affected, so that checks with a time bound skip those periods. */
 
 /** Time after a fault in which guarantees with a time bound are not checked, in ms. */
-const CALM_MS = 3000;
+const SETTLE_MS = 3000;
 
 interface IDisturbance {
   readonly scope: string;
@@ -42,9 +42,9 @@
   }
 
   /** Whether none of the scopes was disturbed from some seconds before `startMs` until `endMs`. */
-  isCalm(scopes: readonly string[], startMs: number, endMs: number): boolean {
+  isUndisturbed(scopes: readonly string[], startMs: number, endMs: number): boolean {
     return !this.entries.some((entry) => {
-      const overlaps = entry.startMs <= endMs && entry.endMs >= startMs - CALM_MS;
+      const overlaps = entry.startMs <= endMs && entry.endMs >= startMs - SETTLE_MS;
       return overlaps && scopes.includes(entry.scope);
     });
   }
--- a/packages/lab/src/soak/common/noticeChecks.ts
+++ b/packages/lab/src/soak/common/noticeChecks.ts
@@ -48,8 +48,8 @@
       .filter(({ request }) => request.path === path)
       .flatMap(({ arrivals, request }) => {
         return arrivals.filter(({ atMs }) => {
-          const isCalm = disturbances.isCalm([request.node], atMs, atMs);
-          return atMs > thirdMs + KNOWN_DELAY_MS && isCalm;
+          const isUndisturbed = disturbances.isUndisturbed([request.node], atMs, atMs);
+          return atMs > thirdMs + KNOWN_DELAY_MS && isUndisturbed;
         });
       });
     findings.check('crashing requests are held back', late.length <= MAX_SENT_AFTER_KNOWN, () => {
@@ -75,7 +75,7 @@
     for (const arrival of record.arrivals) {
       const dueMs =
         (announcedMs.get(formatKey(record, arrival)) ?? Infinity) + SOAK_BOUNDS.drain_s * MS_PER_S;
-      if (sentMs <= dueMs || !disturbances.isCalm([node], dueMs, arrival.atMs)) continue;
+      if (sentMs <= dueMs || !disturbances.isUndisturbed([node], dueMs, arrival.atMs)) continue;
       findings.check('targets that say they leave get nothing new', false, () => {
         return `${describeArrival(arrival)} from ${node}, ${Math.round(sentMs - dueMs)} ms too late`;
       });
@@ -98,8 +98,8 @@
       const key = formatLimit(arrival, limit);
       const countedMs =
         (advertisedMs.get(`${formatNode(request)} ${key}`) ?? Infinity) + LIMIT_APPLY_MS;
-      const isCalm = disturbances.isCalm([request.node], countedMs, atMs);
-      return atMs >= countedMs && isCalm ? { atMs, key, limit } : [];
+      const isUndisturbed = disturbances.isUndisturbed([request.node], countedMs, atMs);
+      return atMs >= countedMs && isUndisturbed ? { atMs, key, limit } : [];
     });
   });
   for (const { atMs, key, limit } of arrivals) {
--- a/packages/lab/src/soak/node/soakFaults.ts
+++ b/packages/lab/src/soak/node/soakFaults.ts
@@ -161,10 +161,18 @@
   void node.waitForEnd().then(() => {
     clearTimeout(killer);
     const tookMs = performance.now() - requestedMs;
-    const wasCalm = world.disturbances.isCalm([node.name], requestedMs, requestedMs + tookMs);
-    world.findings.check('stops end within the grace time', !wasCalm || tookMs < graceMs, () => {
-      return `${node.name} took ${Math.round(tookMs)} ms`;
-    });
+    const wasUndisturbed = world.disturbances.isUndisturbed(
+      [node.name],
+      requestedMs,
+      requestedMs + tookMs,
+    );
+    world.findings.check(
+      'stops end within the grace time',
+      !wasUndisturbed || tookMs < graceMs,
+      () => {
+        return `${node.name} took ${Math.round(tookMs)} ms`;
+      },
+    );
     setTimeout(() => void world.ensureRunning(node), RESTART_DELAY_MS);
   });
   return Promise.resolve(endNothing);
