--- a/packages/lab/src/soak/common/noticeChecks.ts
+++ b/packages/lab/src/soak/common/noticeChecks.ts
@@ -11,7 +11,7 @@
 import { describeArrival } from './requestText.js';
 
 const MS_PER_S = 1000;
-/** Number of crashes after which a request must be held back. */
+/** Number of crashes after which a request must be quarantined. */
 const KNOWN_CRASHES = 3;
 /** Time until all nodes know of these crashes, in ms. */
 const KNOWN_DELAY_MS = 3000;
@@ -48,8 +48,8 @@
       .filter(({ request }) => request.path === path)
       .flatMap(({ arrivals, request }) => {
         return arrivals.filter(({ atMs }) => {
-          const isCalm = disturbances.isCalm([request.node], atMs, atMs);
-          return atMs > thirdMs + KNOWN_DELAY_MS && isCalm;
+          const isUndisturbed = disturbances.isUndisturbed([request.node], atMs, atMs);
+          return atMs > thirdMs + KNOWN_DELAY_MS && isUndisturbed;
         });
       });
     findings.check('crashing requests are held back', late.length <= MAX_SENT_AFTER_KNOWN, () => {
@@ -75,7 +75,7 @@
     for (const arrival of record.arrivals) {
       const dueMs =
         (announcedMs.get(formatKey(record, arrival)) ?? Infinity) + SOAK_BOUNDS.drain_s * MS_PER_S;
-      if (sentMs <= dueMs || !disturbances.isCalm([node], dueMs, arrival.atMs)) continue;
+      if (sentMs <= dueMs || !disturbances.isUndisturbed([node], dueMs, arrival.atMs)) continue;
       findings.check('targets that say they leave get nothing new', false, () => {
         return `${describeArrival(arrival)} from ${node}, ${Math.round(sentMs - dueMs)} ms too late`;
       });
@@ -98,8 +98,8 @@
       const key = formatLimit(arrival, limit);
       const countedMs =
         (advertisedMs.get(`${formatNode(request)} ${key}`) ?? Infinity) + LIMIT_APPLY_MS;
-      const isCalm = disturbances.isCalm([request.node], countedMs, atMs);
-      return atMs >= countedMs && isCalm ? { atMs, key, limit } : [];
+      const isUndisturbed = disturbances.isUndisturbed([request.node], countedMs, atMs);
+      return atMs >= countedMs && isUndisturbed ? { atMs, key, limit } : [];
     });
   });
   for (const { atMs, key, limit } of arrivals) {
@@ -109,7 +109,7 @@
     }).length;
     const allowed = (LIMIT_EXCESS * limit.ratePerS * LIMIT_WINDOW_MS) / MS_PER_S + LIMIT_ALLOWANCE;
     findings.check(name, count <= allowed, () => {
-      return `${key} takes ${limit.ratePerS.toFixed(1)} a second and got ${count}`;
+      return `${key} allows ${limit.ratePerS.toFixed(1)} requests per second and received ${count}`;
     });
   }
   findings.check(name, true, () => '');
