--- a/packages/lab/src/bench/claims/common/measureClaims.ts
+++ b/packages/lab/src/bench/claims/common/measureClaims.ts
@@ -25,7 +25,7 @@
   /** Mean arrival rate per second. */
   readonly perSecond: number;
   readonly durationMs: number;
-  readonly responseBytes: number;
+  readonly answerBytes: number;
 }
 
 /** Results of one case. */
@@ -165,7 +165,7 @@
         ['content-type', 'application/json'],
         ['location', '/jobs/17'],
       ],
-      body: new Uint8Array(this.setting.responseBytes),
+      body: new Uint8Array(this.setting.answerBytes),
       code: ResultCode.Ok,
       runState: RunState.Ran,
     };
--- a/packages/lab/src/bench/claims/node/bench.ts
+++ b/packages/lab/src/bench/claims/node/bench.ts
@@ -79,7 +79,7 @@
     maxInFlight: DEFAULT_IN_FLIGHT,
     perSecond: BYTES_RATE,
     durationMs: run.durationMs,
-    responseBytes: DEFAULT_RESPONSE_BYTES,
+    answerBytes: DEFAULT_RESPONSE_BYTES,
     ...change,
   };
 }
@@ -134,7 +134,7 @@
   for (const responseBytes of RESPONSE_BYTES) {
     const { services, store } = run;
     const before = await store.fetchCounters();
-    const setting = makeCase(run, { responseBytes });
+    const setting = makeCase(run, { answerBytes: responseBytes });
     const { bookings } = await measureClaims(setting, services);
     const after = await store.fetchCounters();
     const storedRowBytes = await measureLargestRow(run, setting.member);
