--- a/packages/lab/src/experiment/common/comparison.ts
+++ b/packages/lab/src/experiment/common/comparison.ts
@@ -52,18 +52,18 @@
 
 /** Compares runs of policies; each list has one run for each seed, in the same order of seeds. */
 export function comparePolicies(
-  runs: readonly { readonly policy: string; readonly figures: readonly IRunResult[] }[],
+  runs: readonly { readonly policy: string; readonly results: readonly IRunResult[] }[],
 ): readonly IComparedPolicy[] {
   const [baseline] = runs;
   return runs.map((run) => ({
     policy: run.policy,
-    figures: estimateAll((name) => run.figures.map((result) => result[name])),
+    figures: estimateAll((name) => run.results.map((result) => result[name])),
     differences:
       run === baseline || baseline === undefined
         ? undefined
         : estimateAll((name) => {
-            return run.figures.map((result, seed) => {
-              return result[name] - (baseline.figures[seed]?.[name] ?? NaN);
+            return run.results.map((result, seed) => {
+              return result[name] - (baseline.results[seed]?.[name] ?? NaN);
             });
           }),
   }));
--- a/packages/lab/src/experiment/common/experimentRun.test.ts
+++ b/packages/lab/src/experiment/common/experimentRun.test.ts
@@ -75,8 +75,8 @@
 test('differences between two policies are computed seed by seed', async () => {
   const results = await runSeeds('gray-bookings', CURRENT_POLICY, 2);
   const [, same] = comparePolicies([
-    { policy: 'a', figures: results },
-    { policy: 'b', figures: results },
+    { policy: 'a', results },
+    { policy: 'b', results },
   ]);
   assert.deepEqual(same?.differences?.credit, { mean: 0, halfWidth: 0 });
 });
--- a/packages/lab/src/experiment/common/experimentRun.ts
+++ b/packages/lab/src/experiment/common/experimentRun.ts
@@ -37,9 +37,9 @@
   private readonly clock = new ManualClock();
   private readonly recorder = new RunRecorder();
   private readonly observer: FleetObserver;
-  private readonly callers: RandomSource;
-  private readonly paths: RandomSource;
-  private readonly crashing: RandomSource;
+  private readonly callerRandom: RandomSource;
+  private readonly nodeChoiceRandom: RandomSource;
+  private readonly crashingRandom: RandomSource;
   private readonly network: ModelledNetwork;
   private readonly targets: readonly ModelledTarget[];
   private readonly fleet: ModelledFleet;
@@ -58,8 +58,8 @@
     this.scenario = scenario;
     const source = new SeededRandom(seed);
     const fork = () => new SeededRandom(source.getInteger(0x7fff_ffff));
-    this.callers = fork();
-    this.paths = fork();
+    this.callerRandom = fork();
+    this.nodeChoiceRandom = fork();
     const { clock } = this;
     const { datagramLoss: lossShare, datagramMs: delayMs } = scenario;
     this.network = new ModelledNetwork({ clock, random: fork(), delayMs, lossShare });
@@ -70,7 +70,7 @@
       });
     });
     // Not forked from the source, so that crashing requests don't change the draws of the others.
-    this.crashing = new SeededRandom(seed + 1);
+    this.crashingRandom = new SeededRandom(seed + 1);
     const byId = new Map(this.targets.map((target) => [target.options.id, target]));
     this.observer = new FleetObserver(scenario);
     const log = createSilentLogger();
@@ -141,7 +141,7 @@
           workMs: 0,
           immediateAttempts: 0,
           clock: this.clock,
-          random: this.crashing,
+          random: this.crashingRandom,
           listNodes: () => this.fleet.listOpen(),
           recorder: new RunRecorder(),
           observer: this.observer,
@@ -155,8 +155,8 @@
     const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
     const transports = this.fleet.listTransports();
     return this.recorder.summarize({
-      connections: sum(transports.map(({ openedConnections: opened }) => opened)),
-      crossDomainBytes: sum(transports.map(({ crossDomainBytes: crossedBytes }) => crossedBytes)),
+      connections: sum(transports.map(({ openedConnections }) => openedConnections)),
+      crossDomainBytes: sum(transports.map(({ crossDomainBytes }) => crossDomainBytes)),
       crashedTargets: this.observer.countCrashes(),
       failedRuns: sum(this.targets.map(({ failedMs }) => failedMs.length)),
       violations: this.observer
@@ -168,15 +168,15 @@
   private send(kind: IRequestKind, index: number): void {
     const nowMs = this.clock.getMonotonicTime();
     const [abuse] = listEvents(this.scenario, 'retry-abuse', kind.service, nowMs);
-    const isAbusive = this.callers.getFloat() < (abuse?.share ?? 0);
+    const isAbusive = this.callerRandom.getFloat() < (abuse?.share ?? 0);
     const request = sendRequest({
       kind,
       id: `q${index}`,
       ...(kind.popular === undefined ? {} : { content: `${kind.name}-${index % kind.popular}` }),
-      workMs: sampleWork(kind.work, this.callers),
+      workMs: sampleWork(kind.work, this.callerRandom),
       immediateAttempts: isAbusive ? (abuse?.factor ?? 1) : 0,
       clock: this.clock,
-      random: this.paths,
+      random: this.nodeChoiceRandom,
       listNodes: () => this.fleet.listOpen(),
       recorder: this.recorder,
       observer: this.observer,
@@ -189,7 +189,7 @@
       (product, event) => product * (event.factor ?? 1),
       1,
     );
-    return this.callers.getExponential(MS_PER_S / (kind.perS * factor));
+    return this.callerRandom.getExponential(MS_PER_S / (kind.perS * factor));
   }
 
   /** Sends changed lists of targets to the nodes, and disconnects homes that the scenario cuts off. */
--- a/packages/lab/src/experiment/common/fleetObserver.test.ts
+++ b/packages/lab/src/experiment/common/fleetObserver.test.ts
@@ -60,7 +60,7 @@
 });
 
 test('the floor binds while more than a tenth and less than half of the requests are unserved', () => {
-  for (const [unserved, isBroken] of [
+  for (const [unserved, isViolated] of [
     [10, false],
     [11, true],
     [49, true],
@@ -74,7 +74,7 @@
       if (index >= unserved) observer.recordServed(id);
     }
     const targets = Array.from({ length: 10 }, (_, index) => makeTarget(index));
-    assert.equal(observer.findViolations(targets).length > 0, isBroken, `${unserved} unserved`);
+    assert.equal(observer.findViolations(targets).length > 0, isViolated, `${unserved} unserved`);
   }
 });
 
--- a/packages/lab/src/experiment/common/modelledFleet.ts
+++ b/packages/lab/src/experiment/common/modelledFleet.ts
@@ -33,7 +33,7 @@
   node: ModelledNode;
   incarnation: number;
   isOpen: boolean;
-  readonly lagMs: number;
+  readonly membershipDelayMs: number;
 }
 
 interface IMembershipSnapshot {
@@ -60,11 +60,11 @@
   constructor(private readonly options: IModelledFleetOptions) {
     const { createNode, random, scenario } = options;
     for (let index = 0; index < scenario.nodes; index += 1) {
-      const lagMs = random.getFloat() * MAX_MEMBERSHIP_DELAY_MS;
+      const membershipDelayMs = random.getFloat() * MAX_MEMBERSHIP_DELAY_MS;
       this.registered.add(formatNode(index));
       const node = createNode(index, 1, this);
       this.transports.push(node.transport);
-      this.nodeStates.push({ node, incarnation: 1, isOpen: true, lagMs });
+      this.nodeStates.push({ node, incarnation: 1, isOpen: true, membershipDelayMs });
     }
     this.recordMembers(-MAX_MEMBERSHIP_DELAY_MS);
   }
@@ -108,8 +108,8 @@
    * one if `index` is undefined.
    */
   rankHomes(service: string, index?: number): readonly string[] {
-    const lagMs = index === undefined ? 0 : (this.nodeStates[index]?.lagMs ?? 0);
-    const knownMs = this.options.clock.getMonotonicTime() - lagMs;
+    const delayMs = index === undefined ? 0 : (this.nodeStates[index]?.membershipDelayMs ?? 0);
+    const knownMs = this.options.clock.getMonotonicTime() - delayMs;
     const members = this.history.findLast(({ atMs }) => atMs <= knownMs) ?? this.history[0];
     const ranked = members?.placement.rank({ id: service, failureDomains: [] }, RANKED_HOMES) ?? [];
     return ranked.map(({ address }) => address);
@@ -141,12 +141,12 @@
 
   private runRestart(index: number, forMs: number): void {
     const { clock } = this.options;
-    const place = this.nodeStates[index];
-    if (place === undefined || !this.registered.has(formatNode(index))) return;
-    place.node.announceShutdown([...this.registered]);
+    const state = this.nodeStates[index];
+    if (state === undefined || !this.registered.has(formatNode(index))) return;
+    state.node.announceShutdown([...this.registered]);
     this.removeMember(index);
     clock.startTimer(BALANCER_DELAY_MS, () => {
-      place.isOpen = false;
+      state.isOpen = false;
     });
     clock.startTimer(SHUTDOWN_MS, () => {
       this.end(index);
@@ -155,25 +155,25 @@
   }
 
   private end(index: number): void {
-    const place = this.nodeStates[index];
-    if (place === undefined) return;
-    place.isOpen = false;
-    place.node.dispose();
+    const state = this.nodeStates[index];
+    if (state === undefined) return;
+    state.isOpen = false;
+    state.node.dispose();
     this.options.network.setDisconnected(formatNode(index), true);
   }
 
   private startAfter(index: number, delayMs: number): void {
     const { clock, createNode, network } = this.options;
-    const place = this.nodeStates[index];
-    if (place === undefined) return;
+    const state = this.nodeStates[index];
+    if (state === undefined) return;
     clock.startTimer(delayMs, () => {
-      place.incarnation += 1;
+      state.incarnation += 1;
       network.setDisconnected(formatNode(index), false);
-      place.node = createNode(index, place.incarnation, this);
-      this.transports.push(place.node.transport);
-      place.node.setTargets(this.records);
+      state.node = createNode(index, state.incarnation, this);
+      this.transports.push(state.node.transport);
+      state.node.setTargets(this.records);
       clock.startTimer(START_MS, () => {
-        place.isOpen = true;
+        state.isOpen = true;
         this.registered.add(formatNode(index));
         this.recordMembers(clock.getMonotonicTime());
       });
--- a/packages/lab/src/experiment/common/modelledTarget.ts
+++ b/packages/lab/src/experiment/common/modelledTarget.ts
@@ -34,7 +34,7 @@
 export interface IModelledArrival {
   readonly workMs: number;
   /** Random number from 0 to 1 that decides whether the target fails or sheds the request. */
-  readonly luck: number;
+  readonly draw: number;
   /** Set if the request crashes the target that runs it. */
   readonly crash: ICrashingRequest | undefined;
   /** Called when the request has crashed the target. */
@@ -44,7 +44,7 @@
   readonly onConnectionLost: () => void;
 }
 
-interface IJob extends Omit<IModelledArrival, 'luck'> {
+interface IJob extends Omit<IModelledArrival, 'draw'> {
   isCancelled: boolean;
 }
 
@@ -64,7 +64,7 @@
  * failures.
  *
  * @example
- * const job = target.accept({ workMs, luck, crash: undefined, onCrash, respond, onConnectionLost });
+ * const job = target.accept({ workMs, draw, crash: undefined, onCrash, respond, onConnectionLost });
  */
 export class ModelledTarget {
   arrivals = 0;
@@ -112,15 +112,15 @@
   /** Accepts a request. Disposing the result cancels the request. */
   accept(arrival: IModelledArrival): IDisposable {
     const { clock, service } = this.options;
-    const { respond, luck } = arrival;
+    const { respond, draw } = arrival;
     this.arrivals += 1;
-    if (luck > 1 - this.getShedShare()) {
+    if (draw > 1 - this.getShedShare()) {
       return clock.startTimer(service.gray.failMs, () => {
         respond(this.makeShedResponse());
       });
     }
     const isFailing = this.isFailing();
-    if (luck < (isFailing ? service.gray.failShare : service.errorShare)) {
+    if (draw < (isFailing ? service.gray.failShare : service.errorShare)) {
       this.failedMs.push(clock.getMonotonicTime());
       // A failed request does no work, so it uses no slot.
       const { failMs } = service.gray;
--- a/packages/lab/src/experiment/common/modelledTransport.ts
+++ b/packages/lab/src/experiment/common/modelledTransport.ts
@@ -135,7 +135,7 @@
         if (crash !== undefined) observer.recordCrashingArrival(crash.name, nowMs, startedMs);
         job = target.accept({
           workMs,
-          luck: random.getFloat(),
+          draw: random.getFloat(),
           crash,
           respond: (response) => {
             clock.startTimer(ONE_WAY_DELAY_MS, () => {
--- a/packages/lab/src/experiment/node/main.ts
+++ b/packages/lab/src/experiment/node/main.ts
@@ -55,10 +55,10 @@
     });
     const results = await runExperiments(jobs, Number(this.threads));
     const runs = policies.map((policy, index) => {
-      return { policy, figures: results.slice(index * count, (index + 1) * count) };
+      return { policy, results: results.slice(index * count, (index + 1) * count) };
     });
     const compared = comparePolicies(runs);
-    const violated = runs.flatMap((run) => listViolations(run.policy, run.figures));
+    const violated = runs.flatMap((run) => listViolations(run.policy, run.results));
     const report = { scenario: scenario.name, seeds: count, policies: compared, broken: violated };
     const text = [formatTable(scenario.name, compared), ...violated.map((line) => `${line}\n`)];
     this.context.stdout.write(this.json ? `${JSON.stringify(report)}\n` : text.join(''));
