--- a/packages/lab/src/bench/detection-real/node/realHome.ts
+++ b/packages/lab/src/bench/detection-real/node/realHome.ts
@@ -12,7 +12,7 @@
 import * as hdr from 'hdr-histogram-js';
 import type { IServiceLayout, ILabTarget } from '../../../processes/common/worldLayout.js';
 import type { PolicyName } from '../../../replay/common/policies.js';
-import { createPolicy } from '../../../replay/common/policies.js';
+import { createPolicyDetector } from '../../../replay/common/policies.js';
 import { SimulatedTable } from '../../../replay/common/simulatedTable.js';
 import { buildConfigService, buildRoutes } from '../../../replay/common/traceConfig.js';
 import type { ITraceHeader } from '../../../trace/common/trace.js';
@@ -82,7 +82,7 @@
         node: 'node',
       }),
       invariants,
-      createDetector: () => createPolicy(options.policy, 'fast'),
+      createDetector: () => createPolicyDetector(options.policy, 'fast'),
       onHealthStatusChange: (change) => {
         if (change.standing === HealthStatus.Ejected) this.ejected.push(change.target);
       },
--- a/packages/lab/src/load/common/outcomeComparison.test.ts
+++ b/packages/lab/src/load/common/outcomeComparison.test.ts
@@ -42,7 +42,10 @@
   return { target: 't', key, requestId: 'r', state: 'finished', startedAtMs };
 }
 
-function listBrokenGuarantees(record: IRequestRecord, executions: readonly IExecution[]): string[] {
+function listViolatedGuarantees(
+  record: IRequestRecord,
+  executions: readonly IExecution[],
+): string[] {
   return compareOutcomes([record], executions).findings.map(({ promise }) => promise);
 }
 
@@ -51,32 +54,32 @@
 
 test('a booking that two targets executed is reported, a read executed twice is not', () => {
   const executions = [makeExecution(10, 'k'), makeExecution(20, 'k')];
-  assert.deepEqual(listBrokenGuarantees(makeRecord(true, [ANSWERED]), executions), [
+  assert.deepEqual(listViolatedGuarantees(makeRecord(true, [ANSWERED]), executions), [
     'at most once',
   ]);
   const reads = [makeExecution(10), makeExecution(20)];
-  assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), reads), []);
+  assert.deepEqual(listViolatedGuarantees(makeRecord(false, [ANSWERED]), reads), []);
 });
 
 test('a refusal as not run is false if an execution started before the next attempt', () => {
   const refusedThenAnswered = makeRecord(true, [{}, ANSWERED]);
-  assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(120, 'k')]), []);
-  assert.deepEqual(listBrokenGuarantees(refusedThenAnswered, [makeExecution(20, 'k')]), [
+  assert.deepEqual(listViolatedGuarantees(refusedThenAnswered, [makeExecution(120, 'k')]), []);
+  assert.deepEqual(listViolatedGuarantees(refusedThenAnswered, [makeExecution(20, 'k')]), [
     'truthful refusals',
   ]);
-  assert.deepEqual(listBrokenGuarantees(makeRecord(true, [{}, {}]), [makeExecution(500, 'k')]), [
+  assert.deepEqual(listViolatedGuarantees(makeRecord(true, [{}, {}]), [makeExecution(500, 'k')]), [
     'truthful refusals',
   ]);
   assert.deepEqual(
-    listBrokenGuarantees(makeRecord(true, [UNKNOWN, {}]), [makeExecution(20, 'k')]),
+    listViolatedGuarantees(makeRecord(true, [UNKNOWN, {}]), [makeExecution(20, 'k')]),
     [],
   );
 });
 
 test('partial responses, responses without execution and unexplained errors are reported', () => {
   const partial = makeRecord(false, [{ outcome: AttemptOutcome.Partial }, ANSWERED]);
-  assert.deepEqual(listBrokenGuarantees(partial, [makeExecution(10)]), ['whole answers']);
-  assert.deepEqual(listBrokenGuarantees(makeRecord(false, [ANSWERED]), []), ['whole answers']);
+  assert.deepEqual(listViolatedGuarantees(partial, [makeExecution(10)]), ['whole answers']);
+  assert.deepEqual(listViolatedGuarantees(makeRecord(false, [ANSWERED]), []), ['whole answers']);
   const unexplained = makeRecord(false, [{ outcome: AttemptOutcome.Unexplained }]);
-  assert.deepEqual(listBrokenGuarantees(unexplained, []), ['truthful refusals']);
+  assert.deepEqual(listViolatedGuarantees(unexplained, []), ['truthful refusals']);
 });
--- a/packages/lab/src/replay/common/policies.ts
+++ b/packages/lab/src/replay/common/policies.ts
@@ -27,7 +27,7 @@
 }
 
 /** Creates the detector of a policy. */
-export function createPolicy(
+export function createPolicyDetector(
   name: PolicyName,
   detection: DetectionName,
   settings: IPolicySettings = {},
--- a/packages/lab/src/replay/common/replayTrace.test.ts
+++ b/packages/lab/src/replay/common/replayTrace.test.ts
@@ -6,7 +6,7 @@
 import { buildTrace } from '../../trace/common/traceGenerator.js';
 import { checkOutcome } from './outcomeCheck.js';
 import type { PolicyName } from './policies.js';
-import { createPolicy } from './policies.js';
+import { createPolicyDetector } from './policies.js';
 import { replayTrace } from './replayTrace.js';
 
 const SEED = 2;
@@ -14,7 +14,7 @@
 async function replay(name: string, policy: PolicyName = 'sequential') {
   const trace = buildTrace(name, SEED);
   const { detection } = trace.header.service;
-  const createDetector = () => createPolicy(policy, detection);
+  const createDetector = () => createPolicyDetector(policy, detection);
   return replayTrace(trace, { policy, seed: SEED, createDetector });
 }
 
--- a/packages/lab/src/replay/node/main.ts
+++ b/packages/lab/src/replay/node/main.ts
@@ -6,7 +6,7 @@
 import { buildTrace, listTraceNames } from '../../trace/common/traceGenerator.js';
 import { checkOutcome } from '../common/outcomeCheck.js';
 import type { PolicyName } from '../common/policies.js';
-import { createPolicy, isPolicyName, POLICY_NAMES } from '../common/policies.js';
+import { createPolicyDetector, isPolicyName, POLICY_NAMES } from '../common/policies.js';
 import type { IReplayResult } from '../common/replayResult.js';
 import { replayTrace } from '../common/replayTrace.js';
 
@@ -55,7 +55,7 @@
 async function runReplay(name: string, policy: PolicyName, seed: number): Promise<IReplayReport> {
   const trace = loadTrace(name, seed);
   const { detection } = trace.header.service;
-  const createDetector = () => createPolicy(policy, detection);
+  const createDetector = () => createPolicyDetector(policy, detection);
   const result = await replayTrace(trace, { policy, seed, createDetector });
   return { ...result, broken: checkOutcome(result, loadOutcome(name, trace)) };
 }
--- a/packages/lab/src/replay/node/replayWorker.ts
+++ b/packages/lab/src/replay/node/replayWorker.ts
@@ -1,7 +1,7 @@
 /** Worker thread that runs one replay for each job it receives. */
 import { parentPort } from 'node:worker_threads';
 import { buildTrace } from '../../trace/common/traceGenerator.js';
-import { createPolicy } from '../common/policies.js';
+import { createPolicyDetector } from '../common/policies.js';
 import { replayTrace } from '../common/replayTrace.js';
 import type { IReplayJob } from './replayPool.js';
 
@@ -13,6 +13,6 @@
   const { policy, seed } = job;
   const trace = buildTrace(job.trace, seed);
   const { detection } = trace.header.service;
-  const createDetector = () => createPolicy(policy, detection, job.settings);
+  const createDetector = () => createPolicyDetector(policy, detection, job.settings);
   parentPort?.postMessage(await replayTrace(trace, { policy, seed, createDetector }));
 }
