--- a/packages/lab/src/experiment/common/fleetLimits.test.ts
+++ b/packages/lab/src/experiment/common/fleetLimits.test.ts
@@ -18,14 +18,15 @@
 });
 
 test('a few reads keep enough targets in use when all nodes lose power', async () => {
-  // With 12 short reads per second beside 290 bookings, reads must probe suspected targets. Most ready
-  // targets without requests failed their last request but recover within a few seconds.
+  // Guards against recovered targets that stay unused. With 12 short reads per second beside 290 bookings,
+  // the reads must probe suspected targets: most ready targets without requests failed their last request
+  // but recover within a few seconds.
   assert.deepEqual(await listViolations('power-loss-mixed', 'floor', [1, 2]), []);
 });
 
 test('hundreds of nodes keep enough targets in use when power is lost during a burst', async () => {
-  // The same on 293 nodes: nodes restart in batches, the bookings' targets shed half of their requests, and
-  // all nodes lose power during a burst. The burst alone doesn't fill the slots, so recovered targets stay
-  // unused unless bookings try them. Seed 7 violates the floor without such bookings.
+  // Guards against a floor that binds too late, on 293 nodes: nodes restart in batches, the bookings' targets
+  // shed half of their requests, and all nodes lose power during a burst. The burst alone doesn't fill the
+  // slots, so recovered targets stay unused unless bookings try them. Seed 7 violates the floor otherwise.
   assert.deepEqual(await listViolations('hundreds-of-nodes', 'floor', [7]), []);
 });
--- a/packages/lab/src/experiment/common/requestLimits.test.ts
+++ b/packages/lab/src/experiment/common/requestLimits.test.ts
@@ -10,14 +10,16 @@
 });
 
 test('a request stays quarantined when its home is lost and nodes restart', async () => {
-  // The home of its service is partitioned, all nodes restart in batches of four, and finally all nodes
-  // lose power at the same time: the quarantine decision must survive each of these.
+  // Guards against losing a quarantine decision. The home of the request's service is partitioned, all nodes
+  // restart in batches of four, and finally all nodes lose power at the same time: the decision must
+  // survive each of these.
   assert.deepEqual(await listViolations('crashing-request-restarts', 'crashes', [1, 2]), []);
 });
 
 test('no harmless request is quarantined while racks lose power repeatedly', async () => {
-  // Targets of all services lose power every few seconds, once all of them together, while callers retry
-  // failed requests and send popular requests many times.
+  // Guards against quarantining requests that were merely running when their target lost power. Targets of
+  // all services lose power every few seconds, once all of them together, while callers retry failed
+  // requests and send popular requests many times.
   for (const seed of [1, 2, 3]) {
     const { heldBack } = await runScenario('crashes-of-their-own', seed);
     assert.equal(heldBack, 0, `seed ${seed}`);
--- a/packages/lab/src/experiment/common/targetNoticeChecker.ts
+++ b/packages/lab/src/experiment/common/targetNoticeChecker.ts
@@ -2,11 +2,11 @@
 import { AdvertisedLimitChecker } from './advertisedLimitChecker.js';
 
 /**
- * A node that received a draining notice sends the target no request that its caller sent this long
- * after the notice, in ms.
+ * A request must not reach a draining target if its caller sent it later than this after the node received
+ * the draining notice, in ms.
  */
 const DRAIN_NOTICE_GRACE_MS = 2000;
-/** Arrivals count against a requested wait from this long after the request for it, in ms. */
+/** Arrivals during a requested wait count from this long after the node received the notice, in ms. */
 const WAIT_GRACE_MS = 500;
 /** Requests that may still reach the target during the rest of the wait. */
 const MAX_ARRIVALS_IN_WAIT = 2;
--- a/packages/lab/src/experiment/policies/oraclePolicy.ts
+++ b/packages/lab/src/experiment/policies/oraclePolicy.ts
@@ -6,8 +6,9 @@
 export type FailureOracle = (targetId: string) => boolean;
 
 /**
- * Grants only targets that aren't failing now, with the placement and the waiting of the current
- * policy. No detection and no probing can do better.
+ * Places requests as {@link ExpectedCreditPolicy} does, but only on targets that aren't failing now.
+ * Requests other than hedges wait only while none of these is free, as long as that policy allows.
+ * No detection and no probing can do better.
  */
 export class OraclePolicy extends ExpectedCreditPolicy {
   constructor(private readonly isFailing: FailureOracle) {
--- a/packages/lab/src/load/node/loadGenerator.test.ts
+++ b/packages/lab/src/load/node/loadGenerator.test.ts
@@ -65,7 +65,7 @@
   });
 });
 
-test('the generator records every request that arrived, with its attempts', async () => {
+test('the load generator records every request once, with its attempts', async () => {
   await withTarget(async (target) => {
     class OneNode extends Balancer {
       override pick(): string {
--- a/packages/lab/src/load/node/loadGenerator.ts
+++ b/packages/lab/src/load/node/loadGenerator.ts
@@ -14,7 +14,10 @@
 
 const MAX_RETRY_WAIT_MS = 1500;
 const RETRY_WAIT_MS = 100;
-/** Duplicates arrive while the first attempt is queued, claimed, dispatched or answered, in ms. */
+/**
+ * Maximum delay of a duplicate, in ms. Duplicates therefore arrive while the first attempt is queued,
+ * claimed, dispatched or complete.
+ */
 const MAX_DUPLICATE_DELAY_MS = 60;
 const MAX_LATENCY_MS = 120_000;
 
--- a/packages/lab/src/replay/common/replayRecorder.ts
+++ b/packages/lab/src/replay/common/replayRecorder.ts
@@ -74,7 +74,10 @@
     return this.latencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
-  /** The same for callers other than the flooding one, during the fault or surge. */
+  /**
+   * The `percentile` of the latencies of callers other than the flooding one, for successful requests
+   * that arrived during the fault or surge, in ms.
+   */
   getOthersLatency(percentile: number): number {
     return this.othersLatencies.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
--- a/packages/lab/src/replay/common/replayResult.ts
+++ b/packages/lab/src/replay/common/replayResult.ts
@@ -9,7 +9,10 @@
   readonly detectionMs: readonly (number | undefined)[];
   /** Number of ejections of targets without a fault that justifies them. */
   readonly falseEjections: number;
-  /** Number of times that such targets were suspected, most of them for less than a second. */
+  /**
+   * Number of times that targets without a fault that justifies it were suspected, most of them for less
+   * than a second.
+   */
   readonly demotions: number;
   readonly targetHours: number;
   /** Lowest number of slots that the home left in use, minus the floor. */
@@ -34,7 +37,7 @@
   readonly goodputShare: number | undefined;
   /** Attempts per dispatched request; the excess over 1 is retries and hedges. */
   readonly retryAmplification: number;
-  /** Error share and latency of all callers but the flooding one, during the flood. */
+  /** Error share and 99th percentile of the latency of all callers but the flooding one, during the flood. */
   readonly othersErrorShare: number;
   readonly othersP99Ms: number;
   readonly refusals: Readonly<Record<string, number>>;
--- a/packages/lab/src/replay/common/simulatedObserver.ts
+++ b/packages/lab/src/replay/common/simulatedObserver.ts
@@ -8,7 +8,7 @@
 /** One-way delay between the home and the observer, in ms. */
 const ONE_WAY_DELAY_MS = 1;
 const FIRST_SERVER_ERROR = 500;
-/** Work of a probe, in ms; the observer has no header of a caller that carries it. */
+/** Work of a probe, in ms: that of a usual read, since a probe carries no headers of a caller. */
 const DEFAULT_WORK_MS = 50;
 const MAX_RESPONSE_BYTES = 1_048_576;
 
